--- a/crates/core/benches/policy.rs
+++ b/crates/core/benches/policy.rs
@@ -4,12 +4,16 @@
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use gypsumglade_core::policy::Class;
-use gypsumglade_core::policy::admission::{Admission, AdmissionSettings, Admit, Offer};
+use gypsumglade_core::policy::admission::{
+    Admission, AdmissionDecision, AdmissionRequest, AdmissionSettings,
+};
 use gypsumglade_core::policy::priority::Priority;
 use gypsumglade_core::policy::registry::{
     Announcement, CacheEvents, DispatchLoad, EndpointKind, LoadReport, ModelId, Registry,
 };
-use gypsumglade_core::policy::route::{LastRun, Place, RouteAsk, RouteSettings, Router, Target};
+use gypsumglade_core::policy::route::{
+    LastRun, Place, RouteRequest, RouteSettings, Router, Target,
+};
 use gypsumglade_core::prelude::*;
 
 fn announcement(index: u32, sequence: u64) -> Announcement {
@@ -40,18 +44,18 @@
     }
 }
 
-fn ask() -> RouteAsk {
-    RouteAsk {
+fn ask() -> RouteRequest {
+    RouteRequest {
         target: Target::Model(ModelId::new("advice", "1")),
         program: 7,
         prompt_tokens: 20_000,
         prior_tokens: 19_000,
-        output_guess: 190,
+        expected_output: 190,
         batch: None,
-        fill: None,
+        prefill_seconds: None,
         bytes: None,
-        last: vec![LastRun { endpoint: "engine-3".into(), tokens: 19_000, at: Time::ZERO }],
-        shared: Vec::new(),
+        last_runs: vec![LastRun { endpoint: "engine-3".into(), tokens: 19_000, at: Time::ZERO }],
+        shared_prefixes: Vec::new(),
         class: Class::Normal,
         place: Place::default(),
         excluded: Vec::new(),
@@ -83,7 +87,7 @@
     let mut registry = Registry::default();
     registry.announce(Time::ZERO, announcement(0, 1));
     let key = registry.candidates(&ModelId::new("advice", "1"))[0];
-    let load = DispatchLoad { fill_tokens: 1_000, alone: false };
+    let load = DispatchLoad { prefill_tokens: 1_000, isolated: false };
     criterion.bench_function("registry/dispatched_finished", |bench| {
         bench.iter(|| {
             let call = registry.dispatched(Time::ZERO, key, load);
@@ -92,14 +96,14 @@
     });
 }
 
-fn offer(org: u32) -> Offer {
-    Offer {
+fn offer(org: u32) -> AdmissionRequest {
+    AdmissionRequest {
         org: compact_str::format_compact!("org{org}"),
         class: Class::Normal,
         under_way: true,
         priority: Priority(1),
         deadline: Some(Time::from_millis(3_600_000)),
-        service: Duration::from_secs(5),
+        service_time: Duration::from_secs(5),
     }
 }
 
@@ -108,11 +112,12 @@
     for orgs in [10, 100, 1_000, 4_500] {
         let mut settings = AdmissionSettings { queue: 1_000_000, ..AdmissionSettings::default() };
         settings.limit.start = 100.0;
-        settings.parts.early = false;
+        settings.features.early_shedding = false;
         let mut admission = Admission::new(settings);
         let mut running = std::collections::VecDeque::new();
         for index in 0..orgs * 2 + 100 {
-            if let Admit::Now(ticket) = admission.offer(Time::ZERO, offer(index % orgs)) {
+            if let AdmissionDecision::Now(ticket) = admission.admit(Time::ZERO, offer(index % orgs))
+            {
                 running.push_back(ticket);
             }
         }
@@ -120,7 +125,7 @@
         group.bench_function(BenchmarkId::new("offer_release", orgs), |bench| {
             bench.iter(|| {
                 index += 1;
-                black_box(admission.offer(Time::ZERO, offer(index % orgs)));
+                black_box(admission.admit(Time::ZERO, offer(index % orgs)));
                 let Some(ticket) = running.pop_front() else { return };
                 running.extend(admission.release(Time::ZERO, ticket));
             });
--- a/crates/core/src/policy/admission/limit.rs
+++ b/crates/core/src/policy/admission/limit.rs
@@ -8,26 +8,26 @@
     /// Limit to start with.
     pub start: f64,
     /// Never below this.
-    pub least: f64,
+    pub min: f64,
     /// Never above this.
-    pub most: f64,
+    pub max: f64,
     /// Mean wait for an engine's slot above which the limit falls, in seconds.
-    pub target: f64,
+    pub target_wait: f64,
     /// Factor of a step down.
-    pub backoff: f64,
+    pub decrease_factor: f64,
     /// Least time between two steps down.
-    pub pause: Duration,
+    pub decrease_interval: Duration,
 }
 
 impl Default for LimitSettings {
     fn default() -> Self {
         LimitSettings {
             start: 64.0,
-            least: 4.0,
-            most: 100_000.0,
-            target: 2.0,
-            backoff: 0.95,
-            pause: Duration::from_secs(5),
+            min: 4.0,
+            max: 100_000.0,
+            target_wait: 2.0,
+            decrease_factor: 0.95,
+            decrease_interval: Duration::from_secs(5),
         }
     }
 }
@@ -36,7 +36,7 @@
 const GAIN: f64 = 0.02;
 
 /// Wait that a refusal counts as, in targets.
-const REFUSED: f64 = 5.0;
+const OVERLOAD_FACTOR: f64 = 5.0;
 
 /// What one finished call says about the endpoints behind the limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -53,14 +53,20 @@
     settings: LimitSettings,
     value: f64,
     mean: f64,
-    capped: bool,
-    stepped: Time,
+    max_known: bool,
+    last_decrease: Time,
 }
 
 impl Limit {
     /// Starts at the configured value.
     pub fn new(settings: LimitSettings) -> Limit {
-        Limit { value: settings.start, mean: 0.0, capped: false, settings, stepped: Time::ZERO }
+        Limit {
+            value: settings.start,
+            mean: 0.0,
+            max_known: false,
+            settings,
+            last_decrease: Time::ZERO,
+        }
     }
 
     /// Returns how many calls may be in flight.
@@ -75,31 +81,31 @@
     pub fn observe(&mut self, now: Time, signal: Signal, busy: bool) {
         let sample = match signal {
             Signal::Waited(wait) => wait.as_secs_f64(),
-            Signal::Overloaded => self.settings.target * REFUSED,
+            Signal::Overloaded => self.settings.target_wait * OVERLOAD_FACTOR,
         };
         self.mean += GAIN * (sample - self.mean);
-        if self.mean <= self.settings.target {
+        if self.mean <= self.settings.target_wait {
             if busy {
-                self.value = (self.value + 1.0 / self.value).min(self.settings.most);
+                self.value = (self.value + 1.0 / self.value).min(self.settings.max);
             }
             return;
         }
-        if now.since(self.stepped) < self.settings.pause {
+        if now.since(self.last_decrease) < self.settings.decrease_interval {
             return;
         }
-        self.stepped = now;
-        self.value = (self.value * self.settings.backoff).max(self.settings.least);
+        self.last_decrease = now;
+        self.value = (self.value * self.settings.decrease_factor).max(self.settings.min);
     }
 
     /// Follows a known change of capacity, such as engines that came or left.
     ///
     /// The limit keeps its share of the capacity. Grown only step by step, it would take minutes to
     /// use engines that came back, and callers would be shed while engines are idle.
-    pub fn cap(&mut self, most: f64) {
-        let most = most.max(self.settings.least);
-        let share = if self.capped { self.value / self.settings.most } else { 1.0 };
-        self.capped = true;
-        self.settings.most = most;
-        self.value = (share * most).clamp(self.settings.least, most);
+    pub fn set_max(&mut self, max: f64) {
+        let max = max.max(self.settings.min);
+        let share = if self.max_known { self.value / self.settings.max } else { 1.0 };
+        self.max_known = true;
+        self.settings.max = max;
+        self.value = (share * max).clamp(self.settings.min, max);
     }
 }
--- a/crates/core/src/policy/admission/mod.rs
+++ b/crates/core/src/policy/admission/mod.rs
@@ -6,9 +6,9 @@
 //! its deadline is shed while that still helps its caller. See docs/design/admission.md.
 
 mod limit;
-mod offer;
 mod queue;
 mod rate;
+mod request;
 mod settings;
 
 use std::collections::{BTreeSet, HashMap};
@@ -16,11 +16,11 @@
 use slotmap::{SlotMap, new_key_type};
 
 pub use limit::{Limit, LimitSettings, Signal};
-pub use offer::{Admit, GivenUp, Offer, ShedReason};
 pub use queue::Band;
-use queue::{Queues, Rank, Waiting};
+use queue::{QueuedCall, Queues, Rank};
 use rate::Rate;
-pub use settings::{AdmissionParts, AdmissionSettings};
+pub use request::{AdmissionDecision, AdmissionRequest, ExpiredCall, ShedReason};
+pub use settings::{AdmissionFeatures, AdmissionSettings};
 
 use super::Class;
 use crate::prelude::*;
@@ -38,14 +38,14 @@
 #[derive(Clone, Copy, Debug)]
 enum State {
     Running,
-    Queued { band: Band, rank: Rank, latest: Time, reason: ShedReason },
+    Queued { band: Band, rank: Rank, latest_start: Time, reason: ShedReason },
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Call {
     org: OrgKey,
     state: State,
-    service: Duration,
+    service_time: Duration,
 }
 
 /// Lets calls in for one pool of endpoints.
@@ -57,44 +57,44 @@
     queues: Queues,
     names: HashMap<OrgName, OrgKey>,
     calls: SlotMap<Ticket, Call>,
-    latest: BTreeSet<(Time, Ticket)>,
+    latest_starts: BTreeSet<(Time, Ticket)>,
     running: u32,
     sequence: u64,
-    swept: Time,
+    last_sweep: Time,
 }
 
 impl Admission {
     /// Makes an admission with nothing running.
     pub fn new(settings: AdmissionSettings) -> Admission {
-        let bounds = [settings.urgent_run, settings.under_way_run];
+        let max_runs = [settings.urgent_run, settings.under_way_run];
         Admission {
             limit: Limit::new(settings.limit.clone()),
             rate: Rate::default(),
-            queues: Queues::new(settings.quantum, bounds),
+            queues: Queues::new(settings.quantum, max_runs),
             names: HashMap::new(),
             calls: SlotMap::with_key(),
-            latest: BTreeSet::new(),
+            latest_starts: BTreeSet::new(),
             running: 0,
             sequence: 0,
-            swept: Time::ZERO,
+            last_sweep: Time::ZERO,
             settings,
         }
     }
 
     /// Decides about a call. Takes the same time for any number of organisations.
-    pub fn offer(&mut self, now: Time, offer: Offer) -> Admit {
-        let org = self.org(&offer.org);
-        let band = self.band(&offer);
-        if self.free(band) && self.first(band) {
-            return Admit::Now(self.start(org, offer.service));
+    pub fn admit(&mut self, now: Time, request: AdmissionRequest) -> AdmissionDecision {
+        let org = self.org(&request.org);
+        let band = self.band(&request);
+        if self.has_capacity(band) && self.is_next(band) {
+            return AdmissionDecision::Now(self.start(org, request.service_time));
         }
         if self.queues.len() == 0 {
             self.rate.idle(now);
         }
-        if let Some((reason, retry_after)) = self.refuses(now, &offer, org, band) {
-            return Admit::Shed { retry_after, reason };
+        if let Some((reason, retry_after)) = self.shed_reason(now, &request, org, band) {
+            return AdmissionDecision::Shed { retry_after, reason };
         }
-        Admit::Queued(self.queue(now, &offer, org, band))
+        AdmissionDecision::Queued(self.queue(now, &request, org, band))
     }
 
     /// Ends a running call and returns those that start in its place.
@@ -111,7 +111,7 @@
         if let Some(org) = self.queues.org(call.org) {
             org.running -= 1;
         }
-        self.drain()
+        self.start_waiting()
     }
 
     /// Takes back a call whose caller went away, waiting or running.
@@ -129,39 +129,39 @@
     ///
     /// A call is given up at its deadline less its expected service, not at the deadline: by then
     /// its caller has time left to go elsewhere, and running it would only help nobody.
-    pub fn expire(&mut self, now: Time) -> Vec<GivenUp> {
+    pub fn expire(&mut self, now: Time) -> Vec<ExpiredCall> {
         self.sweep(now);
-        let mut given = Vec::new();
-        while let Some(&(at, ticket)) = self.latest.first() {
+        let mut expired = Vec::new();
+        while let Some(&(at, ticket)) = self.latest_starts.first() {
             if at > now {
                 break;
             }
             let Some(call) = self.calls.get(ticket).copied() else { break };
             let State::Queued { band, reason, .. } = call.state else { break };
-            let retry_after = self.retry_after(now, call.org, band, call.service);
+            let retry_after = self.retry_after(now, call.org, band, call.service_time);
             self.unqueue(ticket);
             self.calls.remove(ticket);
-            given.push(GivenUp { ticket, retry_after, reason });
+            expired.push(ExpiredCall { ticket, retry_after, reason });
         }
-        given
+        expired
     }
 
     /// Returns when [`Admission::expire`] has something to do.
     pub fn next_expiry(&self) -> Option<Time> {
-        self.latest.first().map(|(at, _)| *at)
+        self.latest_starts.first().map(|(at, _)| *at)
     }
 
     /// Feeds the concurrency limit, and returns calls that a higher limit lets in.
     pub fn observe(&mut self, now: Time, signal: Signal) -> Vec<Ticket> {
         let busy = self.running >= self.limit.get();
         self.limit.observe(now, signal, busy);
-        self.drain()
+        self.start_waiting()
     }
 
     /// Bounds the limit by the slots that endpoints announce, and lets in what now fits.
-    pub fn resize(&mut self, most: f64) -> Vec<Ticket> {
-        self.limit.cap(most);
-        self.drain()
+    pub fn resize(&mut self, max: f64) -> Vec<Ticket> {
+        self.limit.set_max(max);
+        self.start_waiting()
     }
 
     /// Returns calls running.
@@ -186,7 +186,7 @@
 
     fn org(&mut self, name: &OrgName) -> OrgKey {
         let shared = OrgName::const_new("");
-        let name = if self.settings.parts.fair { name } else { &shared };
+        let name = if self.settings.features.fair { name } else { &shared };
         if let Some(key) = self.names.get(name) {
             return *key;
         }
@@ -197,34 +197,34 @@
 
     /// Forgets organisations without calls, now and then, so that names do not pile up.
     fn sweep(&mut self, now: Time) {
-        if now.since(self.swept) < SWEEP_EVERY {
+        if now.since(self.last_sweep) < SWEEP_EVERY {
             return;
         }
-        self.swept = now;
+        self.last_sweep = now;
         for name in self.queues.sweep() {
             self.names.remove(&name);
         }
     }
 
-    fn band(&self, offer: &Offer) -> Band {
-        let parts = self.settings.parts;
-        match offer.class {
-            Class::Urgent if parts.urgent => Band::Urgent,
-            _ if offer.under_way || !parts.under_way => Band::UnderWay,
+    fn band(&self, request: &AdmissionRequest) -> Band {
+        let features = self.settings.features;
+        match request.class {
+            Class::Urgent if features.urgent => Band::Urgent,
+            _ if request.under_way || !features.under_way => Band::UnderWay,
             _ => Band::New,
         }
     }
 
-    fn free(&self, band: Band) -> bool {
+    fn has_capacity(&self, band: Band) -> bool {
         let limit = self.limit.get();
         match band {
             Band::Urgent => self.running < limit,
-            Band::UnderWay | Band::New => self.running < self.open_limit(),
+            Band::UnderWay | Band::New => self.running < self.shared_limit(),
         }
     }
 
     /// Returns true when no waiting call could use a free place before one of this band.
-    fn first(&self, band: Band) -> bool {
+    fn is_next(&self, band: Band) -> bool {
         match band {
             Band::Urgent => self.queues.count(Band::Urgent) == 0,
             Band::UnderWay | Band::New => self.queues.len() == 0,
@@ -232,99 +232,106 @@
     }
 
     /// Returns the places that any class may use.
-    fn open_limit(&self) -> u32 {
+    fn shared_limit(&self) -> u32 {
         let limit = self.limit.get();
         let reserve = (f64::from(limit) * self.settings.reserve) as u32;
         (limit - reserve).max(1)
     }
 
-    fn refuses(
+    fn shed_reason(
         &self,
         now: Time,
-        offer: &Offer,
+        request: &AdmissionRequest,
         org: OrgKey,
         band: Band,
     ) -> Option<(ShedReason, Duration)> {
-        let wait = self.wait(now, org, band, offer.service);
-        let advice = self.retry_after(now, org, band, offer.service);
+        let wait = self.wait(now, org, band, request.service_time);
+        let retry_after = self.retry_after(now, org, band, request.service_time);
         if self.queues.waiting(org) >= self.settings.org_queue {
-            return Some((ShedReason::OrgQueueFull, advice));
+            return Some((ShedReason::OrgQueueFull, retry_after));
         }
         if self.queues.len() >= self.settings.queue {
-            return Some((ShedReason::QueueFull, advice));
+            return Some((ShedReason::QueueFull, retry_after));
         }
-        if !self.settings.parts.early {
+        if !self.settings.features.early_shedding {
             return None;
         }
-        if offer.deadline.is_some_and(|deadline| now + wait + offer.service > deadline) {
-            return Some((ShedReason::Deadline, advice));
+        if request.deadline.is_some_and(|deadline| now + wait + request.service_time > deadline) {
+            return Some((ShedReason::Deadline, retry_after));
         }
-        (band == Band::New && wait > self.settings.patience)
-            .then_some((ShedReason::Patience, advice))
+        (band == Band::New && wait > self.settings.max_wait)
+            .then_some((ShedReason::MaxWait, retry_after))
     }
 
     /// Returns how long a new call of `org` is expected to wait.
-    fn wait(&self, now: Time, org: OrgKey, band: Band, service: Duration) -> Duration {
-        let guess = f64::from(self.limit.get()) / service.as_secs_f64().max(0.01);
-        let rate = self.rate.get(now, guess).max(1e-3);
+    fn wait(&self, now: Time, org: OrgKey, band: Band, service_time: Duration) -> Duration {
+        let fallback_rate = f64::from(self.limit.get()) / service_time.as_secs_f64().max(0.01);
+        let rate = self.rate.get(now, fallback_rate).max(1e-3);
         // Its own start takes a release too.
         Duration::from_secs_f64((f64::from(self.queues.ahead(org, band)) + 1.0) / rate)
     }
 
     /// Returns when the calls that now lie before this one will have started.
-    fn retry_after(&self, now: Time, org: OrgKey, band: Band, service: Duration) -> Duration {
-        let [least, most] = self.settings.retry;
-        self.wait(now, org, band, service).clamp(least, most)
+    fn retry_after(&self, now: Time, org: OrgKey, band: Band, service_time: Duration) -> Duration {
+        let [min, max] = self.settings.retry_range;
+        self.wait(now, org, band, service_time).clamp(min, max)
     }
 
-    fn queue(&mut self, now: Time, offer: &Offer, org: OrgKey, band: Band) -> Ticket {
+    fn queue(&mut self, now: Time, request: &AdmissionRequest, org: OrgKey, band: Band) -> Ticket {
         self.sequence += 1;
-        let rank = Rank { at: now + offer.priority.delay(), sequence: self.sequence };
-        let (latest, reason) = self.latest_start(now, offer, band);
-        let state = State::Queued { band, rank, latest, reason };
-        let ticket = self.calls.insert(Call { org, state, service: offer.service });
-        let cost = offer.service.as_secs_f64();
-        self.queues.push(org, band, rank, Waiting { ticket, cost });
-        if latest < Time::MAX {
-            self.latest.insert((latest, ticket));
+        let rank = Rank { at: now + request.priority.delay(), sequence: self.sequence };
+        let (latest_start, reason) = self.latest_start(now, request, band);
+        let state = State::Queued { band, rank, latest_start, reason };
+        let ticket = self.calls.insert(Call { org, state, service_time: request.service_time });
+        let cost = request.service_time.as_secs_f64();
+        self.queues.push(org, band, rank, QueuedCall { ticket, cost });
+        if latest_start < Time::MAX {
+            self.latest_starts.insert((latest_start, ticket));
         }
         ticket
     }
 
-    fn latest_start(&self, now: Time, offer: &Offer, band: Band) -> (Time, ShedReason) {
-        let by_deadline = match offer.deadline {
-            Some(deadline) if self.settings.parts.early => deadline - offer.service,
+    fn latest_start(
+        &self,
+        now: Time,
+        request: &AdmissionRequest,
+        band: Band,
+    ) -> (Time, ShedReason) {
+        let by_deadline = match request.deadline {
+            Some(deadline) if self.settings.features.early_shedding => {
+                deadline - request.service_time
+            }
             Some(deadline) => deadline,
             None => Time::MAX,
         };
-        let by_patience = match band {
-            Band::New => now + self.settings.patience,
+        let by_max_wait = match band {
+            Band::New => now + self.settings.max_wait,
             Band::Urgent | Band::UnderWay => Time::MAX,
         };
-        if by_deadline <= by_patience {
+        if by_deadline <= by_max_wait {
             (by_deadline, ShedReason::Deadline)
         } else {
-            (by_patience, ShedReason::Patience)
+            (by_max_wait, ShedReason::MaxWait)
         }
     }
 
     fn unqueue(&mut self, ticket: Ticket) {
         let Some(call) = self.calls.get(ticket) else { return };
-        let State::Queued { band, rank, latest, .. } = call.state else { return };
+        let State::Queued { band, rank, latest_start, .. } = call.state else { return };
         self.queues.remove(call.org, band, rank);
-        self.latest.remove(&(latest, ticket));
+        self.latest_starts.remove(&(latest_start, ticket));
     }
 
-    fn start(&mut self, org: OrgKey, service: Duration) -> Ticket {
-        let ticket = self.calls.insert(Call { org, state: State::Running, service });
+    fn start(&mut self, org: OrgKey, service_time: Duration) -> Ticket {
+        let ticket = self.calls.insert(Call { org, state: State::Running, service_time });
         self.count_start(org);
         ticket
     }
 
     fn promote(&mut self, ticket: Ticket) {
         let Some(call) = self.calls.get_mut(ticket) else { return };
-        if let State::Queued { latest, .. } = call.state {
-            self.latest.remove(&(latest, ticket));
+        if let State::Queued { latest_start, .. } = call.state {
+            self.latest_starts.remove(&(latest_start, ticket));
         }
         call.state = State::Running;
         let org = call.org;
@@ -338,10 +345,10 @@
         }
     }
 
-    fn drain(&mut self) -> Vec<Ticket> {
+    fn start_waiting(&mut self) -> Vec<Ticket> {
         let mut started = Vec::new();
         while self.running < self.limit.get() {
-            let urgent_only = self.running >= self.open_limit();
+            let urgent_only = self.running >= self.shared_limit();
             let Some(ticket) = self.queues.pop(urgent_only) else { break };
             self.promote(ticket);
             started.push(ticket);
--- a/crates/core/src/policy/admission/queue.rs
+++ b/crates/core/src/policy/admission/queue.rs
@@ -14,10 +14,10 @@
 use crate::prelude::*;
 
 /// Least seconds that a call counts for, so that free calls cannot take turns without end.
-const LEAST_COST: f64 = 0.01;
+const MIN_COST: f64 = 0.01;
 
 /// Most turns that an organisation skips for one long call.
-const LONGEST_DEBT: f64 = 5.0;
+const MAX_DEBT: f64 = 5.0;
 
 /// Bands in the order in which they are served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -41,7 +41,7 @@
 
 /// One waiting call.
 #[derive(Clone, Copy, Debug)]
-pub struct Waiting {
+pub struct QueuedCall {
     /// Its ticket.
     pub ticket: Ticket,
     /// Expected seconds of service.
@@ -49,8 +49,8 @@
 }
 
 #[derive(Clone, Debug, Default)]
-struct Line {
-    calls: BTreeMap<Rank, Waiting>,
+struct OrgQueue {
+    calls: BTreeMap<Rank, QueuedCall>,
     credit: f64,
     listed: bool,
 }
@@ -64,13 +64,13 @@
     pub waiting: u32,
     /// Calls it has running.
     pub running: u32,
-    lines: [Line; 3],
+    queues: [OrgQueue; 3],
 }
 
 impl Org {
     /// Makes an organisation without calls.
     pub fn new(name: OrgName) -> Org {
-        Org { name, waiting: 0, running: 0, lines: Default::default() }
+        Org { name, waiting: 0, running: 0, queues: Default::default() }
     }
 }
 
@@ -82,20 +82,20 @@
     counts: [u32; 3],
     quantum: f64,
     runs: [u32; 2],
-    bounds: [u32; 2],
+    max_runs: [u32; 2],
 }
 
 impl Queues {
-    /// Makes empty queues. `quantum` is the seconds that one turn pays for; `bounds` are the most
+    /// Makes empty queues. `quantum` is the seconds that one turn pays for; `max_runs` are the most
     /// starts in a row of urgent calls, and of calls under way, while a later band waits.
-    pub fn new(quantum: f64, bounds: [u32; 2]) -> Queues {
+    pub fn new(quantum: f64, max_runs: [u32; 2]) -> Queues {
         Queues {
             orgs: SlotMap::with_key(),
             rings: Default::default(),
             counts: [0; 3],
             quantum,
             runs: [0; 2],
-            bounds,
+            max_runs,
         }
     }
 
@@ -143,20 +143,20 @@
     pub fn ahead(&self, org: OrgKey, band: Band) -> u32 {
         let index = band as usize;
         let before: u32 = self.counts[..index].iter().sum();
-        let own = self.orgs.get(org).map_or(0, |org| org.lines[index].calls.len() as u32);
+        let own = self.orgs.get(org).map_or(0, |org| org.queues[index].calls.len() as u32);
         let turns = (own + 1).saturating_mul(self.rings[index].len().max(1) as u32);
         before + self.counts[index].min(turns)
     }
 
     /// Queues a call.
-    pub fn push(&mut self, org: OrgKey, band: Band, rank: Rank, call: Waiting) {
+    pub fn push(&mut self, org: OrgKey, band: Band, rank: Rank, call: QueuedCall) {
         let index = band as usize;
         let Some(entry) = self.orgs.get_mut(org) else { return };
         entry.waiting += 1;
-        let line = &mut entry.lines[index];
-        line.calls.insert(rank, call);
+        let queue = &mut entry.queues[index];
+        queue.calls.insert(rank, call);
         self.counts[index] += 1;
-        if !std::mem::replace(&mut line.listed, true) {
+        if !std::mem::replace(&mut queue.listed, true) {
             self.rings[index].push_back(org);
         }
     }
@@ -164,7 +164,7 @@
     /// Takes a call out before its turn.
     pub fn remove(&mut self, org: OrgKey, band: Band, rank: Rank) {
         let Some(entry) = self.orgs.get_mut(org) else { return };
-        if entry.lines[band as usize].calls.remove(&rank).is_some() {
+        if entry.queues[band as usize].calls.remove(&rank).is_some() {
             entry.waiting -= 1;
             self.counts[band as usize] -= 1;
         }
@@ -174,7 +174,7 @@
     pub fn pop(&mut self, urgent_only: bool) -> Option<Ticket> {
         let band = if urgent_only { Band::Urgent } else { self.next_band() };
         let ticket = self.pop_band(band)?;
-        self.note_run(band);
+        self.record_start(band);
         Some(ticket)
     }
 
@@ -185,17 +185,17 @@
     /// first call of a later band waits for a known number of starts.
     fn next_band(&self) -> Band {
         let [urgent, under_way, new] = self.counts;
-        let urgent_due = urgent > 0 && (self.runs[0] < self.bounds[0] || under_way + new == 0);
+        let urgent_due = urgent > 0 && (self.runs[0] < self.max_runs[0] || under_way + new == 0);
         if urgent_due {
             return Band::Urgent;
         }
-        if under_way > 0 && (self.runs[1] < self.bounds[1] || new == 0) {
+        if under_way > 0 && (self.runs[1] < self.max_runs[1] || new == 0) {
             return Band::UnderWay;
         }
         if new > 0 { Band::New } else { Band::Urgent }
     }
 
-    fn note_run(&mut self, band: Band) {
+    fn record_start(&mut self, band: Band) {
         let [_, under_way, new] = self.counts;
         match band {
             Band::Urgent if under_way + new > 0 => self.runs[0] += 1,
@@ -215,21 +215,21 @@
                 self.rings[index].pop_front();
                 continue;
             };
-            let line = &mut org.lines[index];
-            let Some(head) = line.calls.first_entry() else {
+            let queue = &mut org.queues[index];
+            let Some(head) = queue.calls.first_entry() else {
                 // An idle organisation keeps no credit, or it could save up a burst.
-                line.credit = 0.0;
-                line.listed = false;
+                queue.credit = 0.0;
+                queue.listed = false;
                 self.rings[index].pop_front();
                 continue;
             };
             self.rings[index].rotate_left(1);
-            line.credit = (line.credit + self.quantum).min(self.quantum);
-            if line.credit <= 0.0 {
+            queue.credit = (queue.credit + self.quantum).min(self.quantum);
+            if queue.credit <= 0.0 {
                 continue;
             }
-            let most = self.quantum * LONGEST_DEBT;
-            line.credit -= head.get().cost.clamp(LEAST_COST, most);
+            let max_debt = self.quantum * MAX_DEBT;
+            queue.credit -= head.get().cost.clamp(MIN_COST, max_debt);
             let ticket = head.remove().ticket;
             org.waiting -= 1;
             self.counts[index] -= 1;
--- a/crates/core/src/policy/admission/rate.rs
+++ b/crates/core/src/policy/admission/rate.rs
@@ -6,7 +6,7 @@
 const WINDOW: Duration = Duration::from_secs(5);
 
 /// How long a finished window's rate is believed.
-const BELIEVED: Duration = Duration::from_secs(30);
+const MAX_AGE: Duration = Duration::from_secs(30);
 
 /// Calls over a second while others wait.
 ///
@@ -37,16 +37,16 @@
         self.count += 1;
     }
 
-    /// Returns calls a second, or `guess` while too little was seen.
+    /// Returns calls a second, or `fallback` while too little was seen.
     ///
     /// A window that stays open long past its length means that the endpoints have stopped, and
     /// its own low rate is the honest one.
-    pub fn get(&self, now: Time, guess: f64) -> f64 {
+    pub fn get(&self, now: Time, fallback: f64) -> f64 {
         let age = now.since(self.start);
         match self.last {
             _ if age > WINDOW * 2 => f64::from(self.count) / age.as_secs_f64(),
-            Some((at, last)) if now.since(at) < BELIEVED => last,
-            _ => guess,
+            Some((at, last)) if now.since(at) < MAX_AGE => last,
+            _ => fallback,
         }
     }
 }
--- a/crates/core/src/policy/admission/offer.rs
+++ b/crates/core/src/policy/admission/request.rs
@@ -7,7 +7,7 @@
 
 /// A call that asks to run.
 #[derive(Clone, Debug)]
-pub struct Offer {
+pub struct AdmissionRequest {
     /// The organisation it is counted against.
     pub org: OrgName,
     /// Urgency.
@@ -19,7 +19,7 @@
     /// When the caller gives up.
     pub deadline: Option<Time>,
     /// Expected time from start to last byte.
-    pub service: Duration,
+    pub service_time: Duration,
 }
 
 /// Why a call was not let in. It was not run.
@@ -36,12 +36,12 @@
     Deadline,
     /// A new program would wait longer than new programs may.
     #[error("the system is at capacity with programs under way")]
-    Patience,
+    MaxWait,
 }
 
 /// A waiting call that was given up, answered at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct GivenUp {
+pub struct ExpiredCall {
     /// The call.
     pub ticket: Ticket,
     /// When it is worth coming back.
@@ -52,7 +52,7 @@
 
 /// What became of an offer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Admit {
+pub enum AdmissionDecision {
     /// It runs now.
     Now(Ticket),
     /// It waits; [`release`](super::Admission::release) or [`expire`](super::Admission::expire) will name it.
--- a/crates/core/src/policy/admission/settings.rs
+++ b/crates/core/src/policy/admission/settings.rs
@@ -15,7 +15,7 @@
     /// Calls that may wait in all.
     pub queue: u32,
     /// Longest that the first call of a program waits.
-    pub patience: Duration,
+    pub max_wait: Duration,
     /// Seconds of service that an organisation's turn pays for; longer calls skip turns.
     pub quantum: f64,
     /// Urgent starts in a row while others wait.
@@ -23,10 +23,10 @@
     /// Starts in a row of programs under way while new ones wait.
     pub under_way_run: u32,
     /// Shortest and longest advice of when to come back.
-    pub retry: [Duration; 2],
+    pub retry_range: [Duration; 2],
     /// Parts that tests and the benchmark can switch off.
     #[doc(hidden)]
-    pub parts: AdmissionParts,
+    pub features: AdmissionFeatures,
 }
 
 impl Default for AdmissionSettings {
@@ -36,12 +36,12 @@
             reserve: 0.05,
             org_queue: 256,
             queue: 4096,
-            patience: Duration::from_secs(20),
+            max_wait: Duration::from_secs(20),
             quantum: 4.0,
             urgent_run: 16,
             under_way_run: 32,
-            retry: [Duration::from_secs(1), Duration::from_secs(60)],
-            parts: AdmissionParts::default(),
+            retry_range: [Duration::from_secs(1), Duration::from_secs(60)],
+            features: AdmissionFeatures::default(),
         }
     }
 }
@@ -49,7 +49,7 @@
 /// Parts of admission that can be switched off one at a time.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug)]
-pub struct AdmissionParts {
+pub struct AdmissionFeatures {
     /// Organisations take turns; off, all calls share one queue.
     pub fair: bool,
     /// Programs under way come before new ones.
@@ -57,11 +57,11 @@
     /// Urgent calls come first.
     pub urgent: bool,
     /// Calls that cannot make their deadline are shed early.
-    pub early: bool,
+    pub early_shedding: bool,
 }
 
-impl Default for AdmissionParts {
+impl Default for AdmissionFeatures {
     fn default() -> Self {
-        AdmissionParts { fair: true, under_way: true, urgent: true, early: true }
+        AdmissionFeatures { fair: true, under_way: true, urgent: true, early_shedding: true }
     }
 }
--- a/crates/core/src/policy/patience.rs
+++ b/crates/core/src/policy/hedging.rs
@@ -10,18 +10,18 @@
 const GAIN: f64 = 0.05;
 /// How many times longer than answers take on the mean a call is waited for: of answers that vary as
 /// much as their mean, one in fifty takes longer.
-const FACTOR: f64 = 5.0;
+const HEDGE_FACTOR: f64 = 5.0;
 /// Shortest wait: less would take a moment's delay on the way for a lost answer.
-const LEAST: Duration = Duration::from_millis(100);
+const MIN_HEDGE_DELAY: Duration = Duration::from_millis(100);
 
 /// How long a route's answers take.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct AnswerTime {
+pub struct ResponseTime {
     /// Mean seconds, if any answer came yet.
     mean: Option<f64>,
 }
 
-impl AnswerTime {
+impl ResponseTime {
     /// Takes the time that an answer took.
     pub fn observe(&mut self, took: Duration) {
         let took = took.as_secs_f64();
@@ -29,14 +29,15 @@
         self.mean = Some(mean + GAIN * (took - mean));
     }
 
-    /// Returns how long to wait for an attempt of a call that has `left`, and may have `further`
+    /// Returns how long to wait for an attempt of a call that has `time_left`, and may have `further_attempts`
     /// attempts after this one. Each of those keeps its equal part of the time.
-    pub fn patience(&self, left: Duration, further: u32) -> Duration {
-        if further == 0 {
-            return left;
+    pub fn hedge_delay(&self, time_left: Duration, further_attempts: u32) -> Duration {
+        if further_attempts == 0 {
+            return time_left;
         }
-        let part = left / (further + 1);
-        let usual = self.mean.map(|mean| Duration::from_secs_f64(mean * FACTOR).max(LEAST));
-        usual.map_or(part, |usual| usual.min(part))
+        let share = time_left / (further_attempts + 1);
+        let usual =
+            self.mean.map(|mean| Duration::from_secs_f64(mean * HEDGE_FACTOR).max(MIN_HEDGE_DELAY));
+        usual.map_or(share, |usual| usual.min(share))
     }
 }
--- a/crates/core/src/policy/outlier.rs
+++ b/crates/core/src/policy/outlier.rs
@@ -6,25 +6,25 @@
 #[derive(Clone, Debug)]
 pub struct HealthSettings {
     /// Failures in a row that eject.
-    pub failures: u32,
+    pub max_failures: u32,
     /// First time out; doubles with each ejection.
-    pub ejection: Duration,
+    pub base_ejection: Duration,
     /// Longest time out.
-    pub longest: Duration,
+    pub max_ejection: Duration,
     /// Time over which a new or returned endpoint's share grows to the whole.
-    pub ramp: Duration,
+    pub ramp_time: Duration,
     /// Share that an endpoint starts with.
-    pub floor: f64,
+    pub min_share: f64,
 }
 
 impl Default for HealthSettings {
     fn default() -> Self {
         HealthSettings {
-            failures: 3,
-            ejection: Duration::from_secs(5),
-            longest: Duration::from_secs(120),
-            ramp: Duration::from_secs(10),
-            floor: 0.1,
+            max_failures: 3,
+            base_ejection: Duration::from_secs(5),
+            max_ejection: Duration::from_secs(120),
+            ramp_time: Duration::from_secs(10),
+            min_share: 0.1,
         }
     }
 }
@@ -34,18 +34,18 @@
 pub struct Health {
     failures: u32,
     ejections: u32,
-    until: Time,
-    since: Time,
+    ejected_until: Time,
+    ramp_start: Time,
 }
 
 impl Health {
     /// Starts the slow start of an endpoint that just appeared.
-    pub fn joined(now: Time) -> Health {
-        Health { failures: 0, ejections: 0, until: Time::ZERO, since: now }
+    pub fn new(now: Time) -> Health {
+        Health { failures: 0, ejections: 0, ejected_until: Time::ZERO, ramp_start: now }
     }
 
     /// Counts a success, which ends a run of failures.
-    pub fn succeeded(&mut self) {
+    pub fn record_success(&mut self) {
         self.failures = 0;
         self.ejections = self.ejections.saturating_sub(1);
     }
@@ -55,33 +55,34 @@
     /// A broken endpoint answers fastest of all, so that by load alone it draws every call to
     /// itself. The time out grows with each ejection and is bounded, and one call at a time finds
     /// out whether the endpoint is well again.
-    pub fn failed(&mut self, now: Time, settings: &HealthSettings) {
-        if now < self.until {
+    pub fn record_failure(&mut self, now: Time, settings: &HealthSettings) {
+        if now < self.ejected_until {
             return;
         }
         self.failures += 1;
-        let enough = if self.ejections > 0 { 1 } else { settings.failures };
-        if self.failures < enough {
+        let threshold = if self.ejections > 0 { 1 } else { settings.max_failures };
+        if self.failures < threshold {
             return;
         }
-        let factor = 1 << self.ejections.min(16);
-        self.until = now + (settings.ejection * factor).min(settings.longest);
-        self.since = self.until;
+        let multiplier = 1 << self.ejections.min(16);
+        self.ejected_until = now + (settings.base_ejection * multiplier).min(settings.max_ejection);
+        self.ramp_start = self.ejected_until;
         self.ejections += 1;
         self.failures = 0;
     }
 
     /// Returns true while the endpoint is timed out.
-    pub fn ejected(&self, now: Time) -> bool {
-        now < self.until
+    pub fn is_ejected(&self, now: Time) -> bool {
+        now < self.ejected_until
     }
 
     /// Returns the share of its slots that the endpoint may fill at `now`, up to one.
     ///
     /// A domain that comes back with empty queues and empty memory looks best to every VM at once;
     /// without the ramp all of them send their backlog in the same second.
-    pub fn share(&self, now: Time, settings: &HealthSettings) -> f64 {
-        let grown = now.since(self.since).as_secs_f64() / settings.ramp.as_secs_f64().max(1e-9);
-        grown.clamp(settings.floor, 1.0)
+    pub fn slot_share(&self, now: Time, settings: &HealthSettings) -> f64 {
+        let share =
+            now.since(self.ramp_start).as_secs_f64() / settings.ramp_time.as_secs_f64().max(1e-9);
+        share.clamp(settings.min_share, 1.0)
     }
 }
--- a/crates/core/src/policy/overload.rs
+++ b/crates/core/src/policy/overload.rs
@@ -13,29 +13,29 @@
 /// Share of a pool's slots in use up to which new programs are let in, for the most urgent routes.
 /// Engines read prompts between the tokens of other requests, so a batch that is all but full
 /// already makes every program in it late.
-const NEW_LIMIT: f64 = 0.9;
+const NEW_PROGRAM_LIMIT: f64 = 0.9;
 /// How much lower the limit is for each rank, so that less urgent work is turned away first.
 const RANK_STEP: f64 = 0.1;
 /// Lowest limit of any rank: below it, places stand empty while callers are turned away.
-const LEAST_LIMIT: f64 = 0.6;
+const MIN_LIMIT: f64 = 0.6;
 /// Shortest time after which a program that was turned away is worth trying again: some turns
 /// have ended by then.
-const RETRY_LEAST: Duration = Duration::from_millis(250);
+const RETRY_MIN: Duration = Duration::from_millis(250);
 /// Spread of that time, so that those turned away together don't come back together.
-const RETRY_SPREAD: Duration = Duration::from_millis(350);
+const RETRY_JITTER: Duration = Duration::from_millis(350);
 /// How many times longer than alone an event may take before new programs are turned away: callers'
 /// aims are a small multiple of the time on idle engines, pauses and tools counted, which slow engines
 /// don't stretch.
-const MOST_STRETCH: f64 = 2.5;
+const MAX_SLOWDOWN: f64 = 2.5;
 /// Share of a pool's slots in use below which the pace of earlier streams isn't gone by: only streams that
 /// run can show that engines have become faster.
-const IDLE_SHARE: f64 = 0.05;
+const IDLE_UTILISATION: f64 = 0.05;
 /// Weight of the newest stream in the mean pace: a burst shows after ten streams.
-const PACE_GAIN: f64 = 0.1;
+const MEAN_GAIN: f64 = 0.1;
 /// Most that a stream counts for in the mean pace, against the mean. One engine that has turned many
 /// times slower must not turn away what the others could serve; a burst slows them all, and shows all
 /// the same.
-const MOST_STEP: f64 = 2.0;
+const MAX_SAMPLE_RATIO: f64 = 2.0;
 /// Weight of a stream that is faster than all before in the best pace, and the least part of the best
 /// that it counts as.
 ///
@@ -44,22 +44,22 @@
 /// program for seconds. This way it moves the best by a twentieth.
 const BEST_GAIN: f64 = 0.1;
 /// See [`BEST_GAIN`].
-const LEAST_STEP: f64 = 0.5;
+const MIN_SAMPLE_RATIO: f64 = 0.5;
 /// How fast the best pace is forgotten with each stream, so that it follows engines that changed.
-const BEST_DRIFT: f64 = 0.002;
+const BEST_DECAY: f64 = 0.002;
 
 /// How fast a pool's engines generate now, against how fast they do when idle.
 ///
 /// Engines don't tell their speed, but each stream shows it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct PoolPace {
+pub struct PoolSlowdown {
     /// Mean seconds between events of the latest streams; zero before the first.
     mean: f64,
     /// The same of the fastest streams.
     best: f64,
 }
 
-impl PoolPace {
+impl PoolSlowdown {
     /// Takes the mean time between the events of a stream that ended.
     pub fn observe(&mut self, gap: Duration) {
         let gap = gap.as_secs_f64();
@@ -67,19 +67,19 @@
             return;
         }
         if self.mean == 0.0 {
-            *self = PoolPace { mean: gap, best: gap };
+            *self = PoolSlowdown { mean: gap, best: gap };
             return;
         }
-        self.mean += PACE_GAIN * (gap.min(self.mean * MOST_STEP) - self.mean);
-        let faster = gap.max(self.best * LEAST_STEP);
+        self.mean += MEAN_GAIN * (gap.min(self.mean * MAX_SAMPLE_RATIO) - self.mean);
+        let sample = gap.max(self.best * MIN_SAMPLE_RATIO);
         self.best = match gap < self.best {
-            true => self.best + BEST_GAIN * (faster - self.best),
-            false => self.best * (1.0 + BEST_DRIFT),
+            true => self.best + BEST_GAIN * (sample - self.best),
+            false => self.best * (1.0 + BEST_DECAY),
         };
     }
 
     /// Returns how many times longer than alone an event takes now.
-    pub fn stretch(&self) -> f64 {
+    pub fn ratio(&self) -> f64 {
         if self.best == 0.0 { 1.0 } else { self.mean / self.best }
     }
 }
@@ -91,13 +91,13 @@
     pub calls: u64,
     /// Calls that the endpoints run at one time.
     pub slots: u64,
-    /// How many times longer than alone an event takes; see [`PoolPace::stretch`].
-    pub stretch: f64,
+    /// How many times longer than alone an event takes; see [`PoolSlowdown::ratio`].
+    pub slowdown: f64,
 }
 
 /// What is known of a turn's program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Standing {
+pub struct ProgramStatus {
     /// Rank of its route; zero is the most urgent.
     pub rank: u8,
     /// Whether the program has had a turn before.
@@ -106,19 +106,19 @@
 
 /// Tells whether a turn gets an engine now; otherwise when it is worth coming back.
 ///
-/// `spread` is a number from zero to one that differs from caller to caller.
+/// `jitter` is a number from zero to one that differs from caller to caller.
 ///
 /// # Errors
 /// Returns the time after which to come back. The turn has not run.
-pub fn admit(load: PoolLoad, standing: Standing, spread: f64) -> Result<(), Duration> {
-    if standing.under_way || load.slots == 0 {
+pub fn admit(load: PoolLoad, program: ProgramStatus, jitter: f64) -> Result<(), Duration> {
+    if program.under_way || load.slots == 0 {
         return Ok(());
     }
-    let limit = (NEW_LIMIT - RANK_STEP * f64::from(standing.rank)).max(LEAST_LIMIT);
-    let used = load.calls as f64 / load.slots as f64;
-    let slow = load.stretch >= MOST_STRETCH && used >= IDLE_SHARE;
-    if used < limit && !slow {
+    let limit = (NEW_PROGRAM_LIMIT - RANK_STEP * f64::from(program.rank)).max(MIN_LIMIT);
+    let utilisation = load.calls as f64 / load.slots as f64;
+    let is_slow = load.slowdown >= MAX_SLOWDOWN && utilisation >= IDLE_UTILISATION;
+    if utilisation < limit && !is_slow {
         return Ok(());
     }
-    Err(RETRY_LEAST + RETRY_SPREAD.mul_f64(spread.clamp(0.0, 1.0)))
+    Err(RETRY_MIN + RETRY_JITTER.mul_f64(jitter.clamp(0.0, 1.0)))
 }
--- a/crates/core/src/policy/registry/endpoint.rs
+++ b/crates/core/src/policy/registry/endpoint.rs
@@ -24,36 +24,36 @@
     /// True once it takes no new work.
     pub leaving: bool,
     /// End of its lease.
-    pub until: Time,
+    pub lease_end: Time,
     /// Failures and slow start.
     pub health: Health,
     pub(super) load: LoadTracker,
     pub(super) hints: CacheHints,
-    pub(super) alone: u32,
+    pub(super) isolated_calls: u32,
 }
 
 impl Endpoint {
-    /// Makes an endpoint from its first announcement; the lease is cut to `longest`.
-    pub(super) fn announced(now: Time, news: &Announcement, longest: Duration) -> Endpoint {
+    /// Makes an endpoint from its first announcement; the lease is cut to `max_lease`.
+    pub(super) fn new(now: Time, announcement: &Announcement, max_lease: Duration) -> Endpoint {
         let mut endpoint = Endpoint {
-            name: news.name.clone(),
-            incarnation: news.incarnation,
-            kind: news.kind.clone(),
-            address: news.address.clone(),
-            domain: news.domain,
-            region: news.region,
-            fencing: news.fencing,
-            leaving: news.leaving,
-            until: now + news.lease.min(longest),
-            health: Health::joined(now),
+            name: announcement.name.clone(),
+            incarnation: announcement.incarnation,
+            kind: announcement.kind.clone(),
+            address: announcement.address.clone(),
+            domain: announcement.domain,
+            region: announcement.region,
+            fencing: announcement.fencing,
+            leaving: announcement.leaving,
+            lease_end: now + announcement.lease.min(max_lease),
+            health: Health::new(now),
             load: LoadTracker::default(),
             hints: CacheHints::default(),
-            alone: 0,
+            isolated_calls: 0,
         };
-        if let Some(load) = news.load {
-            endpoint.load.reported(now, load);
+        if let Some(load) = announcement.load {
+            endpoint.load.record_report(now, load);
         }
-        endpoint.hints.fold(now, &news.cache_events);
+        endpoint.hints.apply_events(now, &announcement.cache_events);
         endpoint
     }
 
@@ -69,6 +69,6 @@
 
     /// Returns true while a crash suspect runs here and nothing else may.
     pub fn isolated(&self) -> bool {
-        self.alone > 0
+        self.isolated_calls > 0
     }
 }
--- a/crates/core/src/policy/registry/hints.rs
+++ b/crates/core/src/policy/registry/hints.rs
@@ -20,8 +20,8 @@
 /// Cache events of one engine, folded.
 #[derive(Clone, Debug, Default)]
 pub struct CacheHints {
-    held: HashMap<u64, CacheHint>,
-    next: u64,
+    hints: HashMap<u64, CacheHint>,
+    next_sequence: u64,
 }
 
 impl CacheHints {
@@ -29,33 +29,33 @@
     ///
     /// After a gap every hint is dropped: a lost eviction would send a program to memory that is
     /// gone, while a lost fill only costs a hint, and the program's own record still stands.
-    pub fn fold(&mut self, now: Time, run: &CacheEvents) {
-        if run.events.is_empty() {
+    pub fn apply_events(&mut self, now: Time, batch: &CacheEvents) {
+        if batch.events.is_empty() {
             return;
         }
-        let end = run.first.saturating_add(run.events.len() as u64);
-        if end <= self.next {
+        let end = batch.first.saturating_add(batch.events.len() as u64);
+        if end <= self.next_sequence {
             return;
         }
-        if run.first > self.next {
-            self.held.clear();
+        if batch.first > self.next_sequence {
+            self.hints.clear();
         }
-        let known = self.next.saturating_sub(run.first) as usize;
-        for event in run.events.iter().skip(known) {
-            self.apply(now - run.age, *event);
+        let known = self.next_sequence.saturating_sub(batch.first) as usize;
+        for event in batch.events.iter().skip(known) {
+            self.apply(now - batch.age, *event);
         }
-        self.next = end;
+        self.next_sequence = end;
     }
 
     /// Notes what the engine is expected to hold of a prefix from now on.
-    pub fn expect(&mut self, now: Time, prefix: u64, tokens: u64) {
-        self.make_room(prefix);
-        self.held.insert(prefix, CacheHint { tokens, at: now });
+    pub fn record_expected(&mut self, now: Time, prefix: u64, tokens: u64) {
+        self.evict_if_full(prefix);
+        self.hints.insert(prefix, CacheHint { tokens, at: now });
     }
 
     /// Returns what the engine was last heard to hold of `program`.
     pub fn get(&self, program: u64) -> Option<CacheHint> {
-        self.held.get(&program).copied()
+        self.hints.get(&program).copied()
     }
 
     fn apply(&mut self, at: Time, event: CacheEvent) {
@@ -64,17 +64,17 @@
             // Kept as a hint of nothing: it has to outweigh the program's older record.
             CacheEvent::Evicted { program } => (program, 0),
         };
-        self.make_room(program);
-        self.held.insert(program, CacheHint { tokens, at });
+        self.evict_if_full(program);
+        self.hints.insert(program, CacheHint { tokens, at });
     }
 
-    fn make_room(&mut self, program: u64) {
-        if self.held.len() < MAX_HINTS || self.held.contains_key(&program) {
+    fn evict_if_full(&mut self, program: u64) {
+        if self.hints.len() < MAX_HINTS || self.hints.contains_key(&program) {
             return;
         }
-        let oldest = self.held.iter().min_by_key(|(program, hint)| (hint.at, **program));
+        let oldest = self.hints.iter().min_by_key(|(program, hint)| (hint.at, **program));
         if let Some((&oldest, _)) = oldest {
-            self.held.remove(&oldest);
+            self.hints.remove(&oldest);
         }
     }
 }
--- a/crates/core/src/policy/registry/load.rs
+++ b/crates/core/src/policy/registry/load.rs
@@ -22,7 +22,7 @@
     /// Calls of this process among them.
     pub own: u32,
     /// Own prompt tokens sent there and not yet filled.
-    pub fill_tokens: u64,
+    pub prefill_tokens: u64,
     /// Prefix tokens held, as last reported.
     pub cached_tokens: u64,
     /// Age of the last report; the longest there is before the first.
@@ -30,7 +30,7 @@
     /// True when no report is recent enough to be trusted.
     pub stale: bool,
     /// Mean seconds from dispatch to last byte, if any call finished yet.
-    pub service: Option<f64>,
+    pub service_time: Option<f64>,
 }
 
 impl LoadView {
@@ -51,7 +51,7 @@
     total: i64,
     cached: u64,
     at: Time,
-    heard: Time,
+    received: Time,
 }
 
 /// Keeps one endpoint's load between reports.
@@ -60,43 +60,43 @@
     report: Option<Report>,
     changes: VecDeque<Change>,
     own: u32,
-    fill: u64,
-    service: Option<f64>,
+    prefill_tokens: u64,
+    service_time: Option<f64>,
 }
 
 impl LoadTracker {
     /// Takes a report in and forgets the own changes that it already contains.
-    pub fn reported(&mut self, now: Time, load: LoadReport) {
+    pub fn record_report(&mut self, now: Time, load: LoadReport) {
         let at = now - load.age;
         if self.report.is_some_and(|old| old.at > at) {
             return;
         }
         let total = i64::from(load.running) + i64::from(load.waiting);
-        self.report = Some(Report { total, cached: load.cached_tokens, at, heard: now });
+        self.report = Some(Report { total, cached: load.cached_tokens, at, received: now });
         while self.changes.front().is_some_and(|change| change.at <= at) {
             self.changes.pop_front();
         }
     }
 
     /// Counts a call sent.
-    pub fn sent(&mut self, now: Time, fill: u64) {
+    pub fn record_sent(&mut self, now: Time, prefill_tokens: u64) {
         self.own += 1;
-        self.fill += fill;
+        self.prefill_tokens += prefill_tokens;
         self.push(Change { at: now, delta: 1 });
     }
 
     /// Counts a call's prompt as filled.
-    pub fn filled(&mut self, fill: u64) {
-        self.fill = self.fill.saturating_sub(fill);
+    pub fn record_prefilled(&mut self, prefill_tokens: u64) {
+        self.prefill_tokens = self.prefill_tokens.saturating_sub(prefill_tokens);
     }
 
-    /// Counts a call as over, `service` seconds after it was sent when it ran to its end.
-    pub fn over(&mut self, now: Time, service: Option<f64>) {
+    /// Counts a call as over, `service_time` seconds after it was sent when it ran to its end.
+    pub fn record_finished(&mut self, now: Time, service_time: Option<f64>) {
         self.own = self.own.saturating_sub(1);
         self.push(Change { at: now, delta: -1 });
-        if let Some(sample) = service {
-            let mean = self.service.unwrap_or(sample);
-            self.service = Some(mean + SERVICE_GAIN * (sample - mean));
+        if let Some(sample) = service_time {
+            let mean = self.service_time.unwrap_or(sample);
+            self.service_time = Some(mean + SERVICE_GAIN * (sample - mean));
         }
     }
 
@@ -111,13 +111,13 @@
         LoadView {
             total: u32::try_from(total.max(0)).unwrap_or(u32::MAX).max(self.own),
             own: self.own,
-            fill_tokens: self.fill,
+            prefill_tokens: self.prefill_tokens,
             cached_tokens: self.report.map_or(0, |report| report.cached),
             age: self.report.map_or(Duration::MAX, |report| now.since(report.at)),
             stale: self.report.is_none_or(|report| {
-                now.since(report.at) > STALE_AFTER || now.since(report.heard) > STALE_AFTER
+                now.since(report.at) > STALE_AFTER || now.since(report.received) > STALE_AFTER
             }),
-            service: self.service,
+            service_time: self.service_time,
         }
     }
 
--- a/crates/core/src/policy/registry/mod.rs
+++ b/crates/core/src/policy/registry/mod.rs
@@ -7,9 +7,9 @@
 mod announce;
 mod endpoint;
 mod hints;
-mod holders;
 mod home;
 mod load;
+mod prefix_index;
 mod renewal;
 mod settings;
 mod summary;
@@ -25,9 +25,9 @@
 pub use load::{LoadTracker, LoadView, STALE_AFTER};
 pub use renewal::Renewal;
 pub use settings::{RegistrySafeguards, RegistrySettings};
-pub use summary::{RosterDiffers, SummaryNumber};
+pub use summary::{RosterMismatch, SummaryNumber};
 
-use self::holders::Holders;
+use self::prefix_index::PrefixIndex;
 use super::outlier::HealthSettings;
 use crate::prelude::*;
 
@@ -48,7 +48,7 @@
     /// The incarnation said that it leaves.
     Left,
     /// The name is held by an endpoint at another address, whose lease runs.
-    Taken,
+    AddressTaken,
 }
 
 /// What an announcement did.
@@ -75,9 +75,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DispatchLoad {
     /// Prompt tokens to fill, the reused prefix not counted.
-    pub fill_tokens: u64,
+    pub prefill_tokens: u64,
     /// True when nothing else may run beside it.
-    pub alone: bool,
+    pub isolated: bool,
 }
 
 #[derive(Clone, Debug)]
@@ -85,12 +85,12 @@
     endpoint: EndpointKey,
     load: DispatchLoad,
     at: Time,
-    filled: bool,
+    prefilled: bool,
 }
 
 /// What is remembered of an instance name, also after the endpoint is gone.
 #[derive(Clone, Debug)]
-struct Seen {
+struct LastSeen {
     incarnation: u64,
     sequence: u64,
     left: bool,
@@ -104,12 +104,12 @@
     settings: RegistrySettings,
     endpoints: SlotMap<EndpointKey, Endpoint>,
     dispatches: SlotMap<DispatchKey, Dispatch>,
-    seen: HashMap<EndpointName, Seen>,
+    seen: HashMap<EndpointName, LastSeen>,
     models: HashMap<ModelId, Vec<EndpointKey>>,
     services: HashMap<CompactString, Vec<EndpointKey>>,
     rosters: HashMap<VmId, Vec<EndpointKey>>,
-    heard: HashMap<VmId, SummaryNumber>,
-    holders: Holders,
+    last_summaries: HashMap<VmId, SummaryNumber>,
+    prefixes: PrefixIndex,
 }
 
 impl Registry {
@@ -119,22 +119,22 @@
     }
 
     /// Takes an announcement in, from the endpoint itself or from its home VM.
-    pub fn announce(&mut self, now: Time, news: Announcement) -> Announced {
-        if let Some(reason) = self.refuses(now, &news) {
+    pub fn announce(&mut self, now: Time, announcement: Announcement) -> Announced {
+        if let Some(reason) = self.ignore_reason(now, &announcement) {
             return Announced::Ignored(reason);
         }
-        let seen = self.seen.get(&news.name);
+        let seen = self.seen.get(&announcement.name);
         let old = seen.and_then(|seen| seen.key).filter(|key| self.endpoints.contains_key(*key));
-        let same = seen.is_some_and(|seen| seen.incarnation == news.incarnation);
+        let same = seen.is_some_and(|seen| seen.incarnation == announcement.incarnation);
         let result = match old {
-            Some(key) if same => self.renew(now, key, &news),
+            Some(key) if same => self.renew(now, key, &announcement),
             Some(old) => {
                 self.remove(old);
-                Announced::Replaced { old, new: self.insert(now, &news) }
+                Announced::Replaced { old, new: self.insert(now, &announcement) }
             }
-            None => Announced::New(self.insert(now, &news)),
+            None => Announced::New(self.insert(now, &announcement)),
         };
-        self.remember(now, &news, result);
+        self.record_seen(now, &announcement, result);
         result
     }
 
@@ -142,7 +142,7 @@
     ///
     /// Works for names not known here too: the news of leaving may overtake the announcement.
     pub fn leave(&mut self, now: Time, name: &str, incarnation: u64) -> Option<EndpointKey> {
-        let seen = self.seen.entry(name.into()).or_insert(Seen {
+        let seen = self.seen.entry(name.into()).or_insert(LastSeen {
             incarnation,
             sequence: 0,
             left: true,
@@ -163,24 +163,24 @@
 
     /// Removes the endpoints whose lease is over, and forgets old names.
     pub fn expire(&mut self, now: Time) -> Vec<EndpointKey> {
-        let over =
-            |(key, endpoint): (EndpointKey, &Endpoint)| (endpoint.until <= now).then_some(key);
-        let keys: Vec<EndpointKey> = self.endpoints.iter().filter_map(over).collect();
+        let expired =
+            |(key, endpoint): (EndpointKey, &Endpoint)| (endpoint.lease_end <= now).then_some(key);
+        let keys: Vec<EndpointKey> = self.endpoints.iter().filter_map(expired).collect();
         for key in &keys {
             self.remove(*key);
         }
-        let memory = self.settings.memory;
+        let seen_ttl = self.settings.seen_ttl;
         let endpoints = &self.endpoints;
         self.seen.retain(|_, seen| {
-            seen.key.is_some_and(|key| endpoints.contains_key(key)) || now.since(seen.at) < memory
+            seen.key.is_some_and(|key| endpoints.contains_key(key)) || now.since(seen.at) < seen_ttl
         });
         keys
     }
 
     /// Takes the load that an endpoint told with an answer.
-    pub fn reported(&mut self, now: Time, key: EndpointKey, load: LoadReport) {
+    pub fn load_reported(&mut self, now: Time, key: EndpointKey, load: LoadReport) {
         if let Some(endpoint) = self.endpoints.get_mut(key) {
-            endpoint.load.reported(now, load);
+            endpoint.load.record_report(now, load);
         }
     }
 
@@ -188,73 +188,73 @@
     /// was sent there. Later cache events of the engine overrule it.
     pub fn expect_prefix(&mut self, now: Time, key: EndpointKey, prefix: u64, tokens: u64) {
         if let Some(endpoint) = self.endpoints.get_mut(key) {
-            endpoint.hints.expect(now, prefix, tokens);
-            self.holders.note(prefix, key);
+            endpoint.hints.record_expected(now, prefix, tokens);
+            self.prefixes.insert(prefix, key);
         }
     }
 
     /// Returns endpoints that are expected to hold a prefix, latest first. Each must still pass
-    /// [`Registry::open`].
-    pub fn holders(&self, prefix: u64) -> &[EndpointKey] {
-        self.holders.of(prefix)
+    /// [`Registry::is_available`].
+    pub fn prefix_holders(&self, prefix: u64) -> &[EndpointKey] {
+        self.prefixes.endpoints(prefix)
     }
 
     /// Counts a call as sent; the key closes it later.
     pub fn dispatched(&mut self, now: Time, key: EndpointKey, load: DispatchLoad) -> DispatchKey {
         if let Some(endpoint) = self.endpoints.get_mut(key) {
-            endpoint.load.sent(now, load.fill_tokens);
-            endpoint.alone += u32::from(load.alone);
+            endpoint.load.record_sent(now, load.prefill_tokens);
+            endpoint.isolated_calls += u32::from(load.isolated);
         }
-        self.dispatches.insert(Dispatch { endpoint: key, load, at: now, filled: false })
+        self.dispatches.insert(Dispatch { endpoint: key, load, at: now, prefilled: false })
     }
 
     /// Counts a call's prompt as filled: its first token came.
-    pub fn filled(&mut self, dispatch: DispatchKey) {
+    pub fn prefilled(&mut self, dispatch: DispatchKey) {
         let Some(call) = self.dispatches.get_mut(dispatch) else { return };
-        if std::mem::replace(&mut call.filled, true) {
+        if std::mem::replace(&mut call.prefilled, true) {
             return;
         }
         if let Some(endpoint) = self.endpoints.get_mut(call.endpoint) {
-            endpoint.load.filled(call.load.fill_tokens);
+            endpoint.load.record_prefilled(call.load.prefill_tokens);
         }
     }
 
     /// Counts a call as answered. Closing one twice changes nothing.
     pub fn finished(&mut self, now: Time, dispatch: DispatchKey) {
-        self.close(now, dispatch, |endpoint, _, service| {
-            endpoint.load.over(now, Some(service));
-            endpoint.health.succeeded();
+        self.close(now, dispatch, |endpoint, _, service_time| {
+            endpoint.load.record_finished(now, Some(service_time));
+            endpoint.health.record_success();
         });
     }
 
     /// Counts a call as failed by its endpoint, which may eject it.
     pub fn failed(&mut self, now: Time, dispatch: DispatchKey) {
         self.close(now, dispatch, |endpoint, settings, _| {
-            endpoint.load.over(now, None);
-            endpoint.health.failed(now, settings);
+            endpoint.load.record_finished(now, None);
+            endpoint.health.record_failure(now, settings);
         });
     }
 
     /// Counts a call whose answer did not come in the usual time, which may eject its endpoint. The
     /// call itself is closed apart.
-    pub fn overdue(&mut self, now: Time, key: EndpointKey) {
+    pub fn timed_out(&mut self, now: Time, key: EndpointKey) {
         let settings = &self.settings.health;
         if let Some(endpoint) = self.endpoints.get_mut(key) {
-            endpoint.health.failed(now, settings);
+            endpoint.health.record_failure(now, settings);
         }
     }
 
     /// Counts a call as given up by the caller, which says nothing about the endpoint.
     pub fn cancelled(&mut self, now: Time, dispatch: DispatchKey) {
-        self.close(now, dispatch, |endpoint, _, _| endpoint.load.over(now, None));
+        self.close(now, dispatch, |endpoint, _, _| endpoint.load.record_finished(now, None));
     }
 
-    /// Returns the endpoints that announced a model. Each must still pass [`Registry::open`].
+    /// Returns the endpoints that announced a model. Each must still pass [`Registry::is_available`].
     pub fn candidates(&self, model: &ModelId) -> &[EndpointKey] {
         self.models.get(model).map_or(&[], Vec::as_slice)
     }
 
-    /// Returns the endpoints of a plain service. Each must still pass [`Registry::open`].
+    /// Returns the endpoints of a plain service. Each must still pass [`Registry::is_available`].
     pub fn services(&self, name: &str) -> &[EndpointKey] {
         self.services.get(name).map_or(&[], Vec::as_slice)
     }
@@ -263,9 +263,9 @@
     ///
     /// The lease is checked here and not only in [`Registry::expire`], because a late timer would
     /// otherwise send work to an endpoint whose leaving was never heard.
-    pub fn open(&self, now: Time, key: EndpointKey) -> bool {
+    pub fn is_available(&self, now: Time, key: EndpointKey) -> bool {
         let Some(endpoint) = self.endpoints.get(key) else { return false };
-        let leased = endpoint.until > now || !self.settings.safeguards.lease;
+        let leased = endpoint.lease_end > now || !self.settings.safeguards.lease;
         leased && !endpoint.leaving
     }
 
@@ -293,22 +293,22 @@
     ///
     /// Datagrams and relays repeat and reorder. Without this an old announcement that arrives late
     /// revives an endpoint that left or restarted, and calls go to a process that is gone.
-    fn refuses(&self, now: Time, news: &Announcement) -> Option<Ignored> {
-        let seen = self.seen.get(&news.name)?;
+    fn ignore_reason(&self, now: Time, announcement: &Announcement) -> Option<Ignored> {
+        let seen = self.seen.get(&announcement.name)?;
         let guards = self.settings.safeguards;
-        if guards.address && self.is_held_elsewhere(now, seen, news) {
-            return Some(Ignored::Taken);
+        if guards.address && self.address_conflicts(now, seen, announcement) {
+            return Some(Ignored::AddressTaken);
         }
-        if guards.replay && news.incarnation < seen.incarnation {
+        if guards.replay && announcement.incarnation < seen.incarnation {
             return Some(Ignored::OldIncarnation);
         }
-        if news.incarnation > seen.incarnation {
+        if announcement.incarnation > seen.incarnation {
             return None;
         }
         if seen.left && seen.key.is_none_or(|key| !self.endpoints.contains_key(key)) {
             return guards.sticky.then_some(Ignored::Left);
         }
-        (guards.replay && news.sequence <= seen.sequence).then_some(Ignored::Replay)
+        (guards.replay && announcement.sequence <= seen.sequence).then_some(Ignored::Replay)
     }
 
     /// Tells whether an endpoint that is up elsewhere has the name.
@@ -317,49 +317,51 @@
     /// incarnation, and get that one's calls with their histories. While the other's lease runs
     /// its address stays. An endpoint that restarts at another address waits out its own last
     /// lease, or says that it leaves before it stops.
-    fn is_held_elsewhere(&self, now: Time, seen: &Seen, news: &Announcement) -> bool {
+    fn address_conflicts(&self, now: Time, seen: &LastSeen, announcement: &Announcement) -> bool {
         let held = seen.key.and_then(|key| self.endpoints.get(key));
-        held.is_some_and(|held| held.until > now && !held.leaving && held.address != news.address)
+        held.is_some_and(|held| {
+            held.lease_end > now && !held.leaving && held.address != announcement.address
+        })
     }
 
-    fn renew(&mut self, now: Time, key: EndpointKey, news: &Announcement) -> Announced {
-        let until = now + news.lease.min(self.settings.max_lease);
+    fn renew(&mut self, now: Time, key: EndpointKey, announcement: &Announcement) -> Announced {
+        let lease_end = now + announcement.lease.min(self.settings.max_lease);
         let sticky = self.settings.safeguards.sticky;
-        self.reindex(key, &news.kind);
+        self.reindex(key, &announcement.kind);
         let endpoint = &mut self.endpoints[key];
-        endpoint.kind = news.kind.clone();
-        endpoint.address = news.address.clone();
-        endpoint.until = until;
-        endpoint.leaving = news.leaving || (sticky && endpoint.leaving);
-        if let Some(load) = news.load {
-            endpoint.load.reported(now, load);
+        endpoint.kind = announcement.kind.clone();
+        endpoint.address = announcement.address.clone();
+        endpoint.lease_end = lease_end;
+        endpoint.leaving = announcement.leaving || (sticky && endpoint.leaving);
+        if let Some(load) = announcement.load {
+            endpoint.load.record_report(now, load);
         }
-        endpoint.hints.fold(now, &news.cache_events);
+        endpoint.hints.apply_events(now, &announcement.cache_events);
         if endpoint.leaving { Announced::Leaving(key) } else { Announced::Renewed(key) }
     }
 
-    fn insert(&mut self, now: Time, news: &Announcement) -> EndpointKey {
-        let longest = self.settings.max_lease;
-        let key = self.endpoints.insert(Endpoint::announced(now, news, longest));
-        self.index(key, &news.kind);
+    fn insert(&mut self, now: Time, announcement: &Announcement) -> EndpointKey {
+        let max_lease = self.settings.max_lease;
+        let key = self.endpoints.insert(Endpoint::new(now, announcement, max_lease));
+        self.index(key, &announcement.kind);
         key
     }
 
-    fn remember(&mut self, now: Time, news: &Announcement, result: Announced) {
+    fn record_seen(&mut self, now: Time, announcement: &Announcement, result: Announced) {
         let key = match result {
             Announced::New(key) | Announced::Renewed(key) | Announced::Leaving(key) => key,
             Announced::Replaced { new, .. } => new,
             Announced::Ignored(_) => return,
         };
         let left = self.endpoints.get(key).is_some_and(|endpoint| endpoint.leaving);
-        let seen = Seen {
-            incarnation: news.incarnation,
-            sequence: news.sequence,
+        let seen = LastSeen {
+            incarnation: announcement.incarnation,
+            sequence: announcement.sequence,
             left,
             key: Some(key),
             at: now,
         };
-        self.seen.insert(news.name.clone(), seen);
+        self.seen.insert(announcement.name.clone(), seen);
     }
 
     fn remove(&mut self, key: EndpointKey) {
@@ -413,10 +415,10 @@
         dispatch: DispatchKey,
         settle: impl FnOnce(&mut Endpoint, &HealthSettings, f64),
     ) {
-        self.filled(dispatch);
+        self.prefilled(dispatch);
         let Some(call) = self.dispatches.remove(dispatch) else { return };
         let Some(endpoint) = self.endpoints.get_mut(call.endpoint) else { return };
-        endpoint.alone -= u32::from(call.load.alone);
+        endpoint.isolated_calls -= u32::from(call.load.isolated);
         settle(endpoint, &self.settings.health, now.since(call.at).as_secs_f64());
     }
 }
--- a/crates/core/src/policy/registry/holders.rs
+++ b/crates/core/src/policy/registry/prefix_index.rs
@@ -10,42 +10,42 @@
 
 /// Endpoints remembered for one prefix, the latest first. A prefix that more of them hold is found
 /// in any draw.
-const MOST_HOLDERS: usize = 8;
+const MAX_ENDPOINTS: usize = 8;
 /// Prefixes remembered; the oldest go first. Each turn adds one: some minutes of one process's turns.
-const MOST_PREFIXES: usize = 32_768;
+const MAX_PREFIXES: usize = 32_768;
 
 /// Endpoints by the prefixes that they are expected to hold.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Holders {
+pub(super) struct PrefixIndex {
     by_prefix: HashMap<u64, Vec<EndpointKey>>,
-    order: VecDeque<u64>,
+    insertion_order: VecDeque<u64>,
 }
 
-impl Holders {
+impl PrefixIndex {
     /// Notes that an endpoint holds a prefix.
-    pub(super) fn note(&mut self, prefix: u64, key: EndpointKey) {
+    pub(super) fn insert(&mut self, prefix: u64, key: EndpointKey) {
         let Some(keys) = self.by_prefix.get_mut(&prefix) else {
-            self.make_room();
+            self.evict_if_full();
             self.by_prefix.insert(prefix, vec![key]);
-            self.order.push_back(prefix);
+            self.insertion_order.push_back(prefix);
             return;
         };
         keys.retain(|known| *known != key);
         keys.insert(0, key);
-        keys.truncate(MOST_HOLDERS);
+        keys.truncate(MAX_ENDPOINTS);
     }
 
     /// Returns the endpoints that held a prefix when it was last noted, latest first. Some may be
     /// gone, or have evicted it since.
-    pub(super) fn of(&self, prefix: u64) -> &[EndpointKey] {
+    pub(super) fn endpoints(&self, prefix: u64) -> &[EndpointKey] {
         self.by_prefix.get(&prefix).map_or(&[], Vec::as_slice)
     }
 
-    fn make_room(&mut self) {
-        if self.order.len() < MOST_PREFIXES {
+    fn evict_if_full(&mut self) {
+        if self.insertion_order.len() < MAX_PREFIXES {
             return;
         }
-        if let Some(oldest) = self.order.pop_front() {
+        if let Some(oldest) = self.insertion_order.pop_front() {
             self.by_prefix.remove(&oldest);
         }
     }
--- a/crates/core/src/policy/registry/renewal.rs
+++ b/crates/core/src/policy/registry/renewal.rs
@@ -3,7 +3,7 @@
 use crate::prelude::*;
 
 /// Pause between two renewals of all leases.
-const PAUSE: Duration = Duration::from_secs(10);
+const INTERVAL: Duration = Duration::from_secs(10);
 
 /// What the registry was last told under.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -21,12 +21,14 @@
         match (in_force, self.last) {
             (None, _) => false,
             (Some(_), None) => true,
-            (Some(revision), Some((told, at))) => revision != told || now.since(at) > PAUSE,
+            (Some(revision), Some((announced, at))) => {
+                revision != announced || now.since(at) > INTERVAL
+            }
         }
     }
 
     /// Notes that the registry was told.
-    pub fn done(&mut self, now: Time, revision: RevisionNumber) {
+    pub fn record(&mut self, now: Time, revision: RevisionNumber) {
         self.last = Some((revision, now));
     }
 
@@ -36,7 +38,7 @@
     }
 
     /// Makes a renewal due, since there is news.
-    pub fn hurry(&mut self) {
+    pub fn make_due(&mut self) {
         self.last = None;
     }
 }
--- a/crates/core/src/policy/registry/settings.rs
+++ b/crates/core/src/policy/registry/settings.rs
@@ -9,7 +9,7 @@
     /// Longest lease granted, whatever an endpoint asks for.
     pub max_lease: Duration,
     /// How long the incarnation of a gone endpoint is remembered against replays.
-    pub memory: Duration,
+    pub seen_ttl: Duration,
     /// When an endpoint is ejected and how it comes back.
     pub health: HealthSettings,
     /// Safeguards that a mutation test can switch off.
@@ -21,7 +21,7 @@
     fn default() -> Self {
         RegistrySettings {
             max_lease: Duration::from_secs(10),
-            memory: Duration::from_secs(3600),
+            seen_ttl: Duration::from_secs(3600),
             health: HealthSettings::default(),
             safeguards: RegistrySafeguards::default(),
         }
--- a/crates/core/src/policy/registry/summary.rs
+++ b/crates/core/src/policy/registry/summary.rs
@@ -10,7 +10,7 @@
 use crate::wire::endpoint::HomeSummary;
 
 /// Milliseconds in one unit of leases and ages.
-const TENTH: u64 = 100;
+const TENTH_MS: u64 = 100;
 
 /// Number of a home's summary: a later one is greater, across restarts of the home too.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
@@ -24,7 +24,7 @@
 /// The receiver knows other endpoints of this home than the sender; it must fetch the roster.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the endpoints of {home} differ from those known here; fetch its roster")]
-pub struct RosterDiffers {
+pub struct RosterMismatch {
     /// The home VM that has the roster.
     pub home: VmId,
 }
@@ -62,7 +62,7 @@
         };
         for endpoint in self.roster(vm).iter().filter_map(|key| self.endpoints.get(*key)) {
             let load = endpoint.load(now);
-            let left = endpoint.until.since(now).as_millis() as u64 / TENTH;
+            let left = endpoint.lease_end.since(now).as_millis() as u64 / TENTH_MS;
             // Rounded to zero, a lease about to be renewed would read as leaving for good.
             summary.leases.push(if endpoint.leaving { 0 } else { (left as u32).max(1) });
             summary.calls.push(load.total);
@@ -78,30 +78,37 @@
     /// # Errors
     /// Fails without any change when the rosters differ. Applied all the same, the columns would
     /// renew the lease of the wrong endpoint.
-    pub fn take_summary(&mut self, now: Time, summary: &HomeSummary) -> Result<(), RosterDiffers> {
+    pub fn apply_summary(
+        &mut self,
+        now: Time,
+        summary: &HomeSummary,
+    ) -> Result<(), RosterMismatch> {
         let vm = VmId(summary.home);
         let roster = self.roster(vm).to_vec();
         let columns = [summary.leases.len(), summary.calls.len(), summary.cached.len()];
         if summary.roster != self.roster_hash(vm) || columns != [roster.len(); 3] {
-            return Err(RosterDiffers { home: vm });
+            return Err(RosterMismatch { home: vm });
         }
         let number = SummaryNumber { incarnation: summary.incarnation, sequence: summary.sequence };
         // A summary that was held up on its way would renew leases that have since run out.
-        if self.heard.get(&vm).is_some_and(|heard| *heard >= number) {
+        if self.last_summaries.get(&vm).is_some_and(|last| *last >= number) {
             return Ok(());
         }
-        self.heard.insert(vm, number);
-        let age = Duration::from_millis(u64::from(summary.age) * TENTH);
-        let most = self.settings.max_lease;
+        self.last_summaries.insert(vm, number);
+        let age = Duration::from_millis(u64::from(summary.age) * TENTH_MS);
+        let max_lease = self.settings.max_lease;
         for (index, key) in roster.iter().enumerate() {
             let Some(endpoint) = self.endpoints.get_mut(*key) else { continue };
-            let lease = Duration::from_millis(u64::from(summary.leases[index]) * TENTH);
+            let lease = Duration::from_millis(u64::from(summary.leases[index]) * TENTH_MS);
             endpoint.leaving |= lease.is_zero();
-            endpoint.until = endpoint.until.max(now + lease.min(most).saturating_sub(age));
+            endpoint.lease_end =
+                endpoint.lease_end.max(now + lease.min(max_lease).saturating_sub(age));
             let cached_tokens =
                 u64::from(summary.cached[index]) * endpoint.kind.cache_tokens() / 100;
             let running = summary.calls[index];
-            endpoint.load.reported(now, LoadReport { running, waiting: 0, cached_tokens, age });
+            endpoint
+                .load
+                .record_report(now, LoadReport { running, waiting: 0, cached_tokens, age });
             let name = endpoint.name.clone();
             if let Some(seen) = self.seen.get_mut(&name) {
                 seen.left |= lease.is_zero();
--- a/crates/core/src/policy/line.rs
+++ b/crates/core/src/policy/regression.rs
@@ -2,13 +2,13 @@
 
 /// Weight that older observations keep with each new one: a hundred of them, some ten seconds of one
 /// VM's share of a pool, so that what changed is followed.
-const KEPT: f64 = 0.99;
+const DECAY: f64 = 0.99;
 
 /// A straight line.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Line {
+pub struct FittedLine {
     /// Value at zero.
-    pub start: f64,
+    pub intercept: f64,
     /// What each unit adds.
     pub slope: f64,
 }
@@ -24,7 +24,7 @@
 
 /// Least squares over observations.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct LineFit {
+pub struct LinearRegression {
     weight: f64,
     x: f64,
     y: f64,
@@ -32,14 +32,14 @@
     xy: f64,
 }
 
-impl LineFit {
+impl LinearRegression {
     /// Takes an observation. One that is no number changes nothing: it would stay in the sums for
     /// good.
     pub fn observe(&mut self, x: f64, y: f64) {
         if !x.is_finite() || !y.is_finite() {
             return;
         }
-        let add = |sum: &mut f64, value: f64| *sum = KEPT * *sum + value;
+        let add = |sum: &mut f64, value: f64| *sum = DECAY * *sum + value;
         add(&mut self.weight, 1.0);
         add(&mut self.x, x);
         add(&mut self.y, y);
@@ -52,14 +52,14 @@
         (self.weight > 0.0).then(|| Point { x: self.x / self.weight, y: self.y / self.weight })
     }
 
-    /// Returns the line, its slope held between zero and `most`.
-    pub fn line(&self, prior: Prior, most: f64) -> Option<Line> {
+    /// Returns the line, its slope held between zero and `max_slope`.
+    pub fn line(&self, prior: Prior, max_slope: f64) -> Option<FittedLine> {
         let mean = self.mean()?;
         let spread = self.xx - self.weight * mean.x * mean.x;
-        let common = self.xy - self.weight * mean.x * mean.y;
-        let slope = (common + prior.weight * prior.slope) / (spread + prior.weight);
-        let slope = if slope.is_finite() { slope.clamp(0.0, most.max(0.0)) } else { 0.0 };
-        Some(Line { start: mean.y - slope * mean.x, slope })
+        let covariance = self.xy - self.weight * mean.x * mean.y;
+        let slope = (covariance + prior.weight * prior.slope) / (spread + prior.weight);
+        let slope = if slope.is_finite() { slope.clamp(0.0, max_slope.max(0.0)) } else { 0.0 };
+        Some(FittedLine { intercept: mean.y - slope * mean.x, slope })
     }
 }
 
--- a/crates/core/src/policy/retain.rs
+++ b/crates/core/src/policy/retention.rs
@@ -9,35 +9,35 @@
 use crate::prelude::*;
 
 /// Shortest and longest pause told apart, and the step between two buckets.
-const FIRST_BUCKET: f64 = 0.05;
+const MIN_PAUSE: f64 = 0.05;
 const BUCKET_FACTOR: f64 = 1.5;
-const BUCKETS: usize = 32;
+const BUCKET_COUNT: usize = 32;
 
 /// Samples after which older ones count half, so that a tool that changed is learnt anew.
 const HALVE_AT: f64 = 200.0;
 
 /// Samples below which a tool's own figures are mixed with those of all tools.
-const ENOUGH: f64 = 5.0;
+const MIN_SAMPLES: f64 = 5.0;
 
 /// Tools remembered; names come from callers, so that their count must be bounded.
 const MAX_TOOLS: usize = 1024;
 
 /// Pause lengths of one tool, in logarithmic buckets.
 #[derive(Clone, Debug)]
-pub struct Pauses {
-    buckets: [f32; BUCKETS],
+pub struct PauseHistogram {
+    buckets: [f32; BUCKET_COUNT],
     total: f64,
 }
 
-impl Default for Pauses {
+impl Default for PauseHistogram {
     fn default() -> Self {
-        Pauses { buckets: [0.0; BUCKETS], total: 0.0 }
+        PauseHistogram { buckets: [0.0; BUCKET_COUNT], total: 0.0 }
     }
 }
 
-impl Pauses {
+impl PauseHistogram {
     /// Counts a pause.
-    pub fn learn(&mut self, pause: Duration) {
+    pub fn record(&mut self, pause: Duration) {
         if self.total >= HALVE_AT {
             self.buckets.iter_mut().for_each(|count| *count /= 2.0);
             self.total /= 2.0;
@@ -50,33 +50,34 @@
     pub fn ends_within(&self, so_far: Duration, more: Duration) -> f64 {
         let from = bucket(so_far.as_secs_f64());
         let to = bucket((so_far + more).as_secs_f64());
-        let left: f32 = self.buckets[from..].iter().sum();
-        if left < f32::EPSILON {
+        let remaining_samples: f32 = self.buckets[from..].iter().sum();
+        if remaining_samples < f32::EPSILON {
             return 0.0;
         }
-        f64::from(self.buckets[from..=to].iter().sum::<f32>() / left)
+        f64::from(self.buckets[from..=to].iter().sum::<f32>() / remaining_samples)
     }
 
     /// Returns the mean pause that is still to come after `so_far`.
     pub fn remaining(&self, so_far: Duration) -> Duration {
         let from = bucket(so_far.as_secs_f64());
-        let left: f64 = self.buckets[from..].iter().map(|count| f64::from(*count)).sum();
-        if left <= 0.0 {
-            return Duration::from_secs_f64(so_far.as_secs_f64().max(FIRST_BUCKET));
+        let remaining_samples: f64 =
+            self.buckets[from..].iter().map(|count| f64::from(*count)).sum();
+        if remaining_samples <= 0.0 {
+            return Duration::from_secs_f64(so_far.as_secs_f64().max(MIN_PAUSE));
         }
-        let weighted = |(index, count): (usize, &f32)| middle(index) * f64::from(*count);
+        let weighted = |(index, count): (usize, &f32)| midpoint(index) * f64::from(*count);
         let sum: f64 = self.buckets.iter().enumerate().skip(from).map(weighted).sum();
-        Duration::from_secs_f64((sum / left - so_far.as_secs_f64()).max(0.0))
+        Duration::from_secs_f64((sum / remaining_samples - so_far.as_secs_f64()).max(0.0))
     }
 }
 
 fn bucket(seconds: f64) -> usize {
-    let index = (seconds.max(FIRST_BUCKET) / FIRST_BUCKET).ln() / BUCKET_FACTOR.ln();
-    (index as usize).min(BUCKETS - 1)
+    let index = (seconds.max(MIN_PAUSE) / MIN_PAUSE).ln() / BUCKET_FACTOR.ln();
+    (index as usize).min(BUCKET_COUNT - 1)
 }
 
-fn middle(index: usize) -> f64 {
-    FIRST_BUCKET * BUCKET_FACTOR.powf(index as f64 + 0.5)
+fn midpoint(index: usize) -> f64 {
+    MIN_PAUSE * BUCKET_FACTOR.powf(index as f64 + 0.5)
 }
 
 /// What is done with a program's prefix memory at the start of a pause.
@@ -95,7 +96,7 @@
 
 /// A program that pauses for a tool.
 #[derive(Clone, Debug)]
-pub struct RetainAsk {
+pub struct RetentionRequest {
     /// The tool, as the program named it.
     pub tool: CompactString,
     /// How long the pause has lasted.
@@ -107,7 +108,7 @@
     /// Share of the engine's prefix memory in use, zero to one.
     pub pressure: f64,
     /// Seconds that moving the memory away and back would take, when the engines can.
-    pub moving: Option<f64>,
+    pub move_time: Option<f64>,
 }
 
 /// Prefix memory filled and what became of it, in tokens.
@@ -125,7 +126,7 @@
 
 impl CacheUse {
     /// Counts one call: its prompt, what earlier turns had filled, and what the engine still held.
-    pub fn call(&mut self, prompt: u64, prior: u64, resident: u64) {
+    pub fn record_call(&mut self, prompt: u64, prior: u64, resident: u64) {
         let resident = resident.min(prompt);
         self.filled += prompt - resident;
         self.reused += resident;
@@ -133,33 +134,33 @@
     }
 
     /// Counts memory thrown away while its program still ran.
-    pub fn thrown(&mut self, tokens: u64) {
+    pub fn record_evicted(&mut self, tokens: u64) {
         self.dropped += tokens;
     }
 }
 
 /// Decides what happens to prefix memory in pauses.
 #[derive(Clone, Debug, Default)]
-pub struct Retain {
-    tools: HashMap<CompactString, Pauses>,
-    all: Pauses,
+pub struct RetentionPolicy {
+    tools: HashMap<CompactString, PauseHistogram>,
+    all: PauseHistogram,
 }
 
-impl Retain {
+impl RetentionPolicy {
     /// Learns how long a tool took.
-    pub fn learn(&mut self, tool: &str, pause: Duration) {
-        self.all.learn(pause);
-        if let Some(pauses) = self.tools.get_mut(tool) {
-            pauses.learn(pause);
+    pub fn record(&mut self, tool: &str, pause: Duration) {
+        self.all.record(pause);
+        if let Some(histogram) = self.tools.get_mut(tool) {
+            histogram.record(pause);
         } else if self.tools.len() < MAX_TOOLS {
-            self.tools.entry(tool.into()).or_default().learn(pause);
+            self.tools.entry(tool.into()).or_default().record(pause);
         }
     }
 
     /// Returns what was learnt of a tool, or of all tools while it is new.
-    pub fn pauses(&self, tool: &str) -> &Pauses {
+    pub fn histogram(&self, tool: &str) -> &PauseHistogram {
         match self.tools.get(tool) {
-            Some(pauses) if pauses.total >= ENOUGH => pauses,
+            Some(histogram) if histogram.total >= MIN_SAMPLES => histogram,
             _ => &self.all,
         }
     }
@@ -168,16 +169,16 @@
     ///
     /// Keeping costs the room times the rest of the pause, at the worth of room under the engine's
     /// pressure; dropping costs the refill. On an engine with room to spare keeping is free.
-    pub fn decide(&self, now: Time, ask: &RetainAsk) -> Retention {
-        let rest = self.pauses(&ask.tool).remaining(ask.paused);
-        let refill = ask.tokens as f64 / ask.prefill_rate.max(1.0);
-        let keeping = rest.as_secs_f64() * room_worth(ask.pressure) * refill;
-        if keeping <= refill {
-            let again = rest.max(Duration::from_secs(1)) * 2;
-            return Retention::Keep { until: now + again };
+    pub fn decide(&self, now: Time, request: &RetentionRequest) -> Retention {
+        let remaining = self.histogram(&request.tool).remaining(request.paused);
+        let refill_time = request.tokens as f64 / request.prefill_rate.max(1.0);
+        let keep_cost = remaining.as_secs_f64() * eviction_rate(request.pressure) * refill_time;
+        if keep_cost <= refill_time {
+            let check_after = remaining.max(Duration::from_secs(1)) * 2;
+            return Retention::Keep { until: now + check_after };
         }
-        match ask.moving {
-            Some(moving) if moving < refill => Retention::Move,
+        match request.move_time {
+            Some(move_time) if move_time < refill_time => Retention::Move,
             _ => Retention::Drop,
         }
     }
@@ -187,8 +188,8 @@
 ///
 /// Below four fifths full nothing is pushed out. The rate of a full engine was tuned with
 /// `gypsumglade bench policy` on the tuning seeds; see docs/measurements/policy.md.
-fn room_worth(pressure: f64) -> f64 {
-    const FREE: f64 = 0.8;
+fn eviction_rate(pressure: f64) -> f64 {
+    const NO_EVICTION: f64 = 0.8;
     const FULL_RATE: f64 = 1.0 / 50.0;
-    ((pressure - FREE) / (1.0 - FREE)).clamp(0.0, 1.0) * FULL_RATE
+    ((pressure - NO_EVICTION) / (1.0 - NO_EVICTION)).clamp(0.0, 1.0) * FULL_RATE
 }
--- a/crates/core/src/policy/retry.rs
+++ b/crates/core/src/policy/retry.rs
@@ -19,13 +19,13 @@
     /// Most retries saved up by one organisation.
     pub burst: f64,
     /// First mean wait before a retry; doubles with each attempt.
-    pub base: Duration,
+    pub base_backoff: Duration,
     /// Longest mean wait.
-    pub longest: Duration,
+    pub max_backoff: Duration,
     /// Attempts for one call, the first one counted.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Least wait before a hedge.
-    pub hedge_least: Duration,
+    pub min_hedge: Duration,
     /// Safeguards that tests switch off.
     #[doc(hidden)]
     pub safeguards: RetrySafeguards,
@@ -36,10 +36,10 @@
         RetrySettings {
             ratio: 0.1,
             burst: 10.0,
-            base: Duration::from_millis(100),
-            longest: Duration::from_secs(10),
-            attempts: 4,
-            hedge_least: Duration::from_millis(50),
+            base_backoff: Duration::from_millis(100),
+            max_backoff: Duration::from_secs(10),
+            max_attempts: 4,
+            min_hedge: Duration::from_millis(50),
             safeguards: RetrySafeguards::default(),
         }
     }
@@ -74,7 +74,7 @@
 
 /// A failed attempt that asks whether to go on.
 #[derive(Clone, Debug)]
-pub struct RetryAsk {
+pub struct RetryRequest {
     /// The organisation whose budget pays.
     pub org: OrgName,
     /// Attempts made, this one counted.
@@ -86,7 +86,7 @@
     /// When the caller gives up.
     pub deadline: Option<Time>,
     /// When the endpoint or the router asked to be tried again, if it did.
-    pub advice: Option<Duration>,
+    pub retry_after: Option<Duration>,
 }
 
 /// Whether to try again.
@@ -117,14 +117,14 @@
 
 /// Second copies of calls that may be sent: each first copy earns a part of one.
 #[derive(Clone, Copy, Debug)]
-pub struct RepeatBudget {
-    held: f64,
+pub struct RetryBudget {
+    balance: f64,
 }
 
-impl RepeatBudget {
+impl RetryBudget {
     /// Returns a full budget.
-    pub fn full(settings: &RetrySettings) -> RepeatBudget {
-        RepeatBudget { held: settings.burst }
+    pub fn full(settings: &RetrySettings) -> RetryBudget {
+        RetryBudget { balance: settings.burst }
     }
 
     /// Counts a call sent for the first time. Returns whether the budget is full.
@@ -134,35 +134,35 @@
 
     /// Takes one second copy out, if there is one.
     pub fn spend(&mut self) -> bool {
-        let held = self.held >= 1.0;
-        if held {
-            self.held -= 1.0;
+        let available = self.balance >= 1.0;
+        if available {
+            self.balance -= 1.0;
         }
-        held
+        available
     }
 
-    fn add(&mut self, copies: f64, settings: &RetrySettings) -> bool {
-        self.held = (self.held + copies).min(settings.burst);
-        self.held >= settings.burst
+    fn add(&mut self, amount: f64, settings: &RetrySettings) -> bool {
+        self.balance = (self.balance + amount).min(settings.burst);
+        self.balance >= settings.burst
     }
 }
 
 /// Decides about retries and hedges.
 #[derive(Clone, Debug)]
-pub struct Retries {
+pub struct RetryPolicy {
     settings: RetrySettings,
-    budgets: HashMap<OrgName, RepeatBudget>,
+    budgets: HashMap<OrgName, RetryBudget>,
     rng: ChaCha8Rng,
 }
 
-impl Retries {
+impl RetryPolicy {
     /// Makes a value with full budgets.
-    pub fn new(settings: RetrySettings, seed: u64) -> Retries {
-        Retries { settings, budgets: HashMap::new(), rng: ChaCha8Rng::seed_from_u64(seed) }
+    pub fn new(settings: RetrySettings, seed: u64) -> RetryPolicy {
+        RetryPolicy { settings, budgets: HashMap::new(), rng: ChaCha8Rng::seed_from_u64(seed) }
     }
 
     /// Counts a call sent for the first time, which earns a part of a retry.
-    pub fn sent(&mut self, org: &OrgName) {
+    pub fn record_call(&mut self, org: &OrgName) {
         let Some(budget) = self.budgets.get_mut(org) else { return };
         // A full budget is the same as an unknown organisation, and takes no memory.
         if budget.earn(&self.settings) {
@@ -171,18 +171,18 @@
     }
 
     /// Decides whether a failed call is tried again, and when.
-    pub fn decide(&mut self, now: Time, ask: &RetryAsk) -> RetryDecision {
-        if ask.failure == Failure::Unknown && !ask.repeatable {
+    pub fn decide(&mut self, now: Time, request: &RetryRequest) -> RetryDecision {
+        if request.failure == Failure::Unknown && !request.repeatable {
             return RetryDecision::Stop(StopReason::NotRepeatable);
         }
-        if ask.attempts >= self.settings.attempts {
+        if request.attempts >= self.settings.max_attempts {
             return RetryDecision::Stop(StopReason::Attempts);
         }
-        let at = now + self.backoff(ask);
-        if ask.deadline.is_some_and(|deadline| at >= deadline) {
+        let at = now + self.backoff(request);
+        if request.deadline.is_some_and(|deadline| at >= deadline) {
             return RetryDecision::Stop(StopReason::Deadline);
         }
-        if !self.spend(&ask.org) {
+        if !self.spend(&request.org) {
             return RetryDecision::Stop(StopReason::Budget);
         }
         RetryDecision::At(at)
@@ -197,7 +197,7 @@
         now: Time,
         org: &OrgName,
         repeatable: bool,
-        usual: Duration,
+        typical: Duration,
     ) -> Option<Time> {
         if self.settings.safeguards.repeatable && !repeatable {
             return None;
@@ -205,11 +205,11 @@
         if !self.spend(org) {
             return None;
         }
-        Some(now + usual.max(self.settings.hedge_least))
+        Some(now + typical.max(self.settings.min_hedge))
     }
 
-    /// Gives back what [`Retries::hedge`] took when the first copy answered in time.
-    pub fn unused(&mut self, org: &OrgName) {
+    /// Gives back what [`RetryPolicy::hedge`] took when the first copy answered in time.
+    pub fn refund_hedge(&mut self, org: &OrgName) {
         if let Some(budget) = self.budgets.get_mut(org) {
             budget.add(1.0, &self.settings);
         }
@@ -219,23 +219,23 @@
     ///
     /// Calls that failed together must not come back together. Advice from the other side is kept
     /// as the least, with the draw on top.
-    fn backoff(&mut self, ask: &RetryAsk) -> Duration {
-        let doublings = 1_u32 << ask.attempts.saturating_sub(1).min(16);
-        let mean = (self.settings.base * doublings).min(self.settings.longest);
-        let advice = ask.advice.unwrap_or(Duration::ZERO);
+    fn backoff(&mut self, request: &RetryRequest) -> Duration {
+        let doublings = 1_u32 << request.attempts.saturating_sub(1).min(16);
+        let mean = (self.settings.base_backoff * doublings).min(self.settings.max_backoff);
+        let retry_after = request.retry_after.unwrap_or(Duration::ZERO);
         if !self.settings.safeguards.jitter {
-            return advice + mean;
+            return retry_after + mean;
         }
         // Spread grows with the advice, or callers told "in 10 s" would all come in one instant.
-        let spread = mean * 2 + advice / 2;
-        advice + spread.mul_f64(self.rng.random_range(0.0..1.0))
+        let spread = mean * 2 + retry_after / 2;
+        retry_after + spread.mul_f64(self.rng.random_range(0.0..1.0))
     }
 
     fn spend(&mut self, org: &OrgName) -> bool {
         if !self.settings.safeguards.budget {
             return true;
         }
-        let full = RepeatBudget::full(&self.settings);
+        let full = RetryBudget::full(&self.settings);
         self.budgets.entry(org.clone()).or_insert(full).spend()
     }
 }
--- a/crates/core/src/policy/route/mod.rs
+++ b/crates/core/src/policy/route/mod.rs
@@ -25,7 +25,7 @@
 
 /// Starts of a prompt whose holders are looked up; a program's last turns and what it shares with
 /// others are among them.
-const MOST_STARTS: usize = 8;
+const MAX_PREFIXES: usize = 8;
 
 /// What the call runs on.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -58,7 +58,7 @@
 
 /// One call that needs an endpoint.
 #[derive(Clone, Debug)]
-pub struct RouteAsk {
+pub struct RouteRequest {
     /// What it runs on.
     pub target: Target,
     /// Hash of the program, as cache events carry it.
@@ -68,19 +68,19 @@
     /// Tokens of the prompt that earlier turns already held.
     pub prior_tokens: u64,
     /// Tokens that the answer is expected to have.
-    pub output_guess: u64,
+    pub expected_output: u64,
     /// Bytes that are sent, where they are at hand; otherwise they are reckoned from the tokens.
     pub bytes: Option<u64>,
     /// How engines slow down with what they run, where that is known.
     pub batch: Option<BatchCost>,
     /// Seconds that an engine takes to read a prompt token, where that is known; otherwise the rate
     /// that the endpoint claims counts.
-    pub fill: Option<f64>,
+    pub prefill_seconds: Option<f64>,
     /// Where earlier turns ran, latest first.
-    pub last: Vec<LastRun>,
+    pub last_runs: Vec<LastRun>,
     /// Starts of the prompt that other programs may have left in an engine's memory, shortest
     /// first.
-    pub shared: Vec<SharedPrefix>,
+    pub shared_prefixes: Vec<SharedPrefix>,
     /// Urgency.
     pub class: Class,
     /// Where the call comes from.
@@ -101,7 +101,7 @@
     /// Where the prefix comes from.
     pub prefix: Prefix,
     /// Prompt tokens the engine has to fill.
-    pub fill_tokens: u64,
+    pub prefill_tokens: u64,
 }
 
 /// Why no endpoint was chosen. Nothing was sent.
@@ -117,7 +117,7 @@
     },
     /// Endpoints serve the target, but each is excluded, ejected or isolated.
     #[error("every endpoint of {target} is out of use for now; retry later")]
-    NoneFree {
+    NoneAvailable {
         /// The model or service asked for.
         target: CompactString,
         /// When it is worth trying again.
@@ -130,8 +130,8 @@
 /// It protects endpoints that come back while others carry the load. Where all of them are new, as
 /// after a cold start, refusing calls would protect nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Ramp {
-    Held,
+enum SlowStart {
+    Enforced,
     Ignored,
 }
 
@@ -149,7 +149,7 @@
     }
 
     /// Takes the weights of a new bundle.
-    pub fn reweigh(&mut self, weights: PolicyWeights) {
+    pub fn set_weights(&mut self, weights: PolicyWeights) {
         self.settings.weights = weights;
     }
 
@@ -163,34 +163,34 @@
         &mut self,
         now: Time,
         registry: &Registry,
-        ask: &RouteAsk,
+        request: &RouteRequest,
     ) -> Result<Choice, RouteError> {
-        let all = match &ask.target {
+        let all = match &request.target {
             Target::Model(model) => registry.candidates(model),
             Target::Service(name) => registry.services(name),
         };
         let mut keys = self.sample(all);
-        keys.extend(own(registry, ask, all));
+        keys.extend(previous_engines(registry, request, all));
         if self.settings.mechanisms.has(Mechanism::Holders) {
-            keys.extend(holders(registry, ask));
+            keys.extend(prefix_holders(registry, request));
         }
-        let held = match self.settings.mechanisms.has(Mechanism::SlowStart) {
-            true => Ramp::Held,
-            false => Ramp::Ignored,
+        let slow_start = match self.settings.mechanisms.has(Mechanism::SlowStart) {
+            true => SlowStart::Enforced,
+            false => SlowStart::Ignored,
         };
-        for ramp in [held, Ramp::Ignored] {
+        for slow_start in [slow_start, SlowStart::Ignored] {
             // The sample can miss the few that are free; the whole list is the exception.
             for keys in [keys.as_slice(), all] {
-                if let Some(choice) = self.cheapest(now, registry, ask, keys, ramp) {
+                if let Some(choice) = self.cheapest(now, registry, request, keys, slow_start) {
                     return Ok(choice);
                 }
             }
         }
-        Err(refusal(now, registry, ask, all))
+        Err(no_endpoint(now, registry, request, all))
     }
 
     fn sample(&mut self, all: &[EndpointKey]) -> Vec<EndpointKey> {
-        let wanted = self.settings.sample;
+        let wanted = self.settings.sample_size;
         if all.len() <= wanted {
             return all.to_vec();
         }
@@ -205,27 +205,27 @@
         &mut self,
         now: Time,
         registry: &Registry,
-        ask: &RouteAsk,
+        request: &RouteRequest,
         keys: &[EndpointKey],
-        ramp: Ramp,
+        slow_start: SlowStart,
     ) -> Option<Choice> {
-        let crowd = cost::Crowd::of(now, registry, keys);
+        let means = cost::CandidateMeans::of(now, registry, keys);
         let mut best: Option<Choice> = None;
         let mut ties = 1;
         for key in keys {
-            if !usable(now, registry, ask, *key, ramp, self.settings.mechanisms) {
+            if !usable(now, registry, request, *key, slow_start, self.settings.mechanisms) {
                 continue;
             }
-            let choice = cost::price(&self.settings, now, registry, ask, *key, crowd);
-            let Some(held) = &best else {
+            let choice = cost::price(&self.settings, now, registry, request, *key, means);
+            let Some(current) = &best else {
                 best = Some(choice);
                 continue;
             };
-            let (new, old) = (choice.cost.total, held.cost.total);
+            let (new, old) = (choice.cost.total, current.cost.total);
             if new < old {
                 best = Some(choice);
                 ties = 1;
-            } else if new == old && choice.endpoint != held.endpoint {
+            } else if new == old && choice.endpoint != current.endpoint {
                 ties += 1;
                 if self.rng.random_range(0..ties) == 0 {
                     best = Some(choice);
@@ -237,9 +237,13 @@
 }
 
 /// Returns the program's own engines that serve the target.
-fn own(registry: &Registry, ask: &RouteAsk, all: &[EndpointKey]) -> Vec<EndpointKey> {
-    let Target::Model(model) = &ask.target else { return Vec::new() };
-    let keys = ask.last.iter().filter_map(|run| registry.key(&run.endpoint));
+fn previous_engines(
+    registry: &Registry,
+    request: &RouteRequest,
+    all: &[EndpointKey],
+) -> Vec<EndpointKey> {
+    let Target::Model(model) = &request.target else { return Vec::new() };
+    let keys = request.last_runs.iter().filter_map(|run| registry.key(&run.endpoint));
     if all.is_empty() {
         return Vec::new();
     }
@@ -248,12 +252,13 @@
 
 /// Returns the engines that hold a start of the prompt. A draw from many engines would miss them, and
 /// the whole history would be read again at another.
-fn holders(registry: &Registry, ask: &RouteAsk) -> Vec<EndpointKey> {
-    let Target::Model(model) = &ask.target else { return Vec::new() };
+fn prefix_holders(registry: &Registry, request: &RouteRequest) -> Vec<EndpointKey> {
+    let Target::Model(model) = &request.target else { return Vec::new() };
     // The longest starts come last, and save most.
-    let starts = ask.shared.iter().rev().take(MOST_STARTS);
-    let held = starts.flat_map(|start| registry.holders(start.hash)).copied();
-    let mut keys: Vec<EndpointKey> = held.filter(|key| serves(registry, *key, model)).collect();
+    let starts = request.shared_prefixes.iter().rev().take(MAX_PREFIXES);
+    let endpoints = starts.flat_map(|start| registry.prefix_holders(start.hash)).copied();
+    let mut keys: Vec<EndpointKey> =
+        endpoints.filter(|key| serves(registry, *key, model)).collect();
     keys.sort_unstable();
     keys.dedup();
     keys
@@ -268,40 +273,45 @@
 fn usable(
     now: Time,
     registry: &Registry,
-    ask: &RouteAsk,
+    request: &RouteRequest,
     key: EndpointKey,
-    ramp: Ramp,
+    slow_start: SlowStart,
     mechanisms: Mechanisms,
 ) -> bool {
-    if !registry.open(now, key) {
+    if !registry.is_available(now, key) {
         return false;
     }
     let Some(endpoint) = registry.get(key) else { return false };
     if endpoint.isolated() {
         return false;
     }
-    if mechanisms.has(Mechanism::Ejection) && endpoint.health.ejected(now) {
+    if mechanisms.has(Mechanism::Ejection) && endpoint.health.is_ejected(now) {
         return false;
     }
-    if ask.excluded.contains(&endpoint.name) {
+    if request.excluded.contains(&endpoint.name) {
         return false;
     }
     let load = endpoint.load(now);
-    if ask.isolate {
+    if request.isolate {
         return load.total == 0;
     }
-    let share = endpoint.health.share(now, &registry.settings().health);
-    let most = (f64::from(endpoint.kind.slots()) * share).ceil();
-    ramp == Ramp::Ignored || share >= 1.0 || f64::from(load.own) < most
+    let slot_share = endpoint.health.slot_share(now, &registry.settings().health);
+    let max_calls = (f64::from(endpoint.kind.slots()) * slot_share).ceil();
+    slow_start == SlowStart::Ignored || slot_share >= 1.0 || f64::from(load.own) < max_calls
 }
 
-fn refusal(now: Time, registry: &Registry, ask: &RouteAsk, all: &[EndpointKey]) -> RouteError {
-    let target = match &ask.target {
+fn no_endpoint(
+    now: Time,
+    registry: &Registry,
+    request: &RouteRequest,
+    all: &[EndpointKey],
+) -> RouteError {
+    let target = match &request.target {
         Target::Model(model) => compact_str::format_compact!("{} {}", model.model, model.version),
         Target::Service(name) => name.clone(),
     };
-    if all.iter().any(|key| registry.open(now, *key)) {
-        return RouteError::NoneFree { target, retry_after: RETRY_AFTER };
+    if all.iter().any(|key| registry.is_available(now, *key)) {
+        return RouteError::NoneAvailable { target, retry_after: RETRY_AFTER };
     }
     RouteError::NoEndpoint { target, retry_after: RETRY_AFTER }
 }
--- a/crates/core/src/policy/route/settings.rs
+++ b/crates/core/src/policy/route/settings.rs
@@ -77,7 +77,7 @@
 #[derive(Clone, Debug)]
 pub struct RouteSettings {
     /// Candidates drawn for each decision, besides the program's own engines.
-    pub sample: usize,
+    pub sample_size: usize,
     /// Weights from the bundle in force.
     pub weights: PolicyWeights,
     /// Links and prices.
@@ -91,7 +91,7 @@
     /// Age past which the program's own record of an engine's memory counts for nothing.
     pub record_age: Duration,
     /// Seconds assumed for a call's service where no call finished yet.
-    pub service: f64,
+    pub service_time: f64,
     /// Mechanisms that are on.
     pub mechanisms: Mechanisms,
 }
@@ -99,14 +99,14 @@
 impl Default for RouteSettings {
     fn default() -> Self {
         RouteSettings {
-            sample: 16,
+            sample_size: 16,
             weights: PolicyWeights::default(),
             links: Links::default(),
             kv_bytes: 160_000.0,
             text_bytes: 4.2,
             import: false,
             record_age: Duration::from_secs(1800),
-            service: 4.0,
+            service_time: 4.0,
             mechanisms: Mechanisms::default(),
         }
     }
--- a/crates/core/src/policy/stall.rs
+++ b/crates/core/src/policy/stall.rs
@@ -10,36 +10,36 @@
 pub const TICK: Duration = Duration::from_millis(100);
 /// How late a look may come before the process counts as having stood still: more than a busy
 /// processor delays it, less than callers notice.
-const SLACK: Duration = Duration::from_millis(150);
+const TOLERANCE: Duration = Duration::from_millis(150);
 
 /// How often a process had stood still at some moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Stalls(u64);
+pub struct StallCount(u64);
 
 /// Counts how often a process stood still.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct StallWatch {
-    stalls: Stalls,
-    at: Time,
+pub struct StallDetector {
+    stalls: StallCount,
+    last_tick: Time,
 }
 
-impl StallWatch {
+impl StallDetector {
     /// Starts at `now`.
-    pub fn new(now: Time) -> StallWatch {
-        StallWatch { stalls: Stalls::default(), at: now }
+    pub fn new(now: Time) -> StallDetector {
+        StallDetector { stalls: StallCount::default(), last_tick: now }
     }
 
     /// Looks at the clock, every [`TICK`].
-    pub fn look(&mut self, now: Time) {
+    pub fn tick(&mut self, now: Time) {
         self.stalls = self.stalls(now);
-        self.at = now;
+        self.last_tick = now;
     }
 
     /// Returns how often the process has stood still. It counts a stand that no look has noticed yet:
     /// what waited during the stand may run before the next look does.
-    pub fn stalls(&self, now: Time) -> Stalls {
-        match now.since(self.at) > TICK + SLACK {
-            true => Stalls(self.stalls.0 + 1),
+    pub fn stalls(&self, now: Time) -> StallCount {
+        match now.since(self.last_tick) > TICK + TOLERANCE {
+            true => StallCount(self.stalls.0 + 1),
             false => self.stalls,
         }
     }
--- a/crates/core/tests/policy_admission.rs
+++ b/crates/core/tests/policy_admission.rs
@@ -2,7 +2,8 @@
 
 use gypsumglade_core::policy::Class;
 use gypsumglade_core::policy::admission::{
-    Admission, AdmissionSettings, Admit, LimitSettings, Offer, ShedReason, Signal, Ticket,
+    Admission, AdmissionDecision, AdmissionRequest, AdmissionSettings, LimitSettings, ShedReason,
+    Signal, Ticket,
 };
 use gypsumglade_core::policy::priority::Priority;
 use gypsumglade_core::prelude::*;
@@ -25,26 +26,26 @@
 
 /// One place, no reserve, so that the order of starts is the order of decisions.
 fn settings() -> AdmissionSettings {
-    let limit = LimitSettings { start: 1.0, least: 1.0, most: 1.0, ..LimitSettings::default() };
+    let limit = LimitSettings { start: 1.0, min: 1.0, max: 1.0, ..LimitSettings::default() };
     let patience = Duration::from_secs(3_600);
-    AdmissionSettings { limit, reserve: 0.0, patience, ..AdmissionSettings::default() }
+    AdmissionSettings { limit, reserve: 0.0, max_wait: patience, ..AdmissionSettings::default() }
 }
 
-fn offer(org: &str) -> Offer {
-    Offer {
+fn offer(org: &str) -> AdmissionRequest {
+    AdmissionRequest {
         org: org.into(),
         class: Class::Normal,
         under_way: true,
         priority: Priority(1),
         deadline: None,
-        service: Duration::from_secs(1),
+        service_time: Duration::from_secs(1),
     }
 }
 
-fn queued(admission: &mut Admission, now: Time, offer: Offer) -> Ticket {
-    match admission.offer(now, offer) {
-        Admit::Now(ticket) | Admit::Queued(ticket) => ticket,
-        Admit::Shed { reason, .. } => panic!("shed: {reason}"),
+fn queued(admission: &mut Admission, now: Time, offer: AdmissionRequest) -> Ticket {
+    match admission.admit(now, offer) {
+        AdmissionDecision::Now(ticket) | AdmissionDecision::Queued(ticket) => ticket,
+        AdmissionDecision::Shed { reason, .. } => panic!("shed: {reason}"),
     }
 }
 
@@ -93,11 +94,11 @@
     fn release_starvation_bound(seed in proptest::collection::vec(proptest::bool::ANY, 700)) {
         let mut admission = Admission::new(settings());
         let mut running = queued(&mut admission, at(0), offer("a"));
-        let new = queued(&mut admission, at(0), Offer { under_way: false, ..offer("b") });
+        let new = queued(&mut admission, at(0), AdmissionRequest { under_way: false, ..offer("b") });
         let mut count = 0;
         for urgent in seed {
             let class = if urgent { Class::Urgent } else { Class::Normal };
-            queued(&mut admission, at(1), Offer { class, ..offer("a") });
+            queued(&mut admission, at(1), AdmissionRequest { class, ..offer("a") });
             queued(&mut admission, at(1), offer("a"));
             let started = admission.release(at(2), running);
             running = started[0];
@@ -132,10 +133,10 @@
             match step {
                 0..=2 => {
                     let deadline = Some(now + Duration::from_secs(u64::from(*step) * 5 + 2));
-                    match admission.offer(now, Offer { deadline, ..offer(["a", "b"][index % 2]) }) {
-                        Admit::Now(ticket) => running.push(ticket),
-                        Admit::Queued(ticket) => waiting.push(ticket),
-                        Admit::Shed { retry_after, .. } => prop_assert!(retry_after >= Duration::from_secs(1)),
+                    match admission.admit(now, AdmissionRequest { deadline, ..offer(["a", "b"][index % 2]) }) {
+                        AdmissionDecision::Now(ticket) => running.push(ticket),
+                        AdmissionDecision::Queued(ticket) => waiting.push(ticket),
+                        AdmissionDecision::Shed { retry_after, .. } => prop_assert!(retry_after >= Duration::from_secs(1)),
                     }
                 }
                 3 => if let Some(ticket) = running.pop() { started = admission.release(now, ticket) },
@@ -165,11 +166,16 @@
     let long = Duration::from_secs(12);
     let mut seconds = std::collections::HashMap::new();
     for _ in 0..100 {
-        let ticket = queued(&mut admission, at(0), Offer { service: long, ..offer("long") });
+        let ticket =
+            queued(&mut admission, at(0), AdmissionRequest { service_time: long, ..offer("long") });
         seconds.insert(ticket, (0, 12));
         for _ in 0..2 {
             let service = Duration::from_secs(4);
-            let ticket = queued(&mut admission, at(0), Offer { service, ..offer("short") });
+            let ticket = queued(
+                &mut admission,
+                at(0),
+                AdmissionRequest { service_time: service, ..offer("short") },
+            );
             seconds.insert(ticket, (1, 4));
         }
     }
@@ -185,7 +191,7 @@
 #[test]
 fn offer_flood_unfair_mutation() {
     let mut unfair = settings();
-    unfair.parts.fair = false;
+    unfair.features.fair = false;
     let mut admission = Admission::new(unfair);
     let first = queued(&mut admission, at(0), offer("flood"));
     for _ in 0..100 {
@@ -200,9 +206,10 @@
 fn offer_urgent_first() {
     let mut admission = Admission::new(settings());
     let first = queued(&mut admission, at(0), offer("a"));
-    let new = queued(&mut admission, at(0), Offer { under_way: false, ..offer("a") });
+    let new = queued(&mut admission, at(0), AdmissionRequest { under_way: false, ..offer("a") });
     let under_way = queued(&mut admission, at(0), offer("a"));
-    let urgent = queued(&mut admission, at(0), Offer { class: Class::Urgent, ..offer("a") });
+    let urgent =
+        queued(&mut admission, at(0), AdmissionRequest { class: Class::Urgent, ..offer("a") });
     assert_eq!(starts(&mut admission, first), vec![urgent, under_way, new]);
 }
 
@@ -214,9 +221,9 @@
     queued(&mut admission, at(0), offer("a"));
     queued(&mut admission, at(0), offer("a"));
     let deadline = Some(at(2_500));
-    let answer = admission.offer(at(0), Offer { deadline, ..offer("a") });
+    let answer = admission.admit(at(0), AdmissionRequest { deadline, ..offer("a") });
     let retry_after = Duration::from_secs(2);
-    assert_eq!(answer, Admit::Shed { retry_after, reason: ShedReason::Deadline });
+    assert_eq!(answer, AdmissionDecision::Shed { retry_after, reason: ShedReason::Deadline });
 }
 
 #[test]
@@ -224,7 +231,7 @@
     let mut admission = Admission::new(settings());
     queued(&mut admission, at(0), offer("a"));
     let deadline = Some(at(5_000));
-    let ticket = queued(&mut admission, at(0), Offer { deadline, ..offer("a") });
+    let ticket = queued(&mut admission, at(0), AdmissionRequest { deadline, ..offer("a") });
     assert_eq!(admission.next_expiry(), Some(at(4_000)));
     assert!(admission.expire(at(3_999)).is_empty());
     let given: Vec<Ticket> = admission.expire(at(4_000)).iter().map(|given| given.ticket).collect();
@@ -233,7 +240,7 @@
 
 #[test]
 fn observe_limit_falls_and_recovers() {
-    let limit = LimitSettings { start: 100.0, most: 200.0, ..LimitSettings::default() };
+    let limit = LimitSettings { start: 100.0, max: 200.0, ..LimitSettings::default() };
     let mut admission = Admission::new(AdmissionSettings { limit, ..settings() });
     for second in 0..30 {
         for _ in 0..20 {
@@ -261,7 +268,7 @@
     };
     let mut admission = Admission::new(unbounded);
     let mut running = queued(&mut admission, at(0), offer("a"));
-    let new = queued(&mut admission, at(0), Offer { under_way: false, ..offer("b") });
+    let new = queued(&mut admission, at(0), AdmissionRequest { under_way: false, ..offer("b") });
     for _ in 0..1_000 {
         queued(&mut admission, at(1), offer("a"));
         running = admission.release(at(2), running)[0];
@@ -272,12 +279,12 @@
 #[test]
 fn offer_deadline_late_mutation() {
     let mut late = settings();
-    late.parts.early = false;
+    late.features.early_shedding = false;
     let mut admission = Admission::new(late);
     queued(&mut admission, at(0), offer("a"));
     queued(&mut admission, at(0), offer("a"));
     let deadline = Some(at(2_500));
-    let ticket = queued(&mut admission, at(0), Offer { deadline, ..offer("a") });
+    let ticket = queued(&mut admission, at(0), AdmissionRequest { deadline, ..offer("a") });
     assert!(admission.expire(at(2_400)).is_empty());
     assert_eq!(admission.expire(at(2_500)).first().map(|given| given.ticket), Some(ticket));
 }
@@ -286,7 +293,7 @@
 // would shed callers for minutes while the engines are idle.
 #[test]
 fn resize_follows_capacity() {
-    let limit = LimitSettings { least: 2.0, ..LimitSettings::default() };
+    let limit = LimitSettings { min: 2.0, ..LimitSettings::default() };
     let mut admission = Admission::new(AdmissionSettings { limit, ..settings() });
     admission.resize(40.0);
     assert_eq!(admission.limit(), 40);
@@ -306,9 +313,12 @@
         for _ in 0..waiting {
             queued(&mut admission, at(0), offer("a"));
         }
-        let in_time =
-            |now: Time| Offer { deadline: Some(now + Duration::from_millis(2_500)), ..offer("a") };
-        let Admit::Shed { retry_after, .. } = admission.offer(at(0), in_time(at(0))) else {
+        let in_time = |now: Time| AdmissionRequest {
+            deadline: Some(now + Duration::from_millis(2_500)),
+            ..offer("a")
+        };
+        let AdmissionDecision::Shed { retry_after, .. } = admission.admit(at(0), in_time(at(0)))
+        else {
             panic!("{waiting} calls fit before the deadline");
         };
         let mut now = at(0);
@@ -316,9 +326,9 @@
             now = now + Duration::from_secs(1);
             running = admission.release(now, running).first().copied().unwrap_or(running);
         }
-        let answer = admission.offer(now, in_time(now));
+        let answer = admission.admit(now, in_time(now));
         assert!(
-            !matches!(answer, Admit::Shed { .. }),
+            !matches!(answer, AdmissionDecision::Shed { .. }),
             "{waiting}: {answer:?} after {retry_after:?}"
         );
     }
--- a/crates/core/tests/policy_batch.rs
+++ b/crates/core/tests/policy_batch.rs
@@ -1,6 +1,6 @@
 //! How much slower engines are found to be for each request that they run.
 
-use gypsumglade_core::policy::batch::{BatchFit, FillFit};
+use gypsumglade_core::policy::batch::{BatchFit, PrefillFit};
 
 /// A token's seconds on an engine like the users': 0.87 ms alone, 0.04 ms for each further request.
 fn token(beside: f64) -> f64 {
@@ -20,7 +20,7 @@
         fit.observe(beside, token(beside));
     }
     let cost = fit.cost(64).expect("streams were seen");
-    assert!((cost.alone - 0.000_87).abs() < 0.000_02, "{cost:?}");
+    assert!((cost.base - 0.000_87).abs() < 0.000_02, "{cost:?}");
     assert!((cost.slope - 0.000_04).abs() < 0.000_002, "{cost:?}");
 }
 
@@ -32,7 +32,7 @@
     }
     let cost = fit.cost(64).expect("streams were seen");
     // Twice as long with 64 beside as alone.
-    assert!((cost.slope * 64.0 / cost.alone - 1.0).abs() < 0.05, "{cost:?}");
+    assert!((cost.slope * 64.0 / cost.base - 1.0).abs() < 0.05, "{cost:?}");
 }
 
 /// A pool's engines turn slow for a while for reasons of their own while they are idle, so that
@@ -45,7 +45,7 @@
         fit.observe(beside, 0.004 - 0.000_3 * beside);
     }
     let cost = fit.cost(64).expect("streams were seen");
-    assert!(cost.slope >= 0.0 && cost.alone > 0.0, "{cost:?}");
+    assert!(cost.slope >= 0.0 && cost.base > 0.0, "{cost:?}");
 }
 
 /// A prompt's first event on an engine like the users': 30 ms, and 1 ms for each 50 tokens to read.
@@ -55,17 +55,17 @@
 
 #[test]
 fn token_unknown_before_streams() {
-    assert_eq!(FillFit::default().token(), None);
+    assert_eq!(PrefillFit::default().token_time(), None);
 }
 
 #[test]
 fn token_follows_streams() {
-    let mut fit = FillFit::default();
+    let mut fit = PrefillFit::default();
     for round in 0..100 {
         let unread = f64::from(round % 10) * 400.0;
         fit.observe(unread, first(unread));
     }
-    let token = fit.token().expect("streams were seen");
+    let token = fit.token_time().expect("streams were seen");
     assert!((token * 50_000.0 - 1.0).abs() < 0.05, "{token}");
 }
 
@@ -73,7 +73,7 @@
 /// go where they must be read again because it seems to cost nothing.
 #[test]
 fn token_follows_slower_engines() {
-    let mut fit = FillFit::default();
+    let mut fit = PrefillFit::default();
     for round in 0..200 {
         let unread = f64::from(round % 10) * 400.0;
         fit.observe(unread, first(unread));
@@ -82,7 +82,7 @@
         let unread = f64::from(round % 10) * 400.0;
         fit.observe(unread, 0.030 + unread / 10_000.0);
     }
-    let token = fit.token().expect("streams were seen");
+    let token = fit.token_time().expect("streams were seen");
     assert!((token * 10_000.0 - 1.0).abs() < 0.2, "{token}");
 }
 
@@ -90,7 +90,7 @@
 /// and no figure makes reading cost less than nothing or without end.
 #[test]
 fn token_survives_absurd_streams() {
-    let mut fit = FillFit::default();
+    let mut fit = PrefillFit::default();
     for round in 0..100 {
         let unread = f64::from(round % 10) * 400.0;
         fit.observe(unread, first(unread));
@@ -99,14 +99,14 @@
         fit.observe(500.0, absurd);
     }
     fit.observe(f64::NAN, 0.1);
-    let token = fit.token().expect("streams were seen");
+    let token = fit.token_time().expect("streams were seen");
     assert!((token * 50_000.0 - 1.0).abs() < 0.05, "{token}");
 }
 
 /// Returns how many times longer than alone a token takes beside this many, as streams showed.
 fn stretch(fit: &BatchFit, beside: f64) -> f64 {
     let cost = fit.cost(64).expect("streams were seen");
-    cost.token(beside) / cost.token(0.0)
+    cost.token_time(beside) / cost.token_time(0.0)
 }
 
 /// Callers of two entry VMs are turned away for twenty seconds while the engines stand nearly idle. An
--- a/crates/core/tests/policy_overload.rs
+++ b/crates/core/tests/policy_overload.rs
@@ -1,14 +1,14 @@
 //! Which turns get an engine when there is more work than can be done in time.
 
-use gypsumglade_core::policy::overload::{PoolLoad, PoolPace, Standing, admit};
+use gypsumglade_core::policy::overload::{PoolLoad, PoolSlowdown, ProgramStatus, admit};
 use gypsumglade_core::prelude::*;
 
-fn standing(rank: u8, under_way: bool) -> Standing {
-    Standing { rank, under_way }
+fn standing(rank: u8, under_way: bool) -> ProgramStatus {
+    ProgramStatus { rank, under_way }
 }
 
 fn load(calls: u64) -> PoolLoad {
-    PoolLoad { calls, slots: 100, stretch: 1.0 }
+    PoolLoad { calls, slots: 100, slowdown: 1.0 }
 }
 
 #[test]
@@ -44,7 +44,7 @@
 /// though there are slots for many more.
 #[test]
 fn admit_slow_engines() {
-    let slow = PoolLoad { stretch: 2.5, ..load(45) };
+    let slow = PoolLoad { slowdown: 2.5, ..load(45) };
     assert!(admit(slow, standing(0, false), 0.0).is_err());
     assert!(admit(slow, standing(0, true), 0.0).is_ok());
 }
@@ -54,36 +54,36 @@
 /// good.
 #[test]
 fn admit_idle_slow_engines() {
-    let idle = PoolLoad { stretch: 3.8, ..load(0) };
+    let idle = PoolLoad { slowdown: 3.8, ..load(0) };
     assert_eq!(admit(idle, standing(1, false), 0.0), Ok(()));
 }
 
 #[test]
 fn pace_follows_burst() {
-    let mut pace = PoolPace::default();
-    assert_eq!(pace.stretch(), 1.0);
+    let mut pace = PoolSlowdown::default();
+    assert_eq!(pace.ratio(), 1.0);
     for _ in 0..50 {
         pace.observe(Duration::from_millis(20));
     }
-    assert!(pace.stretch() < 1.05);
+    assert!(pace.ratio() < 1.05);
     for _ in 0..15 {
         pace.observe(Duration::from_millis(50));
     }
-    assert!(pace.stretch() > 1.8, "{}", pace.stretch());
+    assert!(pace.ratio() > 1.8, "{}", pace.ratio());
     for _ in 0..40 {
         pace.observe(Duration::from_millis(21));
     }
-    assert!(pace.stretch() < 1.2, "{}", pace.stretch());
+    assert!(pace.ratio() < 1.2, "{}", pace.ratio());
 }
 
 #[test]
 fn pace_forgets_faster_engines() {
-    let mut pace = PoolPace::default();
+    let mut pace = PoolSlowdown::default();
     pace.observe(Duration::from_millis(10));
     for _ in 0..1_000 {
         pace.observe(Duration::from_millis(30));
     }
-    assert!(pace.stretch() < 1.1, "{}", pace.stretch());
+    assert!(pace.ratio() < 1.1, "{}", pace.ratio());
 }
 
 #[test]
@@ -111,7 +111,7 @@
     let mut in_time = 0;
     for tick in 0..60 {
         for _ in 0..ARRIVALS {
-            let load = PoolLoad { calls: waiting.len() as u64, slots: SLOTS as u64, stretch: 1.0 };
+            let load = PoolLoad { calls: waiting.len() as u64, slots: SLOTS as u64, slowdown: 1.0 };
             if lets_in(load, false) {
                 waiting.push((tick, TURNS));
             }
@@ -136,7 +136,7 @@
 /// once: it seemed that engines generate in no time when they are idle.
 #[test]
 fn pace_ignores_stream_held_up() {
-    let mut pace = PoolPace::default();
+    let mut pace = PoolSlowdown::default();
     for _ in 0..50 {
         pace.observe(Duration::from_millis(20));
     }
@@ -144,17 +144,17 @@
     for _ in 0..10 {
         pace.observe(Duration::from_millis(20));
     }
-    assert!(pace.stretch() < 1.2, "{}", pace.stretch());
+    assert!(pace.ratio() < 1.2, "{}", pace.ratio());
 }
 
 #[test]
 fn pace_learns_faster_engines() {
-    let mut pace = PoolPace::default();
+    let mut pace = PoolSlowdown::default();
     pace.observe(Duration::from_millis(60));
     for _ in 0..60 {
         pace.observe(Duration::from_millis(20));
     }
-    assert!(pace.stretch() < 1.1, "{}", pace.stretch());
+    assert!(pace.ratio() < 1.1, "{}", pace.ratio());
 }
 
 /// Three times the usual callers press while two of nine engines have turned five times slower. Each VM
@@ -162,7 +162,7 @@
 /// than alone.
 #[test]
 fn pace_few_slow_engines() {
-    let mut pace = PoolPace::default();
+    let mut pace = PoolSlowdown::default();
     for _ in 0..50 {
         pace.observe(Duration::from_millis(20));
     }
@@ -170,6 +170,6 @@
         let slow = stream % 9 < 2;
         pace.observe(Duration::from_millis(if slow { 130 } else { 26 }));
     }
-    let slowed = PoolLoad { calls: 180, slots: 576, stretch: pace.stretch() };
+    let slowed = PoolLoad { calls: 180, slots: 576, slowdown: pace.ratio() };
     assert_eq!(admit(slowed, standing(0, false), 0.0), Ok(()), "{slowed:?}");
 }
--- a/crates/core/tests/policy_registry.rs
+++ b/crates/core/tests/policy_registry.rs
@@ -115,7 +115,8 @@
                 }
             }
         }
-        let open = registry.candidates(&model_id).iter().any(|key| registry.open(now, *key));
+        let open =
+            registry.candidates(&model_id).iter().any(|key| registry.is_available(now, *key));
         if open && (left || until <= now) {
             return Err(format!("work at {now} after {step:?}"));
         }
@@ -184,7 +185,7 @@
     let thief = || Announcement { address: "10.9.9.9:80".into(), ..engine(5, 1) };
     let mut registry = Registry::default();
     registry.announce(at(0), engine(4, 1));
-    assert_eq!(registry.announce(at(10), thief()), Announced::Ignored(Ignored::Taken));
+    assert_eq!(registry.announce(at(10), thief()), Announced::Ignored(Ignored::AddressTaken));
     let mut open = without(|settings| settings.safeguards.address = false);
     open.announce(at(0), engine(4, 1));
     assert!(matches!(open.announce(at(10), thief()), Announced::Replaced { .. }));
@@ -205,7 +206,7 @@
     let call = registry.dispatched(at(1), old, DispatchLoad::default());
     let new = new_key(registry.announce(at(2), engine(2, 1)));
     registry.finished(at(3), call);
-    assert!(!registry.open(at(3), old));
+    assert!(!registry.is_available(at(3), old));
     assert_eq!(registry.get(new).map(|endpoint| endpoint.load(at(3)).own), Some(0));
 }
 
@@ -263,16 +264,16 @@
     let mut registry = Registry::default();
     let settings = registry.settings().health.clone();
     let key = new_key(registry.announce(at(0), engine(1, 1)));
-    for _ in 0..settings.failures {
+    for _ in 0..settings.max_failures {
         let call = registry.dispatched(at(1), key, DispatchLoad::default());
         registry.failed(at(2), call);
     }
     let health = registry.get(key).map(|endpoint| endpoint.health.clone()).expect("known");
-    let back = at(2) + settings.ejection;
-    assert!(health.ejected(at(3)));
-    assert!(!health.ejected(back));
-    assert_eq!(health.share(back, &settings), settings.floor);
-    assert_eq!(health.share(back + settings.ramp, &settings), 1.0);
+    let back = at(2) + settings.base_ejection;
+    assert!(health.is_ejected(at(3)));
+    assert!(!health.is_ejected(back));
+    assert_eq!(health.slot_share(back, &settings), settings.min_share);
+    assert_eq!(health.slot_share(back + settings.ramp_time, &settings), 1.0);
 }
 
 fn named(name: &str, sequence: u64) -> Announcement {
@@ -303,10 +304,10 @@
     let early = near.summarise(at(0), VmId(1), number(1));
     near.leave(at(100), "engine-a", 1);
     let late = near.summarise(at(100), VmId(1), number(2));
-    assert_eq!(far.take_summary(at(200), &late), Ok(()));
-    assert_eq!(far.take_summary(at(2_900), &early), Ok(()));
+    assert_eq!(far.apply_summary(at(200), &late), Ok(()));
+    assert_eq!(far.apply_summary(at(2_900), &early), Ok(()));
     let key = far.key("engine-a").expect("known");
-    assert_eq!(far.get(key).map(|endpoint| endpoint.until), Some(at(3_000)));
+    assert_eq!(far.get(key).map(|endpoint| endpoint.lease_end), Some(at(3_000)));
 }
 
 // An endpoint announces itself to its home only. The other VMs hear of it by summaries: without
@@ -318,9 +319,9 @@
     near.announce(at(2_000), busy);
     near.leave(at(2_000), "engine-b", 1);
     let summary = near.summarise(at(2_000), VmId(1), number(1));
-    assert_eq!(far.take_summary(at(2_100), &summary), Ok(()));
+    assert_eq!(far.apply_summary(at(2_100), &summary), Ok(()));
     let (a, b) = (far.key("engine-a").expect("known"), far.key("engine-b").expect("known"));
-    assert_eq!((far.open(at(4_900), a), far.open(at(2_100), b)), (true, false));
+    assert_eq!((far.is_available(at(4_900), a), far.is_available(at(2_100), b)), (true, false));
     assert_eq!(far.get(a).map(|endpoint| endpoint.load(at(2_100)).total), Some(30));
 }
 
@@ -330,9 +331,9 @@
 fn summarise_short_lease_is_not_leaving() {
     let (near, mut far) = home_and_other(&["engine-a"]);
     let summary = near.summarise(at(2_990), VmId(1), number(1));
-    assert_eq!(far.take_summary(at(2_995), &summary), Ok(()));
+    assert_eq!(far.apply_summary(at(2_995), &summary), Ok(()));
     let key = far.key("engine-a").expect("known");
-    assert!(far.open(at(2_999), key));
+    assert!(far.is_available(at(2_999), key));
 }
 
 #[test]
@@ -341,7 +342,7 @@
     near.announce(at(100), Announcement { incarnation: 2, ..named("engine-a", 1) });
     near.assign_homes(&[VmId(1)]);
     let summary = near.summarise(at(100), VmId(1), number(1));
-    let refused = far.take_summary(at(200), &summary);
+    let refused = far.apply_summary(at(200), &summary);
     assert_eq!(refused.map_err(|error| error.home), Err(VmId(1)));
 }
 
--- a/crates/core/tests/policy_renewal.rs
+++ b/crates/core/tests/policy_renewal.rs
@@ -19,7 +19,7 @@
 #[test]
 fn is_due_with_another_bundle() {
     let mut renewal = Renewal::default();
-    renewal.done(NOW, FIRST);
+    renewal.record(NOW, FIRST);
     assert!(!renewal.is_due(NOW, Some(FIRST)));
     assert!(renewal.is_due(NOW, Some(RevisionNumber(16))));
 }
@@ -27,10 +27,10 @@
 #[test]
 fn is_due_after_pause_and_news() {
     let mut renewal = Renewal::default();
-    renewal.done(NOW, FIRST);
+    renewal.record(NOW, FIRST);
     assert!(renewal.is_due(NOW + Duration::from_secs(11), Some(FIRST)));
     assert!(!renewal.is_pending());
-    renewal.hurry();
+    renewal.make_due();
     assert!(renewal.is_pending());
     assert!(renewal.is_due(NOW, Some(FIRST)));
 }
--- a/crates/core/tests/policy_retry.rs
+++ b/crates/core/tests/policy_retry.rs
@@ -1,34 +1,34 @@
 //! Retries and retention: budgets, jitter, hedges, and prefix memory in pauses.
 
-use gypsumglade_core::policy::retain::{CacheUse, Retain, RetainAsk, Retention};
+use gypsumglade_core::policy::retention::{CacheUse, Retention, RetentionPolicy, RetentionRequest};
 use gypsumglade_core::policy::retry::{
-    Failure, Retries, RetryAsk, RetryDecision, RetrySettings, StopReason,
+    Failure, RetryDecision, RetryPolicy, RetryRequest, RetrySettings, StopReason,
 };
 use gypsumglade_core::prelude::*;
 
-fn ask(org: &str) -> RetryAsk {
-    RetryAsk {
+fn ask(org: &str) -> RetryRequest {
+    RetryRequest {
         org: org.into(),
         attempts: 1,
         repeatable: true,
         failure: Failure::NotRun,
         deadline: None,
-        advice: None,
+        retry_after: None,
     }
 }
 
-fn without(switch: impl Fn(&mut RetrySettings)) -> Retries {
+fn without(switch: impl Fn(&mut RetrySettings)) -> RetryPolicy {
     let mut settings = RetrySettings::default();
     switch(&mut settings);
-    Retries::new(settings, 3)
+    RetryPolicy::new(settings, 3)
 }
 
 /// Sends calls that all fail, and returns how many retries they cause.
-fn storm(retries: &mut Retries, calls: u32) -> u32 {
+fn storm(retries: &mut RetryPolicy, calls: u32) -> u32 {
     let org = OrgName::const_new("a");
     let mut sent = 0;
     for _ in 0..calls {
-        retries.sent(&org);
+        retries.record_call(&org);
         if matches!(retries.decide(Time::ZERO, &ask("a")), RetryDecision::At(_)) {
             sent += 1;
         }
@@ -40,7 +40,7 @@
 // which then fail too. The budget holds retries to a tenth of the calls plus one burst.
 #[test]
 fn decide_storm_stays_in_budget() {
-    let sent = storm(&mut Retries::new(RetrySettings::default(), 3), 1_000);
+    let sent = storm(&mut RetryPolicy::new(RetrySettings::default(), 3), 1_000);
     assert!((100..=112).contains(&sent), "{sent} retries");
 }
 
@@ -51,11 +51,11 @@
 }
 
 /// Returns the most calls that come back within one of a hundred equal parts of ten seconds.
-fn peak(retries: &mut Retries) -> usize {
+fn peak(retries: &mut RetryPolicy) -> usize {
     let mut counts = [0; 200];
     for index in 0..1_000 {
         let advice = Some(Duration::from_secs(10));
-        let ask = RetryAsk { advice, ..ask(&format!("org{index}")) };
+        let ask = RetryRequest { retry_after: advice, ..ask(&format!("org{index}")) };
         if let RetryDecision::At(at) = retries.decide(Time::ZERO, &ask) {
             counts[(at.as_millis() / 100) as usize] += 1;
         }
@@ -67,7 +67,7 @@
 // one instant and it goes down again.
 #[test]
 fn decide_return_is_spread() {
-    assert!(peak(&mut Retries::new(RetrySettings::default(), 3)) < 50);
+    assert!(peak(&mut RetryPolicy::new(RetrySettings::default(), 3)) < 50);
 }
 
 #[test]
@@ -78,15 +78,15 @@
 // A deposit was sent and its answer lost. Run again, the customer pays twice.
 #[test]
 fn decide_unknown_not_repeatable() {
-    let ask = RetryAsk { repeatable: false, failure: Failure::Unknown, ..ask("a") };
-    let decision = Retries::new(RetrySettings::default(), 3).decide(Time::ZERO, &ask);
+    let ask = RetryRequest { repeatable: false, failure: Failure::Unknown, ..ask("a") };
+    let decision = RetryPolicy::new(RetrySettings::default(), 3).decide(Time::ZERO, &ask);
     assert_eq!(decision, RetryDecision::Stop(StopReason::NotRepeatable));
 }
 
 #[test]
 fn decide_deadline_stops() {
-    let ask = RetryAsk { deadline: Some(Time::ZERO), ..ask("a") };
-    let decision = Retries::new(RetrySettings::default(), 3).decide(Time::ZERO, &ask);
+    let ask = RetryRequest { deadline: Some(Time::ZERO), ..ask("a") };
+    let decision = RetryPolicy::new(RetrySettings::default(), 3).decide(Time::ZERO, &ask);
     assert_eq!(decision, RetryDecision::Stop(StopReason::Deadline));
 }
 
@@ -94,29 +94,29 @@
 fn hedge_only_repeatable() {
     let org = OrgName::const_new("a");
     let usual = Duration::from_millis(300);
-    let mut retries = Retries::new(RetrySettings::default(), 3);
+    let mut retries = RetryPolicy::new(RetrySettings::default(), 3);
     assert_eq!(retries.hedge(Time::ZERO, &org, false, usual), None);
     assert_eq!(retries.hedge(Time::ZERO, &org, true, usual), Some(Time::from_millis(300)));
     let mut unsafe_copy = without(|settings| settings.safeguards.repeatable = false);
     assert!(unsafe_copy.hedge(Time::ZERO, &org, false, usual).is_some());
 }
 
-fn pause(tool: &str, pressure: f64) -> RetainAsk {
-    RetainAsk {
+fn pause(tool: &str, pressure: f64) -> RetentionRequest {
+    RetentionRequest {
         tool: tool.into(),
         paused: Duration::ZERO,
         tokens: 20_000,
         prefill_rate: 8_000.0,
         pressure,
-        moving: None,
+        move_time: None,
     }
 }
 
-fn learnt() -> Retain {
-    let mut retain = Retain::default();
+fn learnt() -> RetentionPolicy {
+    let mut retain = RetentionPolicy::default();
     for _ in 0..50 {
-        retain.learn("search", Duration::from_millis(400));
-        retain.learn("export", Duration::from_secs(400));
+        retain.record("search", Duration::from_millis(400));
+        retain.record("export", Duration::from_secs(400));
     }
     retain
 }
@@ -140,14 +140,14 @@
 
 #[test]
 fn decide_moves_when_cheaper_than_refill() {
-    let ask = RetainAsk { moving: Some(0.5), ..pause("export", 1.0) };
+    let ask = RetentionRequest { move_time: Some(0.5), ..pause("export", 1.0) };
     assert_eq!(learnt().decide(Time::ZERO, &ask), Retention::Move);
 }
 
 #[test]
 fn call_counts_refill_as_waste() {
     let mut cache = CacheUse::default();
-    cache.call(1_200, 1_000, 400);
+    cache.record_call(1_200, 1_000, 400);
     let expected = CacheUse { filled: 800, reused: 400, refilled: 600, dropped: 0 };
     assert_eq!(cache, expected);
 }
--- a/crates/core/tests/policy_route.rs
+++ b/crates/core/tests/policy_route.rs
@@ -7,7 +7,7 @@
     ModelId, Registry, RegistrySettings,
 };
 use gypsumglade_core::policy::route::{
-    Choice, LastRun, Place, Prefix, RouteAsk, RouteError, RouteSettings, Router, SharedPrefix,
+    Choice, LastRun, Place, Prefix, RouteError, RouteRequest, RouteSettings, Router, SharedPrefix,
     Target,
 };
 use gypsumglade_core::prelude::*;
@@ -70,18 +70,18 @@
     (registry, keys)
 }
 
-fn ask() -> RouteAsk {
-    RouteAsk {
+fn ask() -> RouteRequest {
+    RouteRequest {
         target: Target::Model(ModelId::new("advice", "1")),
         program: 9,
         prompt_tokens: 20_500,
         prior_tokens: 20_000,
-        output_guess: 100,
+        expected_output: 100,
         batch: None,
-        fill: None,
+        prefill_seconds: None,
         bytes: None,
-        last: Vec::new(),
-        shared: Vec::new(),
+        last_runs: Vec::new(),
+        shared_prefixes: Vec::new(),
         class: Class::Normal,
         place: Place::default(),
         excluded: Vec::new(),
@@ -107,7 +107,7 @@
 #[test]
 fn choose_own_engine_while_cheaper() {
     let (mut registry, keys) = fleet(2);
-    let ask = RouteAsk { last: ran_on(1), ..ask() };
+    let ask = RouteRequest { last_runs: ran_on(1), ..ask() };
     fill(&mut registry, keys[1], 4);
     let choice = router().choose(NOW, &registry, &ask).expect("open engines");
     assert_eq!((choice.endpoint, choice.prefix), (keys[1], Prefix::Resident(20_000)));
@@ -116,7 +116,7 @@
 #[test]
 fn choose_gives_way_under_load() {
     let (mut registry, keys) = fleet(2);
-    let ask = RouteAsk { last: ran_on(1), ..ask() };
+    let ask = RouteRequest { last_runs: ran_on(1), ..ask() };
     fill(&mut registry, keys[1], 60);
     let choice = router().choose(NOW, &registry, &ask).expect("open engines");
     assert_eq!((choice.endpoint, choice.prefix), (keys[0], Prefix::Absent));
@@ -137,7 +137,7 @@
     fill(&mut registry, keys[0], 100);
     let mut settings = RouteSettings { import: true, ..RouteSettings::default() };
     settings.links.region.rate = rate;
-    let ask = RouteAsk { last: ran_on(0), ..ask() };
+    let ask = RouteRequest { last_runs: ran_on(0), ..ask() };
     Router::new(settings, 1).choose(NOW, &registry, &ask).expect("open engines")
 }
 
@@ -145,13 +145,13 @@
 fn choose_imports_over_fast_link() {
     let choice = leave_full_engine(12.5e9);
     assert!(matches!(choice.prefix, Prefix::Import { tokens: 20_000, .. }));
-    assert_eq!(choice.fill_tokens, 500);
+    assert_eq!(choice.prefill_tokens, 500);
 }
 
 #[test]
 fn choose_refills_where_import_is_slower() {
     let choice = leave_full_engine(1.25e9);
-    assert_eq!((choice.prefix, choice.fill_tokens), (Prefix::Absent, 20_500));
+    assert_eq!((choice.prefix, choice.prefill_tokens), (Prefix::Absent, 20_500));
 }
 
 // One engine's reports freeze while it looks idle. Every VM that trusts them sends it the next
@@ -177,15 +177,15 @@
 fn choose_isolated_call_runs_alone() {
     let (mut registry, keys) = fleet(2);
     fill(&mut registry, keys[0], 1);
-    let ask = RouteAsk { isolate: true, ..ask() };
+    let ask = RouteRequest { isolate: true, ..ask() };
     let choice = router().choose(NOW, &registry, &ask).expect("an idle engine");
     assert_eq!(choice.endpoint, keys[1]);
-    registry.dispatched(NOW, keys[1], DispatchLoad { fill_tokens: 0, alone: true });
-    let normal = RouteAsk { isolate: false, last: ran_on(1), ..ask.clone() };
+    registry.dispatched(NOW, keys[1], DispatchLoad { prefill_tokens: 0, isolated: true });
+    let normal = RouteRequest { isolate: false, last_runs: ran_on(1), ..ask.clone() };
     let beside = router().choose(NOW, &registry, &normal).expect("the other engine");
     assert_eq!(beside.endpoint, keys[0]);
     let none = router().choose(NOW, &registry, &ask);
-    assert!(matches!(none, Err(RouteError::NoneFree { .. })));
+    assert!(matches!(none, Err(RouteError::NoneAvailable { .. })));
 }
 
 #[test]
@@ -219,7 +219,7 @@
                 },
             }
         }
-        let mut router = Router::new(RouteSettings { sample, ..RouteSettings::default() }, seed);
+        let mut router = Router::new(RouteSettings { sample_size: sample, ..RouteSettings::default() }, seed);
         let chosen = router.choose(NOW, &registry, &ask).ok().map(|choice| choice.endpoint);
         let usable = |key: &EndpointKey| states[keys.iter().position(|k| k == key).unwrap()] == 0;
         prop_assert_eq!(chosen.is_some(), states.contains(&0));
@@ -229,7 +229,7 @@
     #[test]
     fn choose_same_seed_same_choice(seed in 0..1_000_u64) {
         let (registry, _) = fleet(40);
-        let settings = RouteSettings { sample: 4, ..RouteSettings::default() };
+        let settings = RouteSettings { sample_size: 4, ..RouteSettings::default() };
         let mut a = Router::new(settings.clone(), seed);
         let mut b = Router::new(settings, seed);
         for _ in 0..5 {
@@ -263,7 +263,7 @@
 #[test]
 fn choose_slow_start_mutation() {
     let mut settings = RegistrySettings::default();
-    settings.health.floor = 1.0;
+    settings.health.min_share = 1.0;
     assert_eq!(sent_to_returned(settings), 20);
 }
 
@@ -288,19 +288,19 @@
     let names = ["engine-0", "engine-1"];
     let keys: Vec<_> = names.iter().filter_map(|name| registry.key(name)).collect();
     for (key, running) in keys.iter().zip(loads) {
-        registry.reported(NOW, *key, LoadReport { running, age, ..LoadReport::default() });
+        registry.load_reported(NOW, *key, LoadReport { running, age, ..LoadReport::default() });
     }
     registry.expect_prefix(NOW, keys[0], 7, 12_600);
     (registry, keys)
 }
 
-fn batched() -> RouteAsk {
-    RouteAsk {
+fn batched() -> RouteRequest {
+    RouteRequest {
         prompt_tokens: 14_280,
         prior_tokens: 0,
-        output_guess: 255,
-        batch: Some(BatchCost { alone: 0.000_87, slope: 0.000_04 }),
-        shared: vec![SharedPrefix { hash: 7, tokens: 12_600 }],
+        expected_output: 255,
+        batch: Some(BatchCost { base: 0.000_87, slope: 0.000_04 }),
+        shared_prefixes: vec![SharedPrefix { hash: 7, tokens: 12_600 }],
         ..ask()
     }
 }
@@ -313,7 +313,7 @@
     let (registry, keys) = crowded(20, Duration::ZERO);
     let choice = router().choose(NOW, &registry, &batched()).expect("open engines");
     assert_eq!(choice.endpoint, keys[1]);
-    let unaware = RouteAsk { batch: None, ..batched() };
+    let unaware = RouteRequest { batch: None, ..batched() };
     let choice = router().choose(NOW, &registry, &unaware).expect("open engines");
     assert_eq!(choice.endpoint, keys[0]);
 }
@@ -331,7 +331,7 @@
 #[test]
 fn choose_forgets_old_reports() {
     let (registry, keys) = crowded(20, Duration::from_secs(4));
-    let settings = RouteSettings { service: 0.3, ..RouteSettings::default() };
+    let settings = RouteSettings { service_time: 0.3, ..RouteSettings::default() };
     let choice = Router::new(settings, 1).choose(NOW, &registry, &batched());
     assert_eq!(choice.expect("open engines").endpoint, keys[0]);
 }
@@ -344,8 +344,8 @@
     let (mut registry, keys) = fleet(96);
     registry.expect_prefix(NOW, keys[93], 7, 20_000);
     let shared = vec![SharedPrefix { hash: 7, tokens: 20_000 }];
-    let ask = RouteAsk { prior_tokens: 0, shared, ..ask() };
-    let settings = RouteSettings { sample: 2, ..RouteSettings::default() };
+    let ask = RouteRequest { prior_tokens: 0, shared_prefixes: shared, ..ask() };
+    let settings = RouteSettings { sample_size: 2, ..RouteSettings::default() };
     for seed in 0..20 {
         let choice = Router::new(settings.clone(), seed).choose(NOW, &registry, &ask);
         assert_eq!(choice.expect("open engines").endpoint, keys[93]);
@@ -360,7 +360,7 @@
     registry.expect_prefix(NOW, keys[93], 7, 20_000);
     registry.leave(NOW, "engine-93", 1);
     let shared = vec![SharedPrefix { hash: 7, tokens: 20_000 }];
-    let ask = RouteAsk { prior_tokens: 0, shared, ..ask() };
+    let ask = RouteRequest { prior_tokens: 0, shared_prefixes: shared, ..ask() };
     let choice = router().choose(NOW, &registry, &ask).expect("open engines");
     assert_ne!(choice.endpoint, keys[93]);
 }
--- a/crates/core/tests/policy_stall.rs
+++ b/crates/core/tests/policy_stall.rs
@@ -1,17 +1,17 @@
 //! Noticing that a process stood still.
 
-use gypsumglade_core::policy::stall::{StallWatch, TICK};
+use gypsumglade_core::policy::stall::{StallDetector, TICK};
 use gypsumglade_core::prelude::*;
 
 #[test]
 fn stalls_unchanged_while_ticking() {
     let mut now = Time::from_millis(5_000);
-    let mut watch = StallWatch::new(now);
+    let mut watch = StallDetector::new(now);
     let before = watch.stalls(now);
     for _ in 0..100 {
         // A busy processor comes to it late.
         now = now + TICK + Duration::from_millis(60);
-        watch.look(now);
+        watch.tick(now);
     }
     assert_eq!(watch.stalls(now), before);
 }
@@ -22,22 +22,22 @@
 #[test]
 fn stalls_counts_stand_before_next_look() {
     let start = Time::from_millis(5_000);
-    let mut watch = StallWatch::new(start);
+    let mut watch = StallDetector::new(start);
     let before = watch.stalls(start);
     let back = start + Duration::from_secs(6);
     assert_ne!(watch.stalls(back), before);
-    watch.look(back);
+    watch.tick(back);
     let after = watch.stalls(back);
     assert_ne!(after, before);
-    watch.look(back + TICK);
+    watch.tick(back + TICK);
     assert_eq!(watch.stalls(back + TICK), after);
 }
 
 #[test]
 fn stalls_survives_clock_that_goes_back() {
     let start = Time::from_millis(5_000);
-    let mut watch = StallWatch::new(start);
+    let mut watch = StallDetector::new(start);
     let before = watch.stalls(start);
-    watch.look(Time::from_millis(1_000));
+    watch.tick(Time::from_millis(1_000));
     assert_eq!(watch.stalls(Time::from_millis(1_050)), before);
 }
--- a/crates/core/tests/scenario_policy.rs
+++ b/crates/core/tests/scenario_policy.rs
@@ -9,15 +9,19 @@
 
 use goldenscript::{Command, Context, Runner};
 use gypsumglade_core::policy::Class;
-use gypsumglade_core::policy::admission::{Admission, AdmissionSettings, Admit, Offer, Ticket};
+use gypsumglade_core::policy::admission::{
+    Admission, AdmissionDecision, AdmissionRequest, AdmissionSettings, Ticket,
+};
 use gypsumglade_core::policy::priority::Priority;
 use gypsumglade_core::policy::registry::{
     Announcement, CacheEvents, DispatchKey, DispatchLoad, EndpointKind, LoadReport, ModelId,
     Registry,
 };
-use gypsumglade_core::policy::retry::{Failure, Retries, RetryAsk, RetryDecision, RetrySettings};
+use gypsumglade_core::policy::retry::{
+    Failure, RetryDecision, RetryPolicy, RetryRequest, RetrySettings,
+};
 use gypsumglade_core::policy::route::{
-    LastRun, Place, RouteAsk, RouteError, RouteSettings, Router, Target,
+    LastRun, Place, RouteError, RouteRequest, RouteSettings, Router, Target,
 };
 use gypsumglade_core::prelude::*;
 
@@ -28,7 +32,7 @@
     now: Time,
     registry: Registry,
     router: Router,
-    retries: Retries,
+    retries: RetryPolicy,
     admission: Admission,
     sequence: u64,
     calls: Vec<(EndpointName, DispatchKey)>,
@@ -72,13 +76,13 @@
     fn new() -> Point {
         let mut admission = AdmissionSettings { reserve: 0.0, ..AdmissionSettings::default() };
         admission.limit.start = 2.0;
-        admission.limit.most = 2.0;
+        admission.limit.max = 2.0;
         admission.org_queue = 4;
         Point {
             now: Time::ZERO,
             registry: Registry::default(),
             router: Router::new(RouteSettings::default(), 1),
-            retries: Retries::new(RetrySettings::default(), 1),
+            retries: RetryPolicy::new(RetrySettings::default(), 1),
             admission: Admission::new(admission),
             sequence: 0,
             calls: Vec::new(),
@@ -131,7 +135,8 @@
             let ask = self.ask(args)?;
             let label = match self.router.choose(self.now, &self.registry, &ask) {
                 Ok(choice) => {
-                    let load = DispatchLoad { fill_tokens: choice.fill_tokens, alone: false };
+                    let load =
+                        DispatchLoad { prefill_tokens: choice.prefill_tokens, isolated: false };
                     let call = self.registry.dispatched(self.now, choice.endpoint, load);
                     let endpoint = self.registry.get(choice.endpoint).ok_or("unknown endpoint")?;
                     self.calls.push((endpoint.name.clone(), call));
@@ -139,7 +144,7 @@
                         true => compact_str::format_compact!(
                             "{} fills {}",
                             endpoint.name,
-                            choice.fill_tokens
+                            choice.prefill_tokens
                         ),
                         false => endpoint.name.clone(),
                     }
@@ -155,21 +160,21 @@
         Ok(text)
     }
 
-    fn ask(&self, args: &Args<'_>) -> Result<RouteAsk, Box<dyn Error>> {
+    fn ask(&self, args: &Args<'_>) -> Result<RouteRequest, Box<dyn Error>> {
         let model = args.keys.get("model").copied().unwrap_or("advice");
         let prior = args.number("prior", 0)?;
         let run = |name: &&str| LastRun { endpoint: (*name).into(), tokens: prior, at: self.now };
-        Ok(RouteAsk {
+        Ok(RouteRequest {
             target: Target::Model(ModelId::new(model, "1")),
             program: 1,
             prompt_tokens: prior + 500,
             prior_tokens: prior,
-            output_guess: 100,
+            expected_output: 100,
             batch: None,
-            fill: None,
+            prefill_seconds: None,
             bytes: None,
-            last: args.keys.get("last").iter().map(|name| run(name)).collect(),
-            shared: Vec::new(),
+            last_runs: args.keys.get("last").iter().map(|name| run(name)).collect(),
+            shared_prefixes: Vec::new(),
             class: Class::Normal,
             place: Place::default(),
             excluded: Vec::new(),
@@ -199,14 +204,14 @@
         let advice = args.number("advice", 0)?;
         let mut times = Vec::new();
         for _ in 0..args.number("count", 1)? {
-            self.retries.sent(&org);
-            let ask = RetryAsk {
+            self.retries.record_call(&org);
+            let ask = RetryRequest {
                 org: org.clone(),
                 attempts: 1,
                 repeatable: true,
                 failure: Failure::NotRun,
                 deadline: None,
-                advice: (advice > 0).then_some(Duration::from_millis(advice)),
+                retry_after: (advice > 0).then_some(Duration::from_millis(advice)),
             };
             if let RetryDecision::At(at) = self.retries.decide(self.now, &ask) {
                 times.push(at.as_millis());
@@ -221,25 +226,25 @@
         let deadline = args.number("deadline", 0)?;
         let mut text = String::new();
         for _ in 0..args.number("count", 1)? {
-            let offer = Offer {
+            let offer = AdmissionRequest {
                 org: org.into(),
                 class: if args.has("urgent") { Class::Urgent } else { Class::Normal },
                 under_way: !args.has("new"),
                 priority: Priority(1),
                 deadline: (deadline > 0).then(|| self.now + Duration::from_millis(deadline)),
-                service: Duration::from_secs(1),
+                service_time: Duration::from_secs(1),
             };
-            let said = match self.admission.offer(self.now, offer) {
-                Admit::Now(ticket) => {
+            let said = match self.admission.admit(self.now, offer) {
+                AdmissionDecision::Now(ticket) => {
                     self.tickets.insert(ticket, org.into());
                     self.running.push(ticket);
                     "starts".to_owned()
                 }
-                Admit::Queued(ticket) => {
+                AdmissionDecision::Queued(ticket) => {
                     self.tickets.insert(ticket, org.into());
                     "waits".to_owned()
                 }
-                Admit::Shed { retry_after, reason } => {
+                AdmissionDecision::Shed { retry_after, reason } => {
                     format!("not run: {reason}; retry after {} ms", retry_after.as_millis())
                 }
             };
--- a/crates/gypsumglade/src/bench/policy/machine.rs
+++ b/crates/gypsumglade/src/bench/policy/machine.rs
@@ -76,7 +76,7 @@
                 .between(self.programs[program].plan.place, self.machines[machine].place);
             let travel =
                 link.latency + Duration::from_secs_f64(job.prompt as f64 * TEXT_BYTES / link.rate);
-            self.tally.cache.call(job.prompt, job.prior, started.resident);
+            self.tally.cache.record_call(job.prompt, job.prior, started.resident);
             self.push(started.first + travel, Event::First(started.call));
             self.push(started.last + travel * 2, Event::Last(started.call));
             let pool = self.machines[machine].pool;
--- a/crates/gypsumglade/src/bench/policy/program.rs
+++ b/crates/gypsumglade/src/bench/policy/program.rs
@@ -4,7 +4,7 @@
 
 use gypsumglade_core::policy::Class;
 use gypsumglade_core::policy::priority::Attained;
-use gypsumglade_core::policy::retain::{RetainAsk, Retention};
+use gypsumglade_core::policy::retention::{Retention, RetentionRequest};
 use gypsumglade_core::policy::route::LastRun;
 use gypsumglade_core::prelude::*;
 
@@ -34,7 +34,7 @@
         let program = &mut self.programs[id];
         if std::mem::replace(&mut program.paused, false) {
             let turn = &program.plan.turns[program.turn - 1];
-            self.retain.learn(tool_name(turn.tool), turn.pause);
+            self.retain.record(tool_name(turn.tool), turn.pause);
         }
         if program.over || program.children > 0 {
             return;
@@ -67,7 +67,7 @@
             runs: false,
         });
         self.push(self.now + PATIENCE[usize::from(urgent)], Event::GiveUp(job.call));
-        self.retries.sent(&org);
+        self.retries.record_call(&org);
         self.need(id, last);
         self.offer(job.call);
     }
@@ -121,13 +121,13 @@
             return;
         }
         let held = self.machines[machine].engine.load().2;
-        let ask = RetainAsk {
+        let ask = RetentionRequest {
             tool: tool_name(tool).into(),
             paused: Duration::ZERO,
             tokens,
             prefill_rate: PREFILL_RATE,
             pressure: held as f64 / self.fleet.cache_tokens as f64,
-            moving: None,
+            move_time: None,
         };
         let hold = match self.retain.decide(self.now, &ask) {
             Retention::Keep { until } => Hold::Until(Reverse(until)),
--- a/crates/gypsumglade/src/bench/policy/run.rs
+++ b/crates/gypsumglade/src/bench/policy/run.rs
@@ -4,14 +4,18 @@
 use std::collections::{BTreeMap, BinaryHeap};
 
 use gypsumglade_core::policy::Class;
-use gypsumglade_core::policy::admission::{Admission, AdmissionSettings, Admit, Offer, Ticket};
+use gypsumglade_core::policy::admission::{
+    Admission, AdmissionDecision, AdmissionRequest, AdmissionSettings, Ticket,
+};
 use gypsumglade_core::policy::priority::{Attained, Priority};
 use gypsumglade_core::policy::registry::{
     DispatchKey, DispatchLoad, ModelId, Registry, RegistrySettings,
 };
-use gypsumglade_core::policy::retain::Retain;
-use gypsumglade_core::policy::retry::{Failure, Retries, RetryAsk, RetryDecision, RetrySettings};
-use gypsumglade_core::policy::route::{RouteAsk, RouteSettings, Router, Target};
+use gypsumglade_core::policy::retention::RetentionPolicy;
+use gypsumglade_core::policy::retry::{
+    Failure, RetryDecision, RetryPolicy, RetryRequest, RetrySettings,
+};
+use gypsumglade_core::policy::route::{RouteRequest, RouteSettings, Router, Target};
 use gypsumglade_core::prelude::*;
 
 use super::engine::Job;
@@ -64,8 +68,8 @@
     pub(super) registry: Registry,
     pub(super) router: Router,
     pub(super) admissions: Vec<Admission>,
-    pub(super) retain: Retain,
-    pub(super) retries: Retries,
+    pub(super) retain: RetentionPolicy,
+    pub(super) retries: RetryPolicy,
     pub(super) machines: Vec<Machine>,
     pub(super) programs: Vec<Program>,
     pub(super) calls: Vec<Call>,
@@ -109,8 +113,8 @@
             registry: Registry::new(RegistrySettings::default()),
             router: Router::new(settings, case.seed),
             admissions: fleet.pools.iter().map(|count| admission(fleet, *count)).collect(),
-            retain: Retain::default(),
-            retries: Retries::new(RetrySettings::default(), case.seed),
+            retain: RetentionPolicy::default(),
+            retries: RetryPolicy::new(RetrySettings::default(), case.seed),
             machines: machines(fleet),
             programs: Vec::new(),
             calls: Vec::new(),
@@ -183,24 +187,24 @@
         }
         let program = &self.programs[self.calls[call].program];
         let pool = program.plan.pool;
-        let offer = Offer {
+        let offer = AdmissionRequest {
             org: org(&program.plan),
             class: program.plan.class,
             under_way: program.turn > 0 || program.parent.is_some(),
             priority: self.priority(call),
             deadline: Some(self.calls[call].asked + PATIENCE[usize::from(self.urgent(call))]),
-            service: self.service(call),
+            service_time: self.service(call),
         };
-        match self.admissions[pool].offer(self.now, offer) {
-            Admit::Now(ticket) => {
+        match self.admissions[pool].admit(self.now, offer) {
+            AdmissionDecision::Now(ticket) => {
                 self.calls[call].ticket = Some(ticket);
                 self.send(call);
             }
-            Admit::Queued(ticket) => {
+            AdmissionDecision::Queued(ticket) => {
                 self.calls[call].ticket = Some(ticket);
                 self.tickets.insert((pool, ticket), call);
             }
-            Admit::Shed { .. } => self.shed(call),
+            AdmissionDecision::Shed { .. } => self.shed(call),
         }
     }
 
@@ -230,9 +234,9 @@
             key.and_then(|key| self.registry.get(key)).map(|endpoint| endpoint.name.clone());
         let found = found.and_then(|name| self.machines.iter().position(|m| m.name == name));
         let (Some(key), Some(machine)) = (key, found) else { return self.failed(call) };
-        let held = ask.last.iter().find(|run| run.endpoint == self.machines[machine].name);
+        let held = ask.last_runs.iter().find(|run| run.endpoint == self.machines[machine].name);
         let fill = ask.prompt_tokens - held.map_or(0, |run| run.tokens.min(ask.prior_tokens));
-        let load = DispatchLoad { fill_tokens: fill, alone: false };
+        let load = DispatchLoad { prefill_tokens: fill, isolated: false };
         let dispatch = self.registry.dispatched(self.now, key, load);
         let priority = self.priority(call).0;
         let state = &mut self.calls[call];
@@ -265,20 +269,20 @@
         self.programs[id].last.retain(|run| run.endpoint == new);
     }
 
-    fn ask(&self, call: usize) -> RouteAsk {
+    fn ask(&self, call: usize) -> RouteRequest {
         let call = &self.calls[call];
         let program = &self.programs[call.program];
-        RouteAsk {
+        RouteRequest {
             target: Target::Model(model(program.plan.pool)),
             program: call.job.program,
             prompt_tokens: call.job.prompt,
             prior_tokens: call.job.prior,
-            output_guess: OUTPUT_GUESS,
+            expected_output: OUTPUT_GUESS,
             batch: None,
-            fill: None,
+            prefill_seconds: None,
             bytes: None,
-            last: program.last.clone(),
-            shared: Vec::new(),
+            last_runs: program.last.clone(),
+            shared_prefixes: Vec::new(),
             class: program.plan.class,
             place: program.plan.place,
             excluded: Vec::new(),
@@ -296,7 +300,7 @@
 
     fn first(&mut self, call: usize) {
         if let Some(dispatch) = self.calls[call].dispatch {
-            self.registry.filled(dispatch);
+            self.registry.prefilled(dispatch);
         }
     }
 
@@ -330,7 +334,7 @@
             return;
         }
         let id = self.calls[call].program;
-        self.tally.cache.thrown(self.programs[id].history);
+        self.tally.cache.record_evicted(self.programs[id].history);
         self.leave(call);
         self.end(id, false);
     }
@@ -376,7 +380,14 @@
         let org = org(&self.programs[id].plan);
         let advice = None;
         let failure = Failure::NotRun;
-        let ask = RetryAsk { org, attempts, repeatable: true, failure, deadline: None, advice };
+        let ask = RetryRequest {
+            org,
+            attempts,
+            repeatable: true,
+            failure,
+            deadline: None,
+            retry_after: advice,
+        };
         match self.retries.decide(self.now, &ask) {
             RetryDecision::At(at) => self.again(call, at),
             RetryDecision::Stop(_) => self.lose(call),
@@ -389,7 +400,9 @@
         let id = self.calls[call].program;
         self.leave(call);
         self.programs[id].last.retain(|run| {
-            self.registry.key(&run.endpoint).is_some_and(|key| self.registry.open(self.now, key))
+            self.registry
+                .key(&run.endpoint)
+                .is_some_and(|key| self.registry.is_available(self.now, key))
         });
         self.push(at, Event::Ready(id));
     }
@@ -414,8 +427,8 @@
     let mut settings = AdmissionSettings::default();
     let slots = f64::from(engines * fleet.slots);
     settings.limit.start = slots * fleet.overbook;
-    settings.limit.most = slots * fleet.overbook;
-    settings.limit.least = slots * 0.5;
+    settings.limit.max = slots * fleet.overbook;
+    settings.limit.min = slots * 0.5;
     Admission::new(settings)
 }
 
--- a/crates/gypsumglade/src/bench/policy/strategy.rs
+++ b/crates/gypsumglade/src/bench/policy/strategy.rs
@@ -2,7 +2,7 @@
 
 use gypsumglade_core::policy::mechanism::Mechanisms;
 use gypsumglade_core::policy::registry::{EndpointKey, Registry};
-use gypsumglade_core::policy::route::{LastRun, RouteAsk, Router};
+use gypsumglade_core::policy::route::{LastRun, RouteRequest, Router};
 use gypsumglade_core::prelude::*;
 
 /// Parts of our policy, each of which the benchmark switches off in turn.
@@ -59,15 +59,15 @@
     registry: &Registry,
     router: &mut Router,
     turn: &mut usize,
-    ask: &RouteAsk,
+    ask: &RouteRequest,
 ) -> Option<EndpointKey> {
     let gypsumglade_core::policy::route::Target::Model(model) = &ask.target else { return None };
     let all = registry.candidates(model).iter().copied();
-    let open: Vec<EndpointKey> = all.filter(|key| registry.open(now, *key)).collect();
+    let open: Vec<EndpointKey> = all.filter(|key| registry.is_available(now, *key)).collect();
     if open.is_empty() {
         return None;
     }
-    let own = ask.last.first().and_then(|run| registry.key(&run.endpoint));
+    let own = ask.last_runs.first().and_then(|run| registry.key(&run.endpoint));
     match strategy {
         Strategy::RoundRobin => Some(next(&open, turn)),
         Strategy::LeastLoaded => least(now, registry, &open, turn),
@@ -78,7 +78,7 @@
         Strategy::Affinity => {
             let key = |run: &LastRun| registry.key(&run.endpoint).filter(|key| open.contains(key));
             let longest =
-                ask.last.iter().filter(|run| key(run).is_some()).max_by_key(|run| run.tokens);
+                ask.last_runs.iter().filter(|run| key(run).is_some()).max_by_key(|run| run.tokens);
             Some(longest.and_then(key).unwrap_or_else(|| next(&open, turn)))
         }
         Strategy::Ours(_) => router.choose(now, registry, ask).ok().map(|choice| choice.endpoint),
--- a/crates/gypsumglade/src/bench/policy/tally.rs
+++ b/crates/gypsumglade/src/bench/policy/tally.rs
@@ -1,7 +1,7 @@
 //! What a run is judged by.
 
 use gypsumglade_core::policy::Class;
-use gypsumglade_core::policy::retain::CacheUse;
+use gypsumglade_core::policy::retention::CacheUse;
 use gypsumglade_core::prelude::*;
 
 use super::workload::Plan;
--- a/crates/gypsumglade/src/entry/admit.rs
+++ b/crates/gypsumglade/src/entry/admit.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex};
 
 use gypsumglade_core::policy::admission::{
-    Admission, AdmissionSettings, Admit, GivenUp, ShedReason, Signal, Ticket,
+    Admission, AdmissionDecision, AdmissionSettings, ExpiredCall, ShedReason, Signal, Ticket,
 };
 use gypsumglade_core::policy::priority::{Attained, Priority};
 use gypsumglade_core::prelude::*;
@@ -15,7 +15,7 @@
 use crate::clock::Clock;
 use crate::metrics::Metrics;
 
-pub use gypsumglade_core::policy::admission::Offer;
+pub use gypsumglade_core::policy::admission::AdmissionRequest;
 
 /// Pause between looks for waiting calls that can no longer be answered in time.
 pub const EXPIRY_PAUSE: Duration = Duration::from_millis(50);
@@ -37,7 +37,7 @@
 
 struct PoolState {
     admission: Admission,
-    waiters: HashMap<Ticket, oneshot::Sender<Result<(), GivenUp>>>,
+    waiters: HashMap<Ticket, oneshot::Sender<Result<(), ExpiredCall>>>,
 }
 
 /// The right to run one call; dropping it lets the next one start.
@@ -60,14 +60,16 @@
         &self,
         metrics: &Metrics,
         model: &str,
-        offer: Offer,
+        offer: AdmissionRequest,
     ) -> Result<Permit, Problem> {
         let pool = self.pool(model);
         let (admit, waiter) = pool.offer(offer);
         match admit {
-            Admit::Now(ticket) => Ok(Permit { pool, ticket }),
-            Admit::Shed { retry_after, reason } => Err(shed(metrics, reason, retry_after)),
-            Admit::Queued(ticket) => {
+            AdmissionDecision::Now(ticket) => Ok(Permit { pool, ticket }),
+            AdmissionDecision::Shed { retry_after, reason } => {
+                Err(shed(metrics, reason, retry_after))
+            }
+            AdmissionDecision::Queued(ticket) => {
                 // Taken before the wait: a caller that goes away drops it, and leaves the queue.
                 let permit = Permit { pool, ticket };
                 metrics.waiting(1);
@@ -156,12 +158,15 @@
         self.state.lock().expect("no panic while held")
     }
 
-    fn offer(&self, offer: Offer) -> (Admit, oneshot::Receiver<Result<(), GivenUp>>) {
+    fn offer(
+        &self,
+        offer: AdmissionRequest,
+    ) -> (AdmissionDecision, oneshot::Receiver<Result<(), ExpiredCall>>) {
         let (sender, receiver) = oneshot::channel();
         let now = self.clock.now();
         let mut state = self.state();
-        let admit = state.admission.offer(now, offer);
-        if let Admit::Queued(ticket) = admit {
+        let admit = state.admission.admit(now, offer);
+        if let AdmissionDecision::Queued(ticket) = admit {
             state.waiters.insert(ticket, sender);
         }
         (admit, receiver)
@@ -215,7 +220,7 @@
         ShedReason::OrgQueueFull => (ProblemKind::Overloaded, "organisation_queue"),
         ShedReason::QueueFull => (ProblemKind::Overloaded, "queue"),
         ShedReason::Deadline => (ProblemKind::Deadline, "deadline"),
-        ShedReason::Patience => (ProblemKind::Overloaded, "patience"),
+        ShedReason::MaxWait => (ProblemKind::Overloaded, "patience"),
     };
     metrics.shed(label);
     let millis = u64::try_from(retry_after.as_millis()).unwrap_or(u64::MAX);
--- a/crates/gypsumglade/src/entry/callers.rs
+++ b/crates/gypsumglade/src/entry/callers.rs
@@ -20,7 +20,7 @@
 use tokio_util::sync::CancellationToken;
 
 use super::active_bundle::ActiveBundle;
-use super::admit::{self, Offer};
+use super::admit::{self, AdmissionRequest};
 use super::answer::finish;
 use super::call::CallHeaders;
 use super::chat_request::ChatRequest;
@@ -231,14 +231,14 @@
     })
 }
 
-fn offer(call: &TurnCall) -> Offer {
-    Offer {
+fn offer(call: &TurnCall) -> AdmissionRequest {
+    AdmissionRequest {
         org: call.org.clone(),
         class: call.class,
         under_way: call.turn > 1,
         priority: admit::priority(call.class, call.turn),
         deadline: call.deadline,
-        service: SERVICE_GUESS,
+        service_time: SERVICE_GUESS,
     }
 }
 
--- a/crates/gypsumglade/src/entry/mod.rs
+++ b/crates/gypsumglade/src/entry/mod.rs
@@ -115,8 +115,8 @@
 const GROUP_RETRY_MS: u64 = 1_000;
 
 fn route_retry_ms(error: &RouteError) -> u64 {
-    let (RouteError::NoEndpoint { retry_after, .. } | RouteError::NoneFree { retry_after, .. }) =
-        error;
+    let (RouteError::NoEndpoint { retry_after, .. }
+    | RouteError::NoneAvailable { retry_after, .. }) = error;
     u64::try_from(retry_after.as_millis()).unwrap_or(u64::MAX)
 }
 
--- a/crates/gypsumglade/src/entry/model_version.rs
+++ b/crates/gypsumglade/src/entry/model_version.rs
@@ -20,7 +20,8 @@
             model.endpoints.iter().any(|pattern| pattern.matches(&endpoint.name))
         };
         let registry = &desk.registry;
-        let serves = |key| registry.open(now, key) && registry.get(key).is_some_and(allowed);
+        let serves =
+            |key| registry.is_available(now, key) && registry.get(key).is_some_and(allowed);
         if registry.candidates(&wanted).iter().any(|key| serves(*key)) {
             return wanted;
         }
--- a/crates/gypsumglade/src/entry/retrying.rs
+++ b/crates/gypsumglade/src/entry/retrying.rs
@@ -1,6 +1,6 @@
 //! Whether a failed attempt is followed by another, and the wait before it.
 
-use gypsumglade_core::policy::retry::{Failure, RetryAsk, RetryDecision};
+use gypsumglade_core::policy::retry::{Failure, RetryDecision, RetryRequest};
 use gypsumglade_core::prelude::*;
 
 use super::state::EntryState;
@@ -22,7 +22,7 @@
         repeatable: bool,
         deadline: Option<Time>,
     ) -> Attempts {
-        state.desk().retries.sent(org);
+        state.desk().retries.record_call(org);
         Attempts { org: org.clone(), repeatable, deadline, made: 0 }
     }
 
@@ -39,13 +39,13 @@
     ) -> bool {
         self.made += 1;
         let now = state.clock.now();
-        let ask = RetryAsk {
+        let ask = RetryRequest {
             org: self.org.clone(),
             attempts: self.made,
             repeatable: self.repeatable,
             failure,
             deadline: self.deadline,
-            advice: None,
+            retry_after: None,
         };
         let decision = state.desk().retries.decide(now, &ask);
         match decision {
--- a/crates/gypsumglade/src/entry/serve.rs
+++ b/crates/gypsumglade/src/entry/serve.rs
@@ -7,7 +7,7 @@
 use gypsumglade_core::lease::{LeaseSettings, VmRegion};
 use gypsumglade_core::policy::admission::AdmissionSettings;
 use gypsumglade_core::policy::registry::{Registry, RegistrySettings};
-use gypsumglade_core::policy::retry::{Retries, RetrySettings};
+use gypsumglade_core::policy::retry::{RetryPolicy, RetrySettings};
 use gypsumglade_core::policy::route::{Place, PolicyWeights, RouteSettings, Router};
 use gypsumglade_core::prelude::*;
 use tokio_util::sync::CancellationToken;
@@ -154,7 +154,7 @@
     let lease = LeaseSettings { length_ms: settings.timeouts.lease_ms, ..LeaseSettings::default() };
     let registry = Registry::new(RegistrySettings::default());
     let router = Router::new(RouteSettings::default(), rand::random());
-    let retries = Retries::new(RetrySettings::default(), rand::random());
+    let retries = RetryPolicy::new(RetrySettings::default(), rand::random());
     let map = GroupMap::new(&settings, &directory);
     Ok(EntryState {
         vm,
@@ -180,7 +180,7 @@
 /// Admission starts at what engines announce, and falls when they turn out to take less.
 fn admission_settings() -> AdmissionSettings {
     let mut settings = AdmissionSettings::default();
-    settings.limit.start = settings.limit.most;
+    settings.limit.start = settings.limit.max;
     settings
 }
 
@@ -221,7 +221,7 @@
             let policy = &active.bundle.policy;
             let weights =
                 PolicyWeights { latency: policy.latency_weight, waste: policy.waste_weight };
-            renewing.desk().router.reweigh(weights);
+            renewing.desk().router.set_weights(weights);
         })
         .await;
     });
--- a/crates/gypsumglade/src/entry/state.rs
+++ b/crates/gypsumglade/src/entry/state.rs
@@ -7,8 +7,8 @@
 use gypsumglade_core::policy::registry::{
     DispatchKey, DispatchLoad, Endpoint, EndpointKind, Registry,
 };
-use gypsumglade_core::policy::retry::Retries;
-use gypsumglade_core::policy::route::{Choice, Place, RouteAsk, RouteError, Router};
+use gypsumglade_core::policy::retry::RetryPolicy;
+use gypsumglade_core::policy::route::{Choice, Place, RouteError, RouteRequest, Router};
 use gypsumglade_core::prelude::*;
 use gypsumglade_core::wire::program::Release;
 use tokio_util::sync::CancellationToken;
@@ -102,7 +102,7 @@
 pub(super) struct Desk {
     pub(super) registry: Registry,
     pub(super) router: Router,
-    pub(super) retries: Retries,
+    pub(super) retries: RetryPolicy,
 }
 
 /// An endpoint chosen for a dispatch, counted as in flight there until it is settled.
@@ -139,7 +139,7 @@
     ///
     /// # Errors
     /// Says why no endpoint can take the call, and when to come back.
-    pub fn place_call(&self, ask: &RouteAsk) -> Result<Placed, RouteError> {
+    pub fn place_call(&self, ask: &RouteRequest) -> Result<Placed, RouteError> {
         let now = self.clock.now();
         let mut desk = self.desk();
         let desk = &mut *desk;
@@ -160,7 +160,7 @@
 
     /// Notes that an engine has computed a dispatch's prompt.
     pub fn prompt_filled(&self, placed: &Placed) {
-        self.desk().registry.filled(placed.key);
+        self.desk().registry.prefilled(placed.key);
     }
 
     /// Bounds each model's calls by this VM's share of the slots that engines announce.
@@ -236,13 +236,13 @@
     }
 
     fn count(&mut self, now: Time, choice: &Choice, alone: bool) -> Placed {
-        let load = DispatchLoad { fill_tokens: choice.fill_tokens, alone };
+        let load = DispatchLoad { prefill_tokens: choice.prefill_tokens, isolated: alone };
         let key = self.registry.dispatched(now, choice.endpoint, load);
         let endpoint = self.registry.get(choice.endpoint);
         let (name, address, region) = endpoint
             .map(|found| (found.name.clone(), found.address.clone(), found.region))
             .unwrap_or_default();
-        Placed { name, address, region, fill: choice.fill_tokens, key }
+        Placed { name, address, region, fill: choice.prefill_tokens, key }
     }
 }
 
@@ -279,7 +279,7 @@
         "kind": endpoint.kind,
         "address": endpoint.address,
         "leaving": endpoint.leaving,
-        "lease_ms": endpoint.until.since(now).as_millis() as u64,
+        "lease_ms": endpoint.lease_end.since(now).as_millis() as u64,
         "in_flight": load.total,
         "own": load.own,
         "stale": load.stale,
--- a/crates/gypsumglade/src/entry/tool.rs
+++ b/crates/gypsumglade/src/entry/tool.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use gypsumglade_core::policy::retry::Failure;
-use gypsumglade_core::policy::route::{RouteAsk, Target};
+use gypsumglade_core::policy::route::{RouteRequest, Target};
 use gypsumglade_core::prelude::*;
 use gypsumglade_core::wire::common::{Class, Outcome};
 use gypsumglade_core::wire::program::reply::Body as ReplyBody;
@@ -373,18 +373,18 @@
     }
 }
 
-fn route_ask(state: &EntryState, call: &ToolCall, excluded: &[EndpointName]) -> RouteAsk {
-    RouteAsk {
+fn route_ask(state: &EntryState, call: &ToolCall, excluded: &[EndpointName]) -> RouteRequest {
+    RouteRequest {
         target: Target::Service(call.service.clone()),
         program: super::program_hash(&call.org, &call.program),
         prompt_tokens: 0,
         prior_tokens: 0,
-        output_guess: 0,
+        expected_output: 0,
         batch: None,
-        fill: None,
+        prefill_seconds: None,
         bytes: None,
-        last: Vec::new(),
-        shared: Vec::new(),
+        last_runs: Vec::new(),
+        shared_prefixes: Vec::new(),
         class: call.class,
         place: state.place,
         excluded: excluded.to_vec(),
--- a/crates/gypsumglade/src/entry/turn.rs
+++ b/crates/gypsumglade/src/entry/turn.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use gypsumglade_core::policy::admission::Signal;
 use gypsumglade_core::policy::retry::Failure;
-use gypsumglade_core::policy::route::{LastRun, RouteAsk, Target};
+use gypsumglade_core::policy::route::{LastRun, RouteRequest, Target};
 use gypsumglade_core::prelude::*;
 use gypsumglade_core::wire::common::{Class, Outcome};
 use gypsumglade_core::wire::program::reply::Body as ReplyBody;
@@ -197,24 +197,24 @@
     call: &TurnCall,
     grant: &Grant,
     excluded: &[EndpointName],
-) -> RouteAsk {
+) -> RouteRequest {
     let prior_tokens = grant.prior / BYTES_PER_TOKEN;
     let last = grant.endpoints.iter().map(|name| LastRun {
         endpoint: name.as_str().into(),
         tokens: prior_tokens,
         at: state.clock.now(),
     });
-    RouteAsk {
+    RouteRequest {
         target: Target::Model(state.served_version(&call.model)),
         program: super::program_hash(&call.org, &call.program),
         prompt_tokens: grant.history.len() as u64 / BYTES_PER_TOKEN,
         prior_tokens,
-        output_guess: grant.max_output.min(call.request.output) / 2,
+        expected_output: grant.max_output.min(call.request.output) / 2,
         batch: None,
-        fill: None,
+        prefill_seconds: None,
         bytes: None,
-        last: last.take(MAX_LAST_RUNS).collect(),
-        shared: Vec::new(),
+        last_runs: last.take(MAX_LAST_RUNS).collect(),
+        shared_prefixes: Vec::new(),
         class: call.class,
         place: state.place,
         excluded: excluded.to_vec(),
--- a/crates/gypsumglade/src/gateway/follow.rs
+++ b/crates/gypsumglade/src/gateway/follow.rs
@@ -98,7 +98,7 @@
         next.extend(named);
         self.drop_gone(&next);
         self.known = next;
-        self.renewal.hurry();
+        self.renewal.make_due();
         slog::info!(self.state.log, "endpoints followed"; "change" => self.seen,
             "endpoints" => self.known.len(),
             "leaving" => self.known.values().filter(|record| record.leaving).count());
@@ -125,7 +125,7 @@
         let due = self.renewal.is_due(now, bundle.as_ref().map(|bundle| bundle.revision));
         if let Some(bundle) = bundle.filter(|_| due) {
             self.announce_all(now, &bundle);
-            self.renewal.done(now, bundle.revision);
+            self.renewal.record(now, bundle.revision);
         }
     }
 
--- a/crates/gypsumglade/src/gateway/opening.rs
+++ b/crates/gypsumglade/src/gateway/opening.rs
@@ -100,7 +100,7 @@
             Err(_) if patience < left => {
                 attempts.runs += 1;
                 let now = state.clock.now();
-                state.desk().registry.overdue(now, endpoint);
+                state.desk().registry.timed_out(now, endpoint);
                 slog::info!(state.log, "answer overdue"; "request" => %call.head.id,
                     "route" => %call.route.name, "endpoint" => attempts.tried.last().map(|name| name.as_str()),
                     "ms" => patience.as_millis() as u64);
@@ -122,7 +122,7 @@
         return left;
     }
     let time = state.desk().answers.get(&call.route.name).copied().unwrap_or_default();
-    time.patience(left, further)
+    time.hedge_delay(left, further)
 }
 
 fn note_answer(state: &GatewayState, call: &Call, took: Duration) {
--- a/crates/gypsumglade/src/gateway/placing.rs
+++ b/crates/gypsumglade/src/gateway/placing.rs
@@ -10,8 +10,8 @@
 use gypsumglade_core::policy::registry::{
     DispatchKey, DispatchLoad, EndpointKey, EndpointKind, LoadReport, ModelId, Registry,
 };
-use gypsumglade_core::policy::route::{Choice, RouteAsk, RouteError, SharedPrefix, Target};
-use gypsumglade_core::policy::stall::{StallWatch, Stalls};
+use gypsumglade_core::policy::route::{Choice, RouteError, RouteRequest, SharedPrefix, Target};
+use gypsumglade_core::policy::stall::{StallCount, StallDetector};
 use gypsumglade_core::prelude::*;
 use gypsumglade_core::wire::turn::PromptRun;
 use tokio::time::Instant;
@@ -37,7 +37,7 @@
     /// When it was placed.
     pub(super) placed: Instant,
     /// How often this process had stood still by then.
-    pub(super) stalls: Stalls,
+    pub(super) stalls: StallCount,
 }
 
 /// Returns the pool of a request, by the weights of its route. A program stays with one pool, where
@@ -64,13 +64,19 @@
     let now = state.clock.now();
     let desk = state.desk();
     let model = pool_model(&call.pool);
-    let open = desk.registry.candidates(&model).iter().filter(|key| desk.registry.open(now, **key));
-    let stretch = desk.speeds.get(&call.pool).map_or(1.0, |speed| speed.pace.stretch());
+    let open = desk
+        .registry
+        .candidates(&model)
+        .iter()
+        .filter(|key| desk.registry.is_available(now, **key));
+    let stretch = desk.speeds.get(&call.pool).map_or(1.0, |speed| speed.pace.ratio());
     let endpoints = open.filter_map(|key| desk.registry.get(*key));
-    endpoints.fold(PoolLoad { stretch, ..PoolLoad::default() }, |sum, endpoint| PoolLoad {
-        calls: sum.calls + u64::from(endpoint.load(now).total),
-        slots: sum.slots + u64::from(endpoint.kind.slots()),
-        ..sum
+    endpoints.fold(PoolLoad { slowdown: stretch, ..PoolLoad::default() }, |sum, endpoint| {
+        PoolLoad {
+            calls: sum.calls + u64::from(endpoint.load(now).total),
+            slots: sum.slots + u64::from(endpoint.kind.slots()),
+            ..sum
+        }
     })
 }
 
@@ -85,7 +91,7 @@
 /// Returns what is known of the speed of a call's pool.
 pub(super) fn learnt(state: &GatewayState, call: &Call) -> Learnt {
     let speed = state.desk().speeds.get(&call.pool).copied().unwrap_or_default();
-    Learnt { cost: speed.batch.cost(call.engine_slots()), fill: speed.fill.token() }
+    Learnt { cost: speed.batch.cost(call.engine_slots()), fill: speed.fill.token_time() }
 }
 
 /// Notes how long a stream's first event took an engine that had to read this many prompt tokens.
@@ -144,12 +150,11 @@
     let desk = &mut *desk;
     let ask = route_ask(state, desk, call, body, excluded);
     let choice = desk.router.choose(now, &desk.registry, &ask).map_err(|error| match error {
-        RouteError::NoEndpoint { retry_after, .. } | RouteError::NoneFree { retry_after, .. } => {
-            retry_after
-        }
+        RouteError::NoEndpoint { retry_after, .. }
+        | RouteError::NoneAvailable { retry_after, .. } => retry_after,
     })?;
     let flight = take_off(state, &mut desk.registry, &desk.watch, now, &choice);
-    for prefix in &ask.shared {
+    for prefix in &ask.shared_prefixes {
         desk.registry.expect_prefix(now, choice.endpoint, prefix.hash, prefix.tokens);
     }
     flight.ok_or(NO_ADDRESS_PAUSE)
@@ -162,18 +167,18 @@
 fn take_off(
     state: &Arc<GatewayState>,
     registry: &mut Registry,
-    watch: &StallWatch,
+    watch: &StallDetector,
     now: Time,
     choice: &Choice,
 ) -> Option<Flight> {
     let endpoint = registry.get(choice.endpoint)?;
     let (name, incarnation) = (endpoint.name.clone(), endpoint.incarnation);
     let address = endpoint.address.parse().ok()?;
-    let load = DispatchLoad { fill_tokens: choice.fill_tokens, alone: false };
+    let load = DispatchLoad { prefill_tokens: choice.prefill_tokens, isolated: false };
     let key = registry.dispatched(now, choice.endpoint, load);
     let state = Arc::clone(state);
     let stalls = watch.stalls(now);
-    let unread = choice.fill_tokens;
+    let unread = choice.prefill_tokens;
     Some(Flight {
         state,
         endpoint: choice.endpoint,
@@ -193,7 +198,7 @@
     call: &Call,
     body: &Bytes,
     excluded: &[EndpointName],
-) -> RouteAsk {
+) -> RouteRequest {
     let speed = desk.speeds.get(&call.pool).copied().unwrap_or_default();
     let engine = call.bundle.pool(&call.pool).is_some_and(|pool| pool.engine.is_some());
     let target = match engine {
@@ -201,17 +206,17 @@
         false => Target::Service(call.pool.clone()),
     };
     let key = call.head.affinity.as_deref().unwrap_or(&call.head.id);
-    RouteAsk {
+    RouteRequest {
         target,
         program: xxh3_64(key.as_bytes()),
         prompt_tokens: call.head.prompt_tokens,
         prior_tokens: 0,
-        output_guess: (call.head.most_tokens as f64 * OUTPUT_PART) as u64,
+        expected_output: (call.head.most_tokens as f64 * OUTPUT_PART) as u64,
         batch: speed.batch.cost(call.engine_slots()),
-        fill: speed.fill.token(),
+        prefill_seconds: speed.fill.token_time(),
         bytes: Some(body.len() as u64),
-        last: Vec::new(),
-        shared: shared_prefixes(call),
+        last_runs: Vec::new(),
+        shared_prefixes: shared_prefixes(call),
         class: if call.route.rank == 0 { Class::Urgent } else { Class::Normal },
         place: state.place,
         excluded: excluded.to_vec(),
@@ -246,13 +251,13 @@
         let now = self.state.clock.now();
         let report =
             LoadReport { running: load.running, waiting: load.waiting, ..LoadReport::default() };
-        self.state.desk().registry.reported(now, self.endpoint, report);
+        self.state.desk().registry.load_reported(now, self.endpoint, report);
     }
 
     /// Notes that the engine has read the prompt.
     pub(super) fn filled(&self) {
         if let Some(key) = self.key {
-            self.state.desk().registry.filled(key);
+            self.state.desk().registry.prefilled(key);
         }
     }
 
--- a/crates/gypsumglade/src/gateway/relay.rs
+++ b/crates/gypsumglade/src/gateway/relay.rs
@@ -256,7 +256,7 @@
             "route" => %self.call.route.name, "end" => ?end, "events" => self.events,
             "finish_ms" => self.call.finish().map(|finish| finish.as_millis() as u64),
             "prompt" => self.call.head.prompt_tokens, "unread" => unread,
-            "token_us" => micros(learnt.cost.map(|cost| cost.alone)),
+            "token_us" => micros(learnt.cost.map(|cost| cost.base)),
             "slope_us" => micros(learnt.cost.map(|cost| cost.slope)),
             "fill_us" => micros(learnt.fill),
             "settled" => settled == Settled::Durable, "settlement" => ?settled,
--- a/crates/gypsumglade/src/gateway/serve.rs
+++ b/crates/gypsumglade/src/gateway/serve.rs
@@ -11,7 +11,7 @@
 use gypsumglade_core::policy::outlier::HealthSettings;
 use gypsumglade_core::policy::registry::{Registry, RegistrySettings};
 use gypsumglade_core::policy::route::{Place, RouteSettings, Router};
-use gypsumglade_core::policy::stall::{self, StallWatch};
+use gypsumglade_core::policy::stall::{self, StallDetector};
 use gypsumglade_core::prelude::*;
 use gypsumglade_core::wire::discovery::Role;
 use http::StatusCode;
@@ -151,7 +151,7 @@
         router: Router::new(route_settings(&settings.policy), rand::random()),
         speeds: HashMap::new(),
         answers: HashMap::new(),
-        watch: StallWatch::new(clock.now()),
+        watch: StallDetector::new(clock.now()),
     };
     let process = Process { vm, role: Role::Entry, address: settings.listen.peers };
     let (shared, callers) = (Arc::clone(&directory), peers.clone());
@@ -206,11 +206,11 @@
 /// most of it would be gone. Endpoints start with what they need, so a short ramp is enough to spread
 /// what would come to a new one at once.
 const HEALTH: HealthSettings = HealthSettings {
-    failures: 4,
-    ejection: Duration::from_secs(1),
-    longest: Duration::from_secs(8),
-    ramp: Duration::from_millis(1_500),
-    floor: 0.25,
+    max_failures: 4,
+    base_ejection: Duration::from_secs(1),
+    max_ejection: Duration::from_secs(8),
+    ramp_time: Duration::from_millis(1_500),
+    min_share: 0.25,
 };
 /// Longest lease of an endpoint here; the control group says when one goes.
 const MAX_LEASE: Duration = Duration::from_secs(120);
@@ -245,7 +245,7 @@
 async fn watch_stalls(state: Arc<GatewayState>, halt: CancellationToken) {
     while !halt.is_cancelled() {
         let now = state.clock.now();
-        state.desk().watch.look(now);
+        state.desk().watch.tick(now);
         tokio::time::sleep(stall::TICK).await;
     }
 }
--- a/crates/gypsumglade/src/gateway/settlement.rs
+++ b/crates/gypsumglade/src/gateway/settlement.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use gypsumglade_core::policy::group_health::Need;
+use gypsumglade_core::policy::group_health::WaitRequest;
 use gypsumglade_core::policy::route::SharedPrefix;
 use gypsumglade_core::prelude::*;
 use gypsumglade_core::turns::Holding;
@@ -90,7 +90,8 @@
         lasts_ms: u64::try_from(call.left().as_millis()).unwrap_or(u64::MAX),
         prompts: starts.iter().map(|start| start.hash).collect(),
     };
-    let need = Need { left: call.left(), bytes: call.body.len(), spread: rand::random() };
+    let need =
+        WaitRequest { time_left: call.left(), bytes: call.body.len(), jitter: rand::random() };
     let ticket = client.admit(need).map_err(|refused| {
         state.metrics.shed(refused.reason);
         Refusal::Unavailable { after: refused.after }
@@ -133,7 +134,9 @@
         _ => {
             state.metrics.shed("group_silent");
             let left = call.left();
-            Err(Refusal::Unavailable { after: client.pause(Need { left, ..need }) })
+            Err(Refusal::Unavailable {
+                after: client.pause(WaitRequest { time_left: left, ..need }),
+            })
         }
     }
 }
--- a/crates/gypsumglade/src/gateway/state.rs
+++ b/crates/gypsumglade/src/gateway/state.rs
@@ -3,12 +3,12 @@
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard};
 
-use gypsumglade_core::policy::batch::{BatchFit, FillFit};
-use gypsumglade_core::policy::overload::PoolPace;
-use gypsumglade_core::policy::patience::AnswerTime;
+use gypsumglade_core::policy::batch::{BatchFit, PrefillFit};
+use gypsumglade_core::policy::hedging::ResponseTime;
+use gypsumglade_core::policy::overload::PoolSlowdown;
 use gypsumglade_core::policy::registry::Registry;
 use gypsumglade_core::policy::route::{Place, Router};
-use gypsumglade_core::policy::stall::StallWatch;
+use gypsumglade_core::policy::stall::StallDetector;
 use gypsumglade_core::prelude::*;
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
@@ -58,19 +58,19 @@
     /// How fast each pool's engines are.
     pub(super) speeds: HashMap<CompactString, Speed>,
     /// How long each route's answers take.
-    pub(super) answers: HashMap<CompactString, AnswerTime>,
-    pub(super) watch: StallWatch,
+    pub(super) answers: HashMap<CompactString, ResponseTime>,
+    pub(super) watch: StallDetector,
 }
 
 /// How fast a pool's engines are, as this VM's streams show it.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Speed {
     /// Generating now, against idle.
-    pub(super) pace: PoolPace,
+    pub(super) pace: PoolSlowdown,
     /// Generating, by what runs on one engine.
     pub(super) batch: BatchFit,
     /// Reading prompts.
-    pub(super) fill: FillFit,
+    pub(super) fill: PrefillFit,
 }
 
 impl GatewayState {
