--- a/crates/gypsumglade/src/gateway/streaming.rs
+++ b/crates/gypsumglade/src/gateway/streaming.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use gypsumglade_core::policy::mechanism::Mechanism;
-use gypsumglade_core::policy::overload::{self, Standing};
+use gypsumglade_core::policy::overload::{self, ProgramStatus};
 use http::{Response, StatusCode};
 use http_body_util::{BodyExt, StreamBody};
 use tokio::sync::mpsc;
@@ -56,12 +56,12 @@
         return Ok(());
     }
     let load = pool_load(state, call);
-    let standing = Standing { rank: call.route.rank, under_way };
+    let standing = ProgramStatus { rank: call.route.rank, under_way };
     let spread = rand::random::<f64>();
     overload::admit(load, standing, spread).map_err(|after| {
         slog::info!(state.log, "new program turned away"; "request" => %call.head.id,
             "route" => %call.route.name, "calls" => load.calls, "slots" => load.slots,
-            "stretch" => load.stretch);
+            "stretch" => load.slowdown);
         Refusal::Unavailable { after }
     })
 }
--- a/crates/gypsumglade/src/gateway/text_client.rs
+++ b/crates/gypsumglade/src/gateway/text_client.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 
 use bytes::{Bytes, BytesMut};
-use gypsumglade_core::policy::retry::{RepeatBudget, RetrySettings};
+use gypsumglade_core::policy::retry::{RetryBudget, RetrySettings};
 use gypsumglade_core::prelude::*;
 use gypsumglade_core::replication::repair::Candidate;
 use gypsumglade_core::turns::{Holding, preferred};
@@ -47,7 +47,7 @@
     silent: Arc<Mutex<HashMap<VmId, Instant>>>,
     hedging: RetrySettings,
     /// Hedges that puts have earned: while every store is slow, more would add to what slows them.
-    hedges: Arc<Mutex<RepeatBudget>>,
+    hedges: Arc<Mutex<RetryBudget>>,
 }
 
 impl TextClient {
@@ -61,7 +61,7 @@
     ) -> TextClient {
         let silent = Arc::default();
         let hedging = RetrySettings::default();
-        let hedges = Arc::new(Mutex::new(RepeatBudget::full(&hedging)));
+        let hedges = Arc::new(Mutex::new(RetryBudget::full(&hedging)));
         TextClient { discovery, directory, peers, region, copies, silent, hedging, hedges }
     }
 
@@ -235,7 +235,7 @@
         stores.into_iter().map(|store| store.vm).collect()
     }
 
-    fn hedges(&self) -> MutexGuard<'_, RepeatBudget> {
+    fn hedges(&self) -> MutexGuard<'_, RetryBudget> {
         self.hedges.lock().expect("no panic while held")
     }
 
--- a/crates/gypsumglade/src/gateway/turn_client.rs
+++ b/crates/gypsumglade/src/gateway/turn_client.rs
@@ -3,7 +3,9 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
 
-use gypsumglade_core::policy::group_health::{Admission, Ask, Change, End, GroupHealth, Need};
+use gypsumglade_core::policy::group_health::{
+    Decision, GroupHealth, HealthChange, RequestEnd, RequestId, WaitRequest,
+};
 use gypsumglade_core::prelude::*;
 use gypsumglade_core::wire::turn::command::Body as CommandBody;
 use gypsumglade_core::wire::turn::reply::Body as ReplyBody;
@@ -71,14 +73,16 @@
     }
 
     /// Decides whether a caller may ask now.
-    pub(super) fn admit(&self, need: Need) -> Result<Ticket, Refused> {
+    pub(super) fn admit(&self, need: WaitRequest) -> Result<Ticket, Refused> {
         let now = self.shared.clock.now();
         match self.shared.health().admit(now, need) {
-            Admission::Ask { ask, patience } => {
+            Decision::Proceed { id: ask, timeout: patience } => {
                 let asking = Asking { shared: Arc::clone(&self.shared), ask: Some(ask) };
                 Ok(Ticket { asking, patience })
             }
-            Admission::Refuse { after, reason } => Err(Refused { after, reason: reason.name() }),
+            Decision::Refuse { retry_after: after, reason } => {
+                Err(Refused { after, reason: reason.name() })
+            }
         }
     }
 
@@ -97,8 +101,8 @@
     }
 
     /// Returns when a caller that found no answer should come back.
-    pub(super) fn pause(&self, need: Need) -> Duration {
-        self.shared.health().pause(self.shared.clock.now(), need)
+    pub(super) fn pause(&self, need: WaitRequest) -> Duration {
+        self.shared.health().retry_after(self.shared.clock.now(), need)
     }
 }
 
@@ -121,7 +125,7 @@
         let command = Command { body: Some(body) };
         let until = Instant::now() + whole;
         let answer = tokio::time::timeout_at(until, self.ask_leaders(&command)).await.ok();
-        asking.end(if answer.is_some() { End::Answered } else { End::Silent });
+        asking.end(if answer.is_some() { RequestEnd::Answered } else { RequestEnd::TimedOut });
         answer
     }
 
@@ -188,7 +192,7 @@
 
     fn look_for_leader(self: &Arc<Self>) {
         let shared = Arc::clone(self);
-        self.search.start(move || shared.health().found());
+        self.search.start(move || shared.health().leader_found());
     }
 
     fn health(&self) -> MutexGuard<'_, GroupHealth> {
@@ -199,24 +203,24 @@
 /// An ask that the health counts until its end, or until whoever asks has left.
 struct Asking {
     shared: Arc<Shared>,
-    ask: Option<Ask>,
+    ask: Option<RequestId>,
 }
 
 impl Asking {
-    fn end(mut self, end: End) {
+    fn end(mut self, end: RequestEnd) {
         self.settle(end);
     }
 
-    fn settle(&mut self, end: End) {
+    fn settle(&mut self, end: RequestEnd) {
         let Some(ask) = self.ask.take() else { return };
         let change = self.shared.health().end(self.shared.clock.now(), ask, end);
         match change {
             None => {}
-            Some(Change::Lost(silence)) => {
+            Some(HealthChange::Lost(silence)) => {
                 slog::warn!(self.shared.log, "turn group lost";
                     "silent_ms" => silence.as_millis() as u64);
             }
-            Some(Change::Regained(silence)) => {
+            Some(HealthChange::Recovered(silence)) => {
                 slog::info!(self.shared.log, "turn group regained";
                     "silent_ms" => silence.as_millis() as u64);
             }
@@ -226,6 +230,6 @@
 
 impl Drop for Asking {
     fn drop(&mut self) {
-        self.settle(End::Dropped);
+        self.settle(RequestEnd::Cancelled);
     }
 }
