--- a/crates/core/src/policy/admission/queue.rs
+++ b/crates/core/src/policy/admission/queue.rs
@@ -17,7 +17,7 @@
 const MIN_COST: f64 = 0.01;
 
 /// Most turns that an organisation skips for one long call.
-const MAX_DEBT: f64 = 5.0;
+const MAX_COST: f64 = 5.0;
 
 /// Bands in the order in which they are served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -228,8 +228,8 @@
             if queue.credit <= 0.0 {
                 continue;
             }
-            let max_debt = self.quantum * MAX_DEBT;
-            queue.credit -= head.get().cost.clamp(MIN_COST, max_debt);
+            let max_cost = self.quantum * MAX_COST;
+            queue.credit -= head.get().cost.clamp(MIN_COST, max_cost);
             let ticket = head.remove().ticket;
             org.waiting -= 1;
             self.counts[index] -= 1;
--- a/crates/core/src/policy/hedging.rs
+++ b/crates/core/src/policy/attempt_timeout.rs
@@ -10,9 +10,9 @@
 const GAIN: f64 = 0.05;
 /// How many times longer than answers take on the mean a call is waited for: of answers that vary as
 /// much as their mean, one in fifty takes longer.
-const HEDGE_FACTOR: f64 = 5.0;
+const TIMEOUT_FACTOR: f64 = 5.0;
 /// Shortest wait: less would take a moment's delay on the way for a lost answer.
-const MIN_HEDGE_DELAY: Duration = Duration::from_millis(100);
+const MIN_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// How long a route's answers take.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -31,13 +31,13 @@
 
     /// Returns how long to wait for an attempt of a call that has `time_left`, and may have `further_attempts`
     /// attempts after this one. Each of those keeps its equal part of the time.
-    pub fn hedge_delay(&self, time_left: Duration, further_attempts: u32) -> Duration {
+    pub fn attempt_timeout(&self, time_left: Duration, further_attempts: u32) -> Duration {
         if further_attempts == 0 {
             return time_left;
         }
         let share = time_left / (further_attempts + 1);
         let usual =
-            self.mean.map(|mean| Duration::from_secs_f64(mean * HEDGE_FACTOR).max(MIN_HEDGE_DELAY));
+            self.mean.map(|mean| Duration::from_secs_f64(mean * TIMEOUT_FACTOR).max(MIN_TIMEOUT));
         usual.map_or(share, |usual| usual.min(share))
     }
 }
--- a/crates/core/src/policy/mod.rs
+++ b/crates/core/src/policy/mod.rs
@@ -8,16 +8,16 @@
 //! - [`batch`]: how fast engines read and generate, by what they run; [`mod@regression`] learns it.
 //! - [`group_health`]: whether a replicated group answers, and who is refused meanwhile.
 //! - [`mechanism`]: the list of what can be switched off.
-//! - [`hedging`]: how long an answer is waited for before another endpoint is asked.
+//! - [`attempt_timeout`]: how long an answer is waited for before another endpoint is asked.
 //! - [`priority`]: the order among programs that wait.
 //! - [`retention`]: prefix memory across tool pauses.
 //! - [`stall`]: whether this process stood still.
 //! - [`retry`] and [`outlier`]: what is tried again and where (docs/design/retries.md).
 
 pub mod admission;
+pub mod attempt_timeout;
 pub mod batch;
 pub mod group_health;
-pub mod hedging;
 pub mod mechanism;
 pub mod outlier;
 pub mod overload;
--- a/crates/core/src/policy/retention.rs
+++ b/crates/core/src/policy/retention.rs
@@ -189,7 +189,7 @@
 /// Below four fifths full nothing is pushed out. The rate of a full engine was tuned with
 /// `gypsumglade bench policy` on the tuning seeds; see docs/measurements/policy.md.
 fn eviction_rate(pressure: f64) -> f64 {
-    const NO_EVICTION: f64 = 0.8;
+    const EVICTION_THRESHOLD: f64 = 0.8;
     const FULL_RATE: f64 = 1.0 / 50.0;
-    ((pressure - NO_EVICTION) / (1.0 - NO_EVICTION)).clamp(0.0, 1.0) * FULL_RATE
+    ((pressure - EVICTION_THRESHOLD) / (1.0 - EVICTION_THRESHOLD)).clamp(0.0, 1.0) * FULL_RATE
 }
--- a/crates/core/tests/policy_patience.rs
+++ b/crates/core/tests/policy_patience.rs
@@ -1,6 +1,6 @@
 //! How long an answer is waited for.
 
-use gypsumglade_core::policy::hedging::ResponseTime;
+use gypsumglade_core::policy::attempt_timeout::ResponseTime;
 use gypsumglade_core::prelude::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
@@ -19,19 +19,19 @@
 /// program fails; asked again elsewhere after a few times what lookups take, it goes on.
 #[test]
 fn patience_leaves_time_for_another() {
-    let patience = used_to(50).hedge_delay(LEFT, 1);
+    let patience = used_to(50).attempt_timeout(LEFT, 1);
     assert!(patience >= Duration::from_millis(200), "{patience:?}");
     assert!(patience <= Duration::from_millis(300), "{patience:?}");
 }
 
 #[test]
 fn patience_whole_on_last_attempt() {
-    assert_eq!(used_to(50).hedge_delay(LEFT, 0), LEFT);
+    assert_eq!(used_to(50).attempt_timeout(LEFT, 0), LEFT);
 }
 
 #[test]
 fn patience_before_answers_is_equal_part() {
-    assert_eq!(ResponseTime::default().hedge_delay(LEFT, 2), LEFT / 3);
+    assert_eq!(ResponseTime::default().attempt_timeout(LEFT, 2), LEFT / 3);
 }
 
 /// Endpoints are loaded and all answers slow. Sent once more after the time that they took when idle,
@@ -42,7 +42,7 @@
     for _ in 0..100 {
         time.observe(Duration::from_millis(120));
     }
-    assert!(time.hedge_delay(LEFT, 1) > Duration::from_millis(500));
+    assert!(time.attempt_timeout(LEFT, 1) > Duration::from_millis(500));
 }
 
 proptest! {
@@ -61,6 +61,6 @@
         let mut time = ResponseTime::default();
         took.into_iter().for_each(|took| time.observe(Duration::from_millis(took)));
         let left = Duration::from_millis(left);
-        prop_assert!(time.hedge_delay(left, further) <= left);
+        prop_assert!(time.attempt_timeout(left, further) <= left);
     }
 }
--- a/crates/gypsumglade/src/gateway/opening.rs
+++ b/crates/gypsumglade/src/gateway/opening.rs
@@ -122,7 +122,7 @@
         return left;
     }
     let time = state.desk().answers.get(&call.route.name).copied().unwrap_or_default();
-    time.hedge_delay(left, further)
+    time.attempt_timeout(left, further)
 }
 
 fn note_answer(state: &GatewayState, call: &Call, took: Duration) {
--- a/crates/gypsumglade/src/gateway/state.rs
+++ b/crates/gypsumglade/src/gateway/state.rs
@@ -3,8 +3,8 @@
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard};
 
+use gypsumglade_core::policy::attempt_timeout::ResponseTime;
 use gypsumglade_core::policy::batch::{BatchFit, PrefillFit};
-use gypsumglade_core::policy::hedging::ResponseTime;
 use gypsumglade_core::policy::overload::PoolSlowdown;
 use gypsumglade_core::policy::registry::Registry;
 use gypsumglade_core::policy::route::{Place, Router};
