--- a/crates/core/src/policy/admission/limit.rs
+++ b/crates/core/src/policy/admission/limit.rs
@@ -1,21 +1,21 @@
-//! Concurrency limit that follows what the endpoints can take.
+//! Concurrency limit that adapts to the capacity of the endpoints.
 
 use crate::prelude::*;
 
-/// Bounds and steps of the limit.
+/// Bounds and steps of the concurrency limit.
 #[derive(Clone, Debug)]
 pub struct LimitSettings {
-    /// Limit to start with.
+    /// Initial limit.
     pub start: f64,
-    /// Never below this.
+    /// Lowest limit.
     pub min: f64,
-    /// Never above this.
+    /// Highest limit, until [`Limit::set_max`] replaces it.
     pub max: f64,
-    /// Mean wait for an engine's slot above which the limit falls, in seconds.
+    /// Mean wait for a slot, in seconds, above which the limit decreases.
     pub target_wait: f64,
-    /// Factor of a step down.
+    /// Factor by which the limit decreases.
     pub decrease_factor: f64,
-    /// Least time between two steps down.
+    /// Shortest time between two decreases.
     pub decrease_interval: Duration,
 }
 
@@ -32,22 +32,22 @@
     }
 }
 
-/// Weight of the newest wait in the mean.
+/// Weight of the newest wait in the moving average.
 const GAIN: f64 = 0.02;
 
-/// Wait that a refusal counts as, in targets.
+/// Wait that [`Signal::Overloaded`] counts as, in multiples of the target wait.
 const OVERLOAD_FACTOR: f64 = 5.0;
 
-/// What one finished call says about the endpoints behind the limit.
+/// Feedback from one call about the load of its endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Signal {
-    /// The call waited this long inside its endpoint before it ran.
+    /// The call waited this long inside the endpoint before it ran.
     Waited(Duration),
-    /// The endpoint refused it because it was full.
+    /// The endpoint refused the call because it was full.
     Overloaded,
 }
 
-/// Additive increase, multiplicative decrease.
+/// Concurrency limit with additive increase and multiplicative decrease (AIMD).
 #[derive(Clone, Debug)]
 pub struct Limit {
     settings: LimitSettings,
@@ -58,7 +58,7 @@
 }
 
 impl Limit {
-    /// Starts at the configured value.
+    /// Creates a limit with the initial value of `settings`.
     pub fn new(settings: LimitSettings) -> Limit {
         Limit {
             value: settings.start,
@@ -74,10 +74,12 @@
         self.value as u32
     }
 
-    /// Steps on a signal; `busy` tells that the limit is in use, or growing it would mean nothing.
+    /// Adjusts the limit to a signal. An increase needs `busy`, which tells that the limit is fully
+    /// used.
     ///
-    /// The mean decides and not the single call: with affinity one engine may have a queue while
-    /// the pool has room, and a limit that falls on each such call empties the pool.
+    /// The moving average decides rather than the single call: with prefix affinity one engine may
+    /// have a queue while the pool has room, and a limit that decreased on each such call would
+    /// leave engines idle.
     pub fn observe(&mut self, now: Time, signal: Signal, busy: bool) {
         let sample = match signal {
             Signal::Waited(wait) => wait.as_secs_f64(),
@@ -97,10 +99,11 @@
         self.value = (self.value * self.settings.decrease_factor).max(self.settings.min);
     }
 
-    /// Follows a known change of capacity, such as engines that came or left.
+    /// Sets the upper bound after a change of capacity, such as engines that were added or removed.
     ///
-    /// The limit keeps its share of the capacity. Grown only step by step, it would take minutes to
-    /// use engines that came back, and callers would be shed while engines are idle.
+    /// The limit keeps its ratio to the bound, and the first bound becomes the limit. Growing step
+    /// by step, the limit would take minutes to use engines that came back, and calls would be shed
+    /// while engines are idle.
     pub fn set_max(&mut self, max: f64) {
         let max = max.max(self.settings.min);
         let share = if self.max_known { self.value / self.settings.max } else { 1.0 };
--- a/crates/core/src/policy/admission/mod.rs
+++ b/crates/core/src/policy/admission/mod.rs
@@ -1,9 +1,11 @@
-//! Admission: whether a call starts now, waits, or is told at once to come back later.
+//! Admission control: decides whether a call starts now, waits in a queue, or is shed with a retry
+//! delay.
 //!
-//! One value guards one pool of endpoints (a model or a service). It keeps no clock and starts
-//! nothing: it says which tickets may run. Organisations share by deficit round robin, programs
-//! under way come before new ones, urgent calls first within a bound, and a call that cannot make
-//! its deadline is shed while that still helps its caller. See docs/design/admission.md.
+//! One [`Admission`] guards one pool of endpoints (a model or a service). It has no clock and
+//! starts no calls itself: callers pass the time in and run the tickets that it returns.
+//! Organisations share the pool by surplus round robin, calls of programs under way start before
+//! those of new programs, and urgent calls start first, up to a bound. A call that can't meet its
+//! deadline is shed while its caller still has time to go elsewhere. See docs/design/admission.md.
 
 mod limit;
 mod queue;
@@ -26,13 +28,13 @@
 use crate::prelude::*;
 
 new_key_type! {
-    /// A call that was let in or waits.
+    /// Identifies a running or queued call.
     pub struct Ticket;
-    /// An organisation with calls here.
+    /// Identifies an organisation with running or queued calls.
     pub struct OrgKey;
 }
 
-/// How often organisations without calls are forgotten.
+/// Interval between removals of organisations without calls.
 const SWEEP_EVERY: Duration = Duration::from_secs(60);
 
 #[derive(Clone, Copy, Debug)]
@@ -48,7 +50,7 @@
     service_time: Duration,
 }
 
-/// Lets calls in for one pool of endpoints.
+/// Admission control for one pool of endpoints.
 #[derive(Clone, Debug)]
 pub struct Admission {
     settings: AdmissionSettings,
@@ -64,7 +66,7 @@
 }
 
 impl Admission {
-    /// Makes an admission with nothing running.
+    /// Creates an admission control without calls.
     pub fn new(settings: AdmissionSettings) -> Admission {
         let max_runs = [settings.urgent_run, settings.under_way_run];
         Admission {
@@ -81,7 +83,7 @@
         }
     }
 
-    /// Decides about a call. Takes the same time for any number of organisations.
+    /// Starts, queues or sheds a call, in time independent of the number of organisations.
     pub fn admit(&mut self, now: Time, request: AdmissionRequest) -> AdmissionDecision {
         let org = self.org(&request.org);
         let band = self.band(&request);
@@ -97,7 +99,7 @@
         AdmissionDecision::Queued(self.queue(now, &request, org, band))
     }
 
-    /// Ends a running call and returns those that start in its place.
+    /// Ends a running call and returns the queued calls that start in its place.
     pub fn release(&mut self, now: Time, ticket: Ticket) -> Vec<Ticket> {
         let Some(call) = self.calls.get(ticket).copied() else { return Vec::new() };
         if !matches!(call.state, State::Running) {
@@ -114,7 +116,8 @@
         self.start_waiting()
     }
 
-    /// Takes back a call whose caller went away, waiting or running.
+    /// Removes a running or queued call whose caller went away, and returns the queued calls that
+    /// start in its place.
     pub fn cancel(&mut self, now: Time, ticket: Ticket) -> Vec<Ticket> {
         let Some(call) = self.calls.get(ticket).copied() else { return Vec::new() };
         if matches!(call.state, State::Running) {
@@ -125,10 +128,11 @@
         Vec::new()
     }
 
-    /// Gives up the waiting calls that could no longer be answered in time.
+    /// Removes the queued calls that can't be answered in time any more, and returns them.
     ///
-    /// A call is given up at its deadline less its expected service, not at the deadline: by then
-    /// its caller has time left to go elsewhere, and running it would only help nobody.
+    /// A call expires at its deadline less its expected service time: its caller still has time to
+    /// go elsewhere, and no slot is spent on an answer that would come too late. A program's first
+    /// call also expires once it has waited for `max_wait`.
     pub fn expire(&mut self, now: Time) -> Vec<ExpiredCall> {
         self.sweep(now);
         let mut expired = Vec::new();
@@ -146,40 +150,42 @@
         expired
     }
 
-    /// Returns when [`Admission::expire`] has something to do.
+    /// Returns the time at which the next queued call expires.
     pub fn next_expiry(&self) -> Option<Time> {
         self.latest_starts.first().map(|(at, _)| *at)
     }
 
-    /// Feeds the concurrency limit, and returns calls that a higher limit lets in.
+    /// Feeds a signal to the concurrency limit, and returns the queued calls that start as a
+    /// result.
     pub fn observe(&mut self, now: Time, signal: Signal) -> Vec<Ticket> {
         let busy = self.running >= self.limit.get();
         self.limit.observe(now, signal, busy);
         self.start_waiting()
     }
 
-    /// Bounds the limit by the slots that endpoints announce, and lets in what now fits.
+    /// Sets the upper bound of the concurrency limit, usually from the slots that endpoints
+    /// announce, and returns the queued calls that start as a result.
     pub fn resize(&mut self, max: f64) -> Vec<Ticket> {
         self.limit.set_max(max);
         self.start_waiting()
     }
 
-    /// Returns calls running.
+    /// Returns the number of running calls.
     pub fn running(&self) -> u32 {
         self.running
     }
 
-    /// Returns calls waiting.
+    /// Returns the number of queued calls.
     pub fn waiting(&self) -> u32 {
         self.queues.len()
     }
 
-    /// Returns the concurrency limit in force.
+    /// Returns the current concurrency limit.
     pub fn limit(&self) -> u32 {
         self.limit.get()
     }
 
-    /// Returns organisations with calls here.
+    /// Returns the number of known organisations, including idle ones that aren't removed yet.
     pub fn orgs(&self) -> usize {
         self.names.len()
     }
@@ -195,7 +201,8 @@
         key
     }
 
-    /// Forgets organisations without calls, now and then, so that names do not pile up.
+    /// Removes organisations without calls every [`SWEEP_EVERY`], which bounds the memory for their
+    /// names.
     fn sweep(&mut self, now: Time) {
         if now.since(self.last_sweep) < SWEEP_EVERY {
             return;
@@ -223,7 +230,7 @@
         }
     }
 
-    /// Returns true when no waiting call could use a free place before one of this band.
+    /// Returns true when no queued call may start before a new one of this band.
     fn is_next(&self, band: Band) -> bool {
         match band {
             Band::Urgent => self.queues.count(Band::Urgent) == 0,
@@ -231,7 +238,7 @@
         }
     }
 
-    /// Returns the places that any class may use.
+    /// Returns the part of the limit that isn't reserved for urgent calls.
     fn shared_limit(&self) -> u32 {
         let limit = self.limit.get();
         let reserve = (f64::from(limit) * self.settings.reserve) as u32;
@@ -263,15 +270,16 @@
             .then_some((ShedReason::MaxWait, retry_after))
     }
 
-    /// Returns how long a new call of `org` is expected to wait.
+    /// Returns the expected wait of a new call of `org`.
     fn wait(&self, now: Time, org: OrgKey, band: Band, service_time: Duration) -> Duration {
         let fallback_rate = f64::from(self.limit.get()) / service_time.as_secs_f64().max(0.01);
         let rate = self.rate.get(now, fallback_rate).max(1e-3);
-        // Its own start takes a release too.
+        // The call's own start needs a release too.
         Duration::from_secs_f64((f64::from(self.queues.ahead(org, band)) + 1.0) / rate)
     }
 
-    /// Returns when the calls that now lie before this one will have started.
+    /// Returns the time until the calls ahead of this one should have started, within the
+    /// configured range.
     fn retry_after(&self, now: Time, org: OrgKey, band: Band, service_time: Duration) -> Duration {
         let [min, max] = self.settings.retry_range;
         self.wait(now, org, band, service_time).clamp(min, max)
--- a/crates/core/src/policy/admission/queue.rs
+++ b/crates/core/src/policy/admission/queue.rs
@@ -1,10 +1,10 @@
-//! Waiting calls: three bands, fair among organisations within each, all in constant time.
+//! Queues of waiting calls: three bands, each fair among organisations.
 //!
-//! Within a band, organisations take turns of one call each (surplus round robin): each turn brings
-//! a quantum of expected seconds, and a call that costs more leaves a debt for which the next turns
-//! are skipped. A debt is bounded, so that a start looks at a bounded number of organisations on
-//! average, however many are waiting. Turns of one call and not of a whole quantum's worth: a flood
-//! of short calls would otherwise run a burst before each call of a quiet organisation.
+//! Each band serves its organisations by surplus round robin. A turn starts one call and pays for a
+//! quantum of expected seconds; a call that costs more leaves a debt, for which the next turns are
+//! skipped. The debt is bounded, so that a start looks at a bounded number of organisations on
+//! average. A turn starts a single call rather than a whole quantum's worth, because a flood of
+//! short calls would otherwise run a burst before each call of another organisation.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -13,38 +13,38 @@
 use super::{OrgKey, Ticket};
 use crate::prelude::*;
 
-/// Least seconds that a call counts for, so that free calls cannot take turns without end.
+/// Lowest cost of a call in seconds, so that calls without expected cost use up credit too.
 const MIN_COST: f64 = 0.01;
 
-/// Most turns that an organisation skips for one long call.
+/// Highest cost of a call in quanta, which bounds the turns that an organisation skips.
 const MAX_COST: f64 = 5.0;
 
-/// Bands in the order in which they are served.
+/// Priority bands, in the order in which they are served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Band {
     /// Urgent calls.
     Urgent,
-    /// Calls of programs that already ran a turn.
+    /// Calls of programs that have run a turn before.
     UnderWay,
     /// First calls of programs.
     New,
 }
 
-/// Place of a call in its organisation's queue: earlier first, ties by arrival.
+/// Position of a call in its organisation's queue; the lowest starts first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Rank {
-    /// Arrival, put back by the program's attained service.
+    /// Arrival time, plus the delay of the call's priority.
     pub at: Time,
-    /// Order of arrival.
+    /// Order of arrival, which breaks ties.
     pub sequence: u64,
 }
 
-/// One waiting call.
+/// A queued call.
 #[derive(Clone, Copy, Debug)]
 pub struct QueuedCall {
-    /// Its ticket.
+    /// Ticket that is returned when the call starts.
     pub ticket: Ticket,
-    /// Expected seconds of service.
+    /// Expected service time in seconds.
     pub cost: f64,
 }
 
@@ -55,26 +55,26 @@
     listed: bool,
 }
 
-/// The queues of one organisation.
+/// Queues and counts of one organisation.
 #[derive(Clone, Debug)]
 pub struct Org {
-    /// The organisation's name.
+    /// Name under which the organisation is known to [`Admission`](super::Admission).
     pub name: OrgName,
-    /// Calls it has waiting.
+    /// Number of queued calls.
     pub waiting: u32,
-    /// Calls it has running.
+    /// Number of running calls.
     pub running: u32,
     queues: [OrgQueue; 3],
 }
 
 impl Org {
-    /// Makes an organisation without calls.
+    /// Creates an organisation without calls.
     pub fn new(name: OrgName) -> Org {
         Org { name, waiting: 0, running: 0, queues: Default::default() }
     }
 }
 
-/// All waiting calls of one admission.
+/// All queued calls of one [`Admission`](super::Admission).
 #[derive(Clone, Debug)]
 pub struct Queues {
     orgs: SlotMap<OrgKey, Org>,
@@ -86,8 +86,10 @@
 }
 
 impl Queues {
-    /// Makes empty queues. `quantum` is the seconds that one turn pays for; `max_runs` are the most
-    /// starts in a row of urgent calls, and of calls under way, while a later band waits.
+    /// Creates empty queues.
+    ///
+    /// `quantum` is the time in seconds that one turn pays for. `max_runs` limits the starts in a
+    /// row of urgent calls, and of calls under way, while a later band has calls queued.
     pub fn new(quantum: f64, max_runs: [u32; 2]) -> Queues {
         Queues {
             orgs: SlotMap::with_key(),
@@ -99,22 +101,22 @@
         }
     }
 
-    /// Adds an organisation.
+    /// Adds an organisation and returns its key.
     pub fn add_org(&mut self, name: OrgName) -> OrgKey {
         self.orgs.insert(Org::new(name))
     }
 
-    /// Returns an organisation.
+    /// Returns an organisation, if it is known.
     pub fn org(&mut self, key: OrgKey) -> Option<&mut Org> {
         self.orgs.get_mut(key)
     }
 
-    /// Returns how many calls of an organisation wait.
+    /// Returns the number of queued calls of an organisation.
     pub fn waiting(&self, key: OrgKey) -> u32 {
         self.orgs.get(key).map_or(0, |org| org.waiting)
     }
 
-    /// Removes organisations that have nothing waiting or running, and returns their names.
+    /// Removes organisations without queued or running calls, and returns their names.
     pub fn sweep(&mut self) -> Vec<OrgName> {
         let idle = |(key, org): (OrgKey, &Org)| (org.waiting + org.running == 0).then_some(key);
         let keys: Vec<OrgKey> = self.orgs.iter().filter_map(idle).collect();
@@ -126,20 +128,20 @@
         names
     }
 
-    /// Returns how many calls wait in a band.
+    /// Returns the number of queued calls in a band.
     pub fn count(&self, band: Band) -> u32 {
         self.counts[band as usize]
     }
 
-    /// Returns how many calls wait.
+    /// Returns the number of queued calls.
     pub fn len(&self) -> u32 {
         self.counts.iter().sum()
     }
 
-    /// Returns how many starts lie before a new call of `org` in `band`, at most.
+    /// Returns the maximum number of starts before a new call of `org` in `band`.
     ///
-    /// Each organisation with calls waiting gets a turn for each turn of this one, and the bands
-    /// before come first.
+    /// Each organisation with queued calls gets a turn for each turn of this one, and the calls of
+    /// earlier bands come first.
     pub fn ahead(&self, org: OrgKey, band: Band) -> u32 {
         let index = band as usize;
         let before: u32 = self.counts[..index].iter().sum();
@@ -161,7 +163,7 @@
         }
     }
 
-    /// Takes a call out before its turn.
+    /// Removes a call before it starts.
     pub fn remove(&mut self, org: OrgKey, band: Band, rank: Rank) {
         let Some(entry) = self.orgs.get_mut(org) else { return };
         if entry.queues[band as usize].calls.remove(&rank).is_some() {
@@ -170,7 +172,7 @@
         }
     }
 
-    /// Takes the next call out, if `urgent_only` allows any.
+    /// Removes the next call and returns its ticket; with `urgent_only`, other bands aren't served.
     pub fn pop(&mut self, urgent_only: bool) -> Option<Ticket> {
         let band = if urgent_only { Band::Urgent } else { self.next_band() };
         let ticket = self.pop_band(band)?;
@@ -178,11 +180,11 @@
         Some(ticket)
     }
 
-    /// Chooses the band that is served next.
+    /// Returns the band that is served next.
     ///
-    /// The order is strict but for one start in each run: a flood of urgent calls, or of programs
-    /// under way, would otherwise hold new callers off until they hang up. With the bound, the
-    /// first call of a later band waits for a known number of starts.
+    /// The order of bands is strict except for one start after each run. Without that exception, a
+    /// flood of urgent calls or of programs under way would starve new callers; with it, the first
+    /// call of a later band waits for a bounded number of starts.
     fn next_band(&self) -> Band {
         let [urgent, under_way, new] = self.counts;
         let urgent_due = urgent > 0 && (self.runs[0] < self.max_runs[0] || under_way + new == 0);
@@ -217,7 +219,8 @@
             };
             let queue = &mut org.queues[index];
             let Some(head) = queue.calls.first_entry() else {
-                // An idle organisation keeps no credit, or it could save up a burst.
+                // An organisation without queued calls loses its credit, so that it can't save up
+                // for a burst.
                 queue.credit = 0.0;
                 queue.listed = false;
                 self.rings[index].pop_front();
--- a/crates/core/src/policy/admission/rate.rs
+++ b/crates/core/src/policy/admission/rate.rs
@@ -1,17 +1,18 @@
-//! Rate at which calls are over, which turns a queue length into a wait.
+//! Completion rate of calls, which converts a queue length into an expected wait.
 
 use crate::prelude::*;
 
 /// Length of one counting window.
 const WINDOW: Duration = Duration::from_secs(5);
 
-/// How long a finished window's rate is believed.
+/// Age up to which the rate of a finished window is used.
 const MAX_AGE: Duration = Duration::from_secs(30);
 
-/// Calls over a second while others wait.
+/// Calls completed per second while others wait.
 ///
-/// Only windows with a queue count: without one the rate shows what callers ask for, not what the
-/// endpoints can do, and the first burst after a quiet hour would be shed for nothing.
+/// Windows count only while there is a queue. Without one, the rate shows the demand rather than
+/// the capacity of the endpoints, and the first burst after a quiet period would be shed
+/// needlessly.
 #[derive(Clone, Debug, Default)]
 pub struct Rate {
     start: Time,
@@ -20,13 +21,13 @@
 }
 
 impl Rate {
-    /// Starts a new window: the queue was empty until now.
+    /// Starts a new window, because the queue was empty until now.
     pub fn idle(&mut self, now: Time) {
         self.start = now;
         self.count = 0;
     }
 
-    /// Counts one call that ended while others waited.
+    /// Counts a call that ended while others waited.
     pub fn count(&mut self, now: Time) {
         let age = now.since(self.start);
         if age >= WINDOW {
@@ -37,10 +38,10 @@
         self.count += 1;
     }
 
-    /// Returns calls a second, or `fallback` while too little was seen.
+    /// Returns the completed calls per second, or `fallback` if no recent window is known.
     ///
-    /// A window that stays open long past its length means that the endpoints have stopped, and
-    /// its own low rate is the honest one.
+    /// The rate of the current window is used once it lasts more than twice its length: calls have
+    /// stopped completing, and an older rate would be too high.
     pub fn get(&self, now: Time, fallback: f64) -> f64 {
         let age = now.since(self.start);
         match self.last {
--- a/crates/core/src/policy/admission/request.rs
+++ b/crates/core/src/policy/admission/request.rs
@@ -1,67 +1,69 @@
-//! What asks to be let in, and what it is told.
+//! Requests to start a call, and the decisions on them.
 
 use super::Ticket;
 use crate::policy::Class;
 use crate::policy::priority::Priority;
 use crate::prelude::*;
 
-/// A call that asks to run.
+/// A call that asks to start.
 #[derive(Clone, Debug)]
 pub struct AdmissionRequest {
-    /// The organisation it is counted against.
+    /// Organisation that the call counts against.
     pub org: OrgName,
-    /// Urgency.
+    /// Urgency class; urgent calls start first.
     pub class: Class,
-    /// True when the program already ran a turn.
+    /// Whether the program has run a turn before.
     pub under_way: bool,
-    /// Order among the organisation's own programs.
+    /// Order among the calls of the same organisation.
     pub priority: Priority,
-    /// When the caller gives up.
+    /// Time at which the caller gives up.
     pub deadline: Option<Time>,
-    /// Expected time from start to last byte.
+    /// Expected time from the start to the last byte.
     pub service_time: Duration,
 }
 
-/// Why a call was not let in. It was not run.
+/// Reason why a call is not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ShedReason {
-    /// The organisation already has as many waiting as it may.
+    /// The organisation has reached its maximum number of queued calls.
     #[error("this organisation has too many calls waiting")]
     OrgQueueFull,
-    /// Too many calls wait in all.
+    /// The pool has reached its maximum number of queued calls.
     #[error("too many calls are waiting")]
     QueueFull,
-    /// It would start too late for its deadline.
+    /// The call can't be answered before its deadline.
     #[error("the call could not be answered before its deadline")]
     Deadline,
-    /// A new program would wait longer than new programs may.
-    #[error("the system is at capacity with programs under way")]
+    /// The first call of a program would wait longer than `max_wait`.
+    #[error("programs under way use the whole capacity; retry later")]
     MaxWait,
 }
 
-/// A waiting call that was given up, answered at once.
+/// A queued call that was removed before it could start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ExpiredCall {
-    /// The call.
+    /// Ticket of the call, which is no longer valid.
     pub ticket: Ticket,
-    /// When it is worth coming back.
+    /// Delay after which a retry may succeed.
     pub retry_after: Duration,
-    /// Why.
+    /// Why the call was removed.
     pub reason: ShedReason,
 }
 
-/// What became of an offer.
+/// Decision on an [`AdmissionRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionDecision {
-    /// It runs now.
+    /// The call starts now.
     Now(Ticket),
-    /// It waits; [`release`](super::Admission::release) or [`expire`](super::Admission::expire) will name it.
+    /// The call is queued. Its ticket is returned by [`release`](super::Admission::release) or
+    /// another method when it starts, or by [`expire`](super::Admission::expire) when it is
+    /// removed.
     Queued(Ticket),
-    /// It is not run.
+    /// The call is not run.
     Shed {
-        /// When it is worth coming back.
+        /// Delay after which a retry may succeed.
         retry_after: Duration,
-        /// Why.
+        /// Why the call is not run.
         reason: ShedReason,
     },
 }
--- a/crates/core/src/policy/admission/settings.rs
+++ b/crates/core/src/policy/admission/settings.rs
@@ -1,30 +1,30 @@
-//! Bounds of admission, with their defaults in one place.
+//! Settings of admission control.
 
 use super::LimitSettings;
 use crate::prelude::*;
 
-/// Bounds of admission.
+/// Limits of admission control.
 #[derive(Clone, Debug)]
 pub struct AdmissionSettings {
-    /// The adaptive concurrency limit.
+    /// Settings of the adaptive concurrency limit.
     pub limit: LimitSettings,
-    /// Share of the limit that only urgent calls use.
+    /// Share of the limit that is reserved for urgent calls.
     pub reserve: f64,
-    /// Calls that one organisation may have waiting.
+    /// Maximum number of queued calls of one organisation.
     pub org_queue: u32,
-    /// Calls that may wait in all.
+    /// Maximum number of queued calls in total.
     pub queue: u32,
-    /// Longest that the first call of a program waits.
+    /// Longest wait of a program's first call.
     pub max_wait: Duration,
     /// Seconds of service that an organisation's turn pays for; longer calls skip turns.
     pub quantum: f64,
-    /// Urgent starts in a row while others wait.
+    /// Maximum number of urgent calls started in a row while other calls wait.
     pub urgent_run: u32,
-    /// Starts in a row of programs under way while new ones wait.
+    /// Maximum number of calls of programs under way started in a row while new programs wait.
     pub under_way_run: u32,
-    /// Shortest and longest advice of when to come back.
+    /// Shortest and longest retry delay that callers are given.
     pub retry_range: [Duration; 2],
-    /// Parts that tests and the benchmark can switch off.
+    /// Features that tests and benchmarks can disable.
     #[doc(hidden)]
     pub features: AdmissionFeatures,
 }
@@ -46,17 +46,17 @@
     }
 }
 
-/// Parts of admission that can be switched off one at a time.
+/// Features of admission control that can be disabled one at a time.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionFeatures {
-    /// Organisations take turns; off, all calls share one queue.
+    /// Organisations take turns; when disabled, all calls share one queue.
     pub fair: bool,
-    /// Programs under way come before new ones.
+    /// Calls of programs under way start before those of new programs.
     pub under_way: bool,
-    /// Urgent calls come first.
+    /// Urgent calls start first.
     pub urgent: bool,
-    /// Calls that cannot make their deadline are shed early.
+    /// Calls that can't meet their deadline are shed before it.
     pub early_shedding: bool,
 }
 
--- a/crates/core/src/policy/attempt_timeout.rs
+++ b/crates/core/src/policy/attempt_timeout.rs
@@ -1,36 +1,38 @@
-//! How long to wait for an answer before a call that may be repeated is sent to another endpoint.
+//! Timeout of an attempt, after which a call that may be repeated is sent to another endpoint.
 //!
-//! An endpoint may run a call and lose the answer, or hang. The caller hears nothing until its time is
-//! over, and by then nobody can help it. A call that may run twice is sent once more while it still has
-//! time.
+//! An endpoint may run a call and lose the answer, or hang. Without this timeout, the caller would
+//! notice only at its deadline, when no time is left for another attempt.
 
 use crate::prelude::*;
 
-/// Weight of the newest answer in the mean time.
+/// Weight of the newest response in the moving average.
 const GAIN: f64 = 0.05;
-/// How many times longer than answers take on the mean a call is waited for: of answers that vary as
-/// much as their mean, one in fifty takes longer.
+/// Timeout in multiples of the mean response time. If response times vary as much as their mean,
+/// about one response in fifty takes longer.
 const TIMEOUT_FACTOR: f64 = 5.0;
-/// Shortest wait: less would take a moment's delay on the way for a lost answer.
+/// Shortest timeout, so that a short network delay isn't taken for a lost answer.
 const MIN_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// How long a route's answers take.
+/// Moving average of a route's response times.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ResponseTime {
-    /// Mean seconds, if any answer came yet.
+    /// Mean in seconds; `None` before the first response.
     mean: Option<f64>,
 }
 
 impl ResponseTime {
-    /// Takes the time that an answer took.
+    /// Adds the response time of an answered call.
     pub fn observe(&mut self, took: Duration) {
         let took = took.as_secs_f64();
         let mean = self.mean.unwrap_or(took);
         self.mean = Some(mean + GAIN * (took - mean));
     }
 
-    /// Returns how long to wait for an attempt of a call that has `time_left`, and may have `further_attempts`
-    /// attempts after this one. Each of those keeps its equal part of the time.
+    /// Returns the timeout of an attempt of a call that has `time_left` and may make
+    /// `further_attempts` after this one.
+    ///
+    /// The timeout is at most an equal share of the time left, so that each further attempt keeps
+    /// its share. The last attempt gets all of it.
     pub fn attempt_timeout(&self, time_left: Duration, further_attempts: u32) -> Duration {
         if further_attempts == 0 {
             return time_left;
--- a/crates/core/src/policy/batch.rs
+++ b/crates/core/src/policy/batch.rs
@@ -1,49 +1,49 @@
-//! How fast a pool's engines read prompts, and how much slower they generate for each request that
-//! they run at the same time.
+//! Prefill and decode speed of a pool's engines.
 //!
-//! An engine makes one token for each running request in a step, and a step takes longer the more
-//! requests are in it. Engines tell neither their speed nor by how much they slow down, but each stream
-//! shows it: how long its tokens took, how many requests ran beside it, and how long its first event
-//! took for the prompt tokens that the engine had to read.
+//! An engine makes one token for each running request in a step, and steps take longer the more
+//! requests are running. Engines don't report their speed, so it is learned from streams: from the
+//! time per token and the number of concurrent requests, and from the time to the first event and
+//! the number of prompt tokens that weren't cached.
 
 use super::regression::{LinearRegression, Prior};
 
-/// Weight of the prior slope, in squared requests: less than a few streams beside one and beside six
-/// requests, which already tell the slope.
+/// Weight of the prior slope, in squared requests: a few streams with one and with six concurrent
+/// requests outweigh it.
 const DECODE_PRIOR_WEIGHT: f64 = 30.0;
-/// Least part of the mean time that counts as time alone, where streams vary for other reasons.
+/// Smallest share of the mean token time that is attributed to a request running alone.
 const MIN_BASE_SHARE: f64 = 0.2;
 
-/// Most that one stream differs from what was expected of it, as a factor.
+/// Largest ratio between a sample and its expected value; samples beyond it are clamped.
 const MAX_DEVIATION: f64 = 2.0;
 
-/// Time for a token, by how many requests run.
+/// Time per token as a function of the number of concurrent requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct BatchCost {
-    /// Seconds for a token of a request that runs alone.
+    /// Seconds per token for a request that runs alone.
     pub base: f64,
-    /// Seconds that each further request adds.
+    /// Seconds per token that each concurrent request adds.
     pub slope: f64,
 }
 
 impl BatchCost {
-    /// Returns the seconds for a token with so many requests beside its own.
+    /// Returns the seconds per token with `others` concurrent requests.
     pub fn token_time(&self, others: f64) -> f64 {
         self.base + self.slope * others
     }
 }
 
-/// Learns a pool's [`BatchCost`] from its streams by least squares.
+/// Estimates a pool's [`BatchCost`] from its streams by least squares.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct BatchFit {
     regression: LinearRegression,
 }
 
 impl BatchFit {
-    /// Takes a stream: how many requests ran beside it, and its seconds for a token.
+    /// Adds a stream that ran beside `others` requests and took `token_time` seconds per token.
     ///
-    /// It counts as at most twice as fast or slow as was expected. Events that were held up come all at
-    /// once, and one engine may have turned slow: neither must make the whole pool seem so.
+    /// The time is clamped to between half and twice its expected value. Delayed events arrive all
+    /// at once, and a single engine may have become slow; neither should determine the estimate of
+    /// the whole pool.
     pub fn observe(&mut self, others: f64, token_time: f64) {
         if token_time <= 0.0 {
             return;
@@ -54,10 +54,10 @@
         self.regression.observe(others, token_time);
     }
 
-    /// Returns what the streams so far show; nothing before the first.
+    /// Returns the estimate, or `None` before the first stream.
     ///
-    /// Until they show the slope, an engine with all of its `slots` taken is believed to take twice
-    /// as long for a token as alone: a batch that costs more than that would not be offered.
+    /// Until streams with different numbers of concurrent requests are known, an engine with all
+    /// `slots` in use is assumed to take twice as long per token as for a single request.
     pub fn cost(&self, slots: u32) -> Option<BatchCost> {
         let mean = self.regression.mean()?;
         let share = 1.0 / f64::from(slots.max(1));
@@ -68,27 +68,30 @@
     }
 }
 
-/// Weight of the prior slope in squared prompt tokens: two prompts a thousand tokens apart outweigh it.
+/// Weight of the prior slope, in squared prompt tokens: as much as two prompts whose lengths differ
+/// by a thousand tokens.
 const PREFILL_PRIOR_WEIGHT: f64 = 500_000.0;
 
-/// Learns how fast a pool's engines read prompts.
+/// Estimates how fast a pool's engines prefill prompts.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PrefillFit {
     regression: LinearRegression,
 }
 
 impl PrefillFit {
-    /// Takes a stream: prompt tokens that its engine lacked, and seconds until its first event.
+    /// Adds a stream whose engine had to prefill `uncached` prompt tokens and sent the first event
+    /// after `first_event` seconds.
     pub fn observe(&mut self, uncached: f64, first_event: f64) {
         if first_event > 0.0 {
             self.regression.observe(uncached, first_event);
         }
     }
 
-    /// Returns the seconds that each unread token adds; nothing before the first stream.
+    /// Returns the seconds of prefill per token, or `None` before the first stream with uncached
+    /// tokens.
     ///
-    /// Until prompts of unlike lengths show it, the whole wait counts as reading, which is the most
-    /// that it can be.
+    /// Until prompts of different lengths are known, the whole time to the first event counts as
+    /// prefill, which is an upper bound.
     pub fn token_time(&self) -> Option<f64> {
         let mean = self.regression.mean().filter(|mean| mean.x > 0.0)?;
         let max = mean.y / mean.x;
--- a/crates/core/src/policy/group_health.rs
+++ b/crates/core/src/policy/group_health.rs
@@ -1,74 +1,74 @@
-//! Whether a replicated group answers, and what to do with callers who need it.
+//! Health of a replicated group, and admission of callers that have to wait for it.
 //!
-//! A group that can't commit says nothing. A caller that waits for it has less time afterwards to come
-//! back with, so it is told as early as it is known that waiting is in vain, and when to come back.
+//! A group that can't commit sends no answer. Waiting takes time that a caller would need for a
+//! retry, so callers are refused, with a retry delay, as soon as waiting is known to be in vain.
 
 use std::collections::VecDeque;
 
 use crate::prelude::*;
 
-/// Silence after which a group counts as lost. An election takes less, and is better waited out than
-/// refused: a refusal costs the caller one of few attempts.
+/// Time without an answer after which a group counts as lost. Longer than an election, which is
+/// better waited for: a refusal uses up one of the caller's few attempts.
 pub const LOST_AFTER: Duration = Duration::from_millis(1_200);
-/// Part of a caller's time for which it may be held before it hears.
+/// Divisor of a caller's remaining time that gives its longest wait.
 const WAIT_DIVISOR: u32 = 4;
-/// Shortest wait for an answer: a group that is busy takes this long. Of a caller with less time than
-/// that, it takes no more than half.
+/// Shortest wait for an answer, which a busy group may need. Callers with little time left wait for
+/// at most half of it.
 const MIN_WAIT: Duration = Duration::from_millis(250);
-/// Longest wait of a caller that is let through to see whether a lost group is back.
+/// Timeout of a caller that probes a lost group.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
-/// Pause between two of them while nobody is known to lead. A leader that was found is tried at once.
+/// Interval between probes while no leader is known. A new leader is probed at once.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
-/// Part of a caller's time up to which it honours a pause.
+/// Divisor of a caller's remaining time that gives its longest retry delay.
 const RETRY_DIVISOR: u32 = 3;
-/// Longest pause asked for: the group may be back at any moment.
+/// Longest retry delay; the group may be back at any time.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(1);
-/// Shortest pause asked for.
+/// Shortest retry delay while an election may be running.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(200);
-/// Part of a pause over which callers are spread.
+/// Part of the retry delay that is randomised.
 const RETRY_JITTER: f64 = 0.4;
-/// Most callers that wait at one time.
+/// Maximum number of callers that wait at the same time.
 const MAX_WAITING: usize = 256;
-/// Most bytes that they hold meanwhile.
+/// Maximum number of bytes that waiting callers hold.
 const MAX_BYTES: usize = 8 << 20;
 
-/// What a caller needs of a group.
+/// A caller that has to wait for the group.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WaitRequest {
-    /// Time that the caller has left.
+    /// Time until the caller's deadline.
     pub time_left: Duration,
-    /// Bytes that it holds while it waits.
+    /// Bytes held while the caller waits.
     pub bytes: usize,
-    /// Anything from zero to one, another for each caller: those who are refused together must not come
-    /// back together.
+    /// Random number between zero and one, which spreads the retry delays of callers.
     pub jitter: f64,
 }
 
-/// What to do with a caller.
+/// Decision on a [`WaitRequest`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Decision {
-    /// Ask the group, and wait for this long at most. [`GroupHealth::end`] must follow.
+    /// Send a request to the group and wait for at most `timeout`. [`GroupHealth::end`] has to be
+    /// called afterwards.
     Proceed {
-        /// Number of the ask.
+        /// ID with which the request is ended.
         id: RequestId,
-        /// Longest wait.
+        /// Longest wait for an answer.
         timeout: Duration,
     },
-    /// Don't ask; the caller comes back after a pause.
+    /// Don't send a request; the caller retries later.
     Refuse {
-        /// The pause.
+        /// Retry delay.
         retry_after: Duration,
-        /// Why.
+        /// Reason for the refusal.
         reason: RefusalReason,
     },
 }
 
-/// Why a caller is refused before the group is asked.
+/// Reason why a caller is refused before the group is asked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RefusalReason {
-    /// The group has not answered for long.
+    /// The group hasn't answered for [`LOST_AFTER`].
     Lost,
-    /// As many callers wait as may.
+    /// The maximum of waiting callers or of their bytes is reached.
     Crowded,
 }
 
@@ -82,27 +82,27 @@
     }
 }
 
-/// An ask under way.
+/// Identifies a request in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestId(u64);
 
-/// How an ask ended.
+/// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestEnd {
     /// The group answered.
     Answered,
-    /// It did not in time.
+    /// The group didn't answer in time.
     TimedOut,
-    /// Who asked doesn't wait any more, which says nothing of the group.
+    /// The caller stopped waiting, which tells nothing about the group.
     Cancelled,
 }
 
-/// A change that operators want to know of.
+/// A change of health that should be logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthChange {
-    /// The group counts as lost, after this silence.
+    /// The group counts as lost, after this time without an answer.
     Lost(Duration),
-    /// It answers again, after this silence.
+    /// The group answers again, after this time without an answer.
     Recovered(Duration),
 }
 
@@ -113,26 +113,26 @@
     bytes: usize,
 }
 
-/// What one process knows of a group from its own asks.
+/// Health of a group, as seen from the requests of this process.
 #[derive(Clone, Debug, Default)]
 pub struct GroupHealth {
-    /// Asks under way, oldest first.
+    /// Requests in flight, oldest first.
     in_flight: VecDeque<InFlight>,
     next_id: u64,
-    /// When the group answered last.
+    /// Time of the last answer.
     last_answer: Time,
-    /// Start of the first ask since then that found no answer.
+    /// Start of the first request since then that timed out.
     failing_since: Option<Time>,
-    /// When a caller was let through last while the group was lost.
+    /// Time of the last probe.
     last_probe: Time,
-    /// True once somebody was found to lead, until an ask finds no answer.
+    /// Whether a leader was found since the last timeout.
     leader_known: bool,
-    /// True once its loss was told.
+    /// Whether the loss of the group was reported.
     loss_reported: bool,
 }
 
 impl GroupHealth {
-    /// Decides on a caller.
+    /// Decides whether a caller may send a request and how long it waits.
     pub fn admit(&mut self, now: Time, request: WaitRequest) -> Decision {
         let silence = self.silence(now);
         let max_wait = (request.time_left / WAIT_DIVISOR).max(MIN_WAIT.min(request.time_left / 2));
@@ -158,7 +158,7 @@
         Decision::Proceed { id, timeout: timeout.min(max_wait) }
     }
 
-    /// Counts an ask that is not a caller's to be decided on.
+    /// Adds a request in flight that needs no decision.
     pub fn begin(&mut self, now: Time, bytes: usize) -> RequestId {
         let id = RequestId(self.next_id);
         self.next_id += 1;
@@ -166,7 +166,9 @@
         id
     }
 
-    /// Takes how an ask ended. Each tells more than its own: one answer clears all silence before it.
+    /// Ends a request, and returns the change of health that this causes, if any.
+    ///
+    /// An answer also clears the timeouts of earlier requests.
     pub fn end(&mut self, now: Time, id: RequestId, end: RequestEnd) -> Option<HealthChange> {
         let silence = self.silence(now);
         let at = self.in_flight.iter().position(|entry| entry.id == id)?;
@@ -192,24 +194,25 @@
         }
     }
 
-    /// Notes that somebody leads the group; the next caller sees whether it answers too.
+    /// Records that the group has a leader, so that the next caller probes whether it answers.
     pub fn leader_found(&mut self) {
         self.leader_known = true;
     }
 
-    /// Returns for how long asks have found no answer: zero while none is out or failed.
+    /// Returns the time for which requests have found no answer; zero if none is in flight or has
+    /// failed since the last answer.
     pub fn silence(&self, now: Time) -> Duration {
         let oldest = self.in_flight.front().map(|entry| entry.since.max(self.last_answer));
         let since = self.failing_since.into_iter().chain(oldest).min();
         since.map_or(Duration::ZERO, |since| now.since(since))
     }
 
-    /// Tells whether the group counts as lost.
+    /// Returns true if the group counts as lost.
     pub fn is_lost(&self, now: Time) -> bool {
         self.silence(now) >= LOST_AFTER
     }
 
-    /// Returns when a caller that found no answer should come back.
+    /// Returns the retry delay of a caller that found no answer.
     pub fn retry_after(&self, now: Time, request: WaitRequest) -> Duration {
         let max_retry = (request.time_left / RETRY_DIVISOR).min(MAX_RETRY_AFTER);
         let election_left = LOST_AFTER.saturating_sub(self.silence(now));
@@ -223,7 +226,7 @@
         }
     }
 
-    /// Tells whether a caller may see whether a lost group is back: one at a time.
+    /// Returns true if a caller may probe a lost group; only one probe runs at a time.
     fn may_probe(&self, now: Time) -> bool {
         let probe_pending =
             self.in_flight.iter().any(|in_flight| now.since(in_flight.since) < PROBE_TIMEOUT);
--- a/crates/core/src/policy/mechanism.rs
+++ b/crates/core/src/policy/mechanism.rs
@@ -1,37 +1,37 @@
-//! The mechanisms of the data path that can be switched off, one by one, to see what each is worth.
+//! Mechanisms of the data path that can be disabled one by one, to measure their effect.
 //!
-//! This is the one list of them: settings, the policy benchmark and docs/decisions.md name them as
-//! they are named here.
+//! Settings, the policy benchmark and docs/decisions.md use the names in this list.
 
 use crate::prelude::*;
 
-/// A mechanism that can be switched off.
+/// A mechanism that can be disabled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Mechanism {
-    /// New programs are turned away while a pool can't serve them in time.
+    /// Turns new programs away while a pool can't serve them in time.
     Admission,
-    /// The wait for a slot and for prompts that are to be read is priced.
+    /// Includes the wait for a slot and for pending prefills in the cost of an endpoint.
     Queue,
-    /// Prompt tokens that an engine lacks are priced.
+    /// Includes the prefill of uncached prompt tokens in the cost.
     Prefix,
-    /// Prefix memory of others that a call would push out is priced.
+    /// Includes the eviction of other programs' prefixes in the cost.
     Pressure,
-    /// Links and paid bytes are priced.
+    /// Includes latency and transfer over the network in the cost.
     Network,
-    /// What runs on an engine is priced, as streams show it.
+    /// Includes the slowdown by concurrent requests in the cost, as estimated from streams.
     Batch,
-    /// Old reports of load fade towards the mean of all.
+    /// Lets old load reports decay towards the mean of all endpoints.
     Fading,
-    /// Engines that hold a prompt's start are priced besides those drawn.
+    /// Considers engines that hold a prefix of the prompt, besides the random sample.
     Holders,
-    /// The turn group tells which engine read a program's prompt last.
+    /// Looks up in the turn group which engine ran the program's last prompt.
     LastRun,
-    /// A call that may be repeated is sent elsewhere when its answer takes unusually long.
+    /// Drops an attempt of a repeatable call that takes unusually long, and sends the call to
+    /// another endpoint.
     Patience,
-    /// New and returned endpoints get a growing share of calls.
+    /// Limits the calls of new and returned endpoints, with a growing share.
     SlowStart,
-    /// Endpoints that keep failing get no calls for a while.
+    /// Takes endpoints that keep failing out of use for some time.
     Ejection,
 }
 
@@ -53,21 +53,21 @@
     ];
 }
 
-/// Which mechanisms are on; all by default.
+/// Set of enabled mechanisms; the default enables all.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Mechanisms {
-    /// A bit for each that is off, by its place in the enum.
+    /// Bit set of the disabled mechanisms, by their position in the enum.
     off: u32,
 }
 
 impl Mechanisms {
-    /// Returns all mechanisms but these.
+    /// Returns all mechanisms except `off`.
     pub fn without(off: &[Mechanism]) -> Mechanisms {
         let bits = off.iter().map(|mechanism| bit(*mechanism));
         Mechanisms { off: bits.fold(0, |all, bit| all | bit) }
     }
 
-    /// Tells whether a mechanism is on.
+    /// Returns true if a mechanism is enabled.
     pub fn has(&self, mechanism: Mechanism) -> bool {
         self.off & bit(mechanism) == 0
     }
--- a/crates/core/src/policy/mod.rs
+++ b/crates/core/src/policy/mod.rs
@@ -1,18 +1,20 @@
-//! Decisions of the data path: where a call runs, whether it is let in, what is kept or retried.
+//! Decisions of the data path: where a call runs, when it starts, and what is cached or retried.
 //!
-//! Each module is a value of its own and can be embedded without the others:
+//! Each module can be used without the others:
 //!
-//! - [`registry`]: which endpoints there are and how busy they are (docs/design/registry.md).
-//! - [`route`]: the endpoint a call goes to (docs/design/routing.md).
-//! - [`admission`]: whether and when a call is let in (docs/design/admission.md).
-//! - [`batch`]: how fast engines read and generate, by what they run; [`mod@regression`] learns it.
-//! - [`group_health`]: whether a replicated group answers, and who is refused meanwhile.
-//! - [`mechanism`]: the list of what can be switched off.
-//! - [`attempt_timeout`]: how long an answer is waited for before another endpoint is asked.
-//! - [`priority`]: the order among programs that wait.
-//! - [`retention`]: prefix memory across tool pauses.
-//! - [`stall`]: whether this process stood still.
-//! - [`retry`] and [`outlier`]: what is tried again and where (docs/design/retries.md).
+//! - [`registry`]: endpoints and their load (docs/design/registry.md).
+//! - [`route`]: choice of the endpoint for a call (docs/design/routing.md).
+//! - [`admission`]: whether and when a call starts (docs/design/admission.md).
+//! - [`overload`]: whether new programs are turned away while a pool is overloaded.
+//! - [`priority`]: order among the programs of an organisation.
+//! - [`batch`]: prefill and decode speed of engines, by their load; uses [`mod@regression`].
+//! - [`retention`]: cached prefixes during tool calls.
+//! - [`retry`]: retries and their budget (docs/design/retries.md).
+//! - [`attempt_timeout`]: time that an attempt of a repeatable call may take.
+//! - [`outlier`]: ejection and slow start of endpoints.
+//! - [`group_health`]: whether a replicated group answers, and which callers may wait for it.
+//! - [`stall`]: detection of pauses of this process.
+//! - [`mechanism`]: list of the mechanisms that can be disabled.
 
 pub mod admission;
 pub mod attempt_timeout;
--- a/crates/core/src/policy/outlier.rs
+++ b/crates/core/src/policy/outlier.rs
@@ -1,19 +1,20 @@
-//! Outlier ejection: an endpoint that keeps failing gets no work for a while, then comes back slowly.
+//! Outlier ejection and slow start: an endpoint that keeps failing gets no calls for some time, and
+//! then a growing share.
 
 use crate::prelude::*;
 
-/// When an endpoint is ejected and how it comes back.
+/// Settings of ejection and slow start.
 #[derive(Clone, Debug)]
 pub struct HealthSettings {
-    /// Failures in a row that eject.
+    /// Consecutive failures that eject an endpoint.
     pub max_failures: u32,
-    /// First time out; doubles with each ejection.
+    /// Duration of the first ejection; doubles with each further one.
     pub base_ejection: Duration,
-    /// Longest time out.
+    /// Longest duration of an ejection.
     pub max_ejection: Duration,
-    /// Time over which a new or returned endpoint's share grows to the whole.
+    /// Duration of slow start, in which the share of a new or returned endpoint grows to one.
     pub ramp_time: Duration,
-    /// Share that an endpoint starts with.
+    /// Share of its slots that an endpoint may use at the start.
     pub min_share: f64,
 }
 
@@ -29,7 +30,7 @@
     }
 }
 
-/// Failures of one endpoint, as this VM saw them.
+/// Health of one endpoint, as seen by this VM.
 #[derive(Clone, Debug)]
 pub struct Health {
     failures: u32,
@@ -39,22 +40,22 @@
 }
 
 impl Health {
-    /// Starts the slow start of an endpoint that just appeared.
+    /// Creates the health of a new endpoint, which begins with slow start.
     pub fn new(now: Time) -> Health {
         Health { failures: 0, ejections: 0, ejected_until: Time::ZERO, ramp_start: now }
     }
 
-    /// Counts a success, which ends a run of failures.
+    /// Counts a success, which ends a series of failures and shortens the next ejection.
     pub fn record_success(&mut self) {
         self.failures = 0;
         self.ejections = self.ejections.saturating_sub(1);
     }
 
-    /// Counts a failure; enough of them in a row eject.
+    /// Counts a failure, which may eject the endpoint.
     ///
-    /// A broken endpoint answers fastest of all, so that by load alone it draws every call to
-    /// itself. The time out grows with each ejection and is bounded, and one call at a time finds
-    /// out whether the endpoint is well again.
+    /// A broken endpoint often answers fastest and would attract all calls by its low load. The
+    /// duration of ejections grows up to a limit. After the first ejection, a single failure is
+    /// enough for the next.
     pub fn record_failure(&mut self, now: Time, settings: &HealthSettings) {
         if now < self.ejected_until {
             return;
@@ -71,15 +72,15 @@
         self.failures = 0;
     }
 
-    /// Returns true while the endpoint is timed out.
+    /// Returns true while the endpoint is ejected.
     pub fn is_ejected(&self, now: Time) -> bool {
         now < self.ejected_until
     }
 
-    /// Returns the share of its slots that the endpoint may fill at `now`, up to one.
+    /// Returns the share of its slots that the endpoint may use at `now`.
     ///
-    /// A domain that comes back with empty queues and empty memory looks best to every VM at once;
-    /// without the ramp all of them send their backlog in the same second.
+    /// An endpoint that comes back with empty queues and caches looks best to every VM. Without
+    /// slow start, all of them would send their backlog at once.
     pub fn slot_share(&self, now: Time, settings: &HealthSettings) -> f64 {
         let share =
             now.since(self.ramp_start).as_secs_f64() / settings.ramp_time.as_secs_f64().max(1e-9);
--- a/crates/core/src/policy/overload.rs
+++ b/crates/core/src/policy/overload.rs
@@ -1,66 +1,65 @@
-//! Which turns still get an engine when a pool has more work than it can do in time.
+//! Overload control: which turns get an engine when a pool has more work than it can do in time.
 //!
-//! The load that it answers is a burst of up to twice the usual callers for some seconds. Taken in
-//! whole, every program's turns wait behind all others', and nearly all programs end late. A program
-//! that is turned away before its first turn has cost nothing, so new programs are the ones to turn
-//! away, and those under way are finished.
+//! It protects against bursts of up to about twice the usual load for some seconds. If everything
+//! were admitted, the turns of all programs would wait behind each other, and nearly all programs
+//! would finish late. A program that is turned away before its first turn has cost nothing, so new
+//! programs are turned away and those under way are finished.
 //!
-//! Turns are not ranked among each other at the engines. An engine preempts what runs for what is
-//! more urgent, and reads the preempted prompt again, which makes more programs fail than it saves.
+//! Turns have no priority among each other at the engines. An engine preempts running requests for
+//! more urgent ones and then prefills the preempted prompts again, which delays more programs than
+//! it helps.
 
 use crate::prelude::*;
 
-/// Share of a pool's slots in use up to which new programs are let in, for the most urgent routes.
-/// Engines read prompts between the tokens of other requests, so a batch that is all but full
-/// already makes every program in it late.
+/// Utilisation up to which new programs are admitted, for routes of rank zero. Below one, since
+/// engines prefill prompts between the tokens of other requests, so that a nearly full batch
+/// already delays all of its programs.
 const NEW_PROGRAM_LIMIT: f64 = 0.9;
-/// How much lower the limit is for each rank, so that less urgent work is turned away first.
+/// Reduction of the limit per rank, so that less urgent work is turned away first.
 const RANK_STEP: f64 = 0.1;
-/// Lowest limit of any rank: below it, places stand empty while callers are turned away.
+/// Lowest limit of any rank, so that callers aren't turned away while many slots are free.
 const MIN_LIMIT: f64 = 0.6;
-/// Shortest time after which a program that was turned away is worth trying again: some turns
-/// have ended by then.
+/// Shortest retry delay of a program that was turned away; some turns have ended by then.
 const RETRY_MIN: Duration = Duration::from_millis(250);
-/// Spread of that time, so that those turned away together don't come back together.
+/// Range of the random part of the retry delay, so that callers don't return at the same time.
 const RETRY_JITTER: Duration = Duration::from_millis(350);
-/// How many times longer than alone an event may take before new programs are turned away: callers'
-/// aims are a small multiple of the time on idle engines, pauses and tools counted, which slow engines
-/// don't stretch.
+/// Slowdown at which new programs are turned away. Callers' latency targets are a small multiple of
+/// the time on idle engines, and include tool calls, which slow engines don't lengthen.
 const MAX_SLOWDOWN: f64 = 2.5;
-/// Share of a pool's slots in use below which the pace of earlier streams isn't gone by: only streams that
-/// run can show that engines have become faster.
+/// Utilisation below which the slowdown is ignored. Without running streams there are no new
+/// samples, so an old value would never be corrected.
 const IDLE_UTILISATION: f64 = 0.05;
-/// Weight of the newest stream in the mean pace: a burst shows after ten streams.
+/// Weight of the newest stream in the moving average.
 const MEAN_GAIN: f64 = 0.1;
-/// Most that a stream counts for in the mean pace, against the mean. One engine that has turned many
-/// times slower must not turn away what the others could serve; a burst slows them all, and shows all
-/// the same.
+/// Largest sample in the moving average, as a multiple of the average. A single slow engine must
+/// not cause programs to be turned away; a burst slows all engines and still raises the average.
 const MAX_SAMPLE_RATIO: f64 = 2.0;
-/// Weight of a stream that is faster than all before in the best pace, and the least part of the best
-/// that it counts as.
+/// Weight of a sample that is faster than the best value.
 ///
-/// Events that were held up come all at once, and such a stream seems to have taken no time. Taken as
-/// the best, one makes an idle pool seem many times slower than alone, and its VMs turn away every new
-/// program for seconds. This way it moves the best by a twentieth.
+/// Together with [`MIN_SAMPLE_RATIO`] it limits the effect of delayed events, which arrive all at
+/// once and look like an extremely fast stream. Taken as the best value, one such stream would make
+/// an idle pool seem overloaded, and new programs would be turned away for seconds.
 const BEST_GAIN: f64 = 0.1;
-/// See [`BEST_GAIN`].
+/// Smallest sample that lowers the best value, as a multiple of it; see [`BEST_GAIN`].
 const MIN_SAMPLE_RATIO: f64 = 0.5;
-/// How fast the best pace is forgotten with each stream, so that it follows engines that changed.
+/// Relative increase of the best value with each slower stream, so that it follows engines that
+/// have become slower.
 const BEST_DECAY: f64 = 0.002;
 
-/// How fast a pool's engines generate now, against how fast they do when idle.
+/// Slowdown of a pool's engines under load, relative to idle engines.
 ///
-/// Engines don't tell their speed, but each stream shows it.
+/// Engines don't report their speed, so it is estimated from the gaps between the events of
+/// streams.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PoolSlowdown {
-    /// Mean seconds between events of the latest streams; zero before the first.
+    /// Moving average of the seconds between events; zero before the first stream.
     mean: f64,
-    /// The same of the fastest streams.
+    /// Seconds between events of the fastest streams.
     best: f64,
 }
 
 impl PoolSlowdown {
-    /// Takes the mean time between the events of a stream that ended.
+    /// Adds the mean gap between the events of a finished stream.
     pub fn observe(&mut self, gap: Duration) {
         let gap = gap.as_secs_f64();
         if gap <= 0.0 {
@@ -78,38 +77,41 @@
         };
     }
 
-    /// Returns how many times longer than alone an event takes now.
+    /// Returns the ratio of the current gap between events to that of the fastest streams; one
+    /// before the first stream.
     pub fn ratio(&self) -> f64 {
         if self.best == 0.0 { 1.0 } else { self.mean / self.best }
     }
 }
 
-/// What runs and waits at the endpoints of a pool, as this process knows it.
+/// Load of a pool's endpoints, as known to this process.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PoolLoad {
-    /// Calls running or waiting.
+    /// Calls running or waiting at the endpoints.
     pub calls: u64,
-    /// Calls that the endpoints run at one time.
+    /// Calls that the endpoints can run at the same time.
     pub slots: u64,
-    /// How many times longer than alone an event takes; see [`PoolSlowdown::ratio`].
+    /// Slowdown of the engines; see [`PoolSlowdown::ratio`].
     pub slowdown: f64,
 }
 
-/// What is known of a turn's program.
+/// Status of the program that a turn belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProgramStatus {
-    /// Rank of its route; zero is the most urgent.
+    /// Rank of the program's route; zero is the most urgent.
     pub rank: u8,
-    /// Whether the program has had a turn before.
+    /// Whether the program has run a turn before.
     pub under_way: bool,
 }
 
-/// Tells whether a turn gets an engine now; otherwise when it is worth coming back.
+/// Admits a turn, or returns a retry delay.
 ///
-/// `jitter` is a number from zero to one that differs from caller to caller.
+/// `jitter` is a random number between zero and one for each caller, which spreads the retry
+/// delays.
 ///
 /// # Errors
-/// Returns the time after which to come back. The turn has not run.
+///
+/// Returns the delay before a retry. The turn was not run.
 pub fn admit(load: PoolLoad, program: ProgramStatus, jitter: f64) -> Result<(), Duration> {
     if program.under_way || load.slots == 0 {
         return Ok(());
--- a/crates/core/src/policy/priority.rs
+++ b/crates/core/src/policy/priority.rs
@@ -1,34 +1,33 @@
-//! Order among programs, by what each has already had: the one that had most goes first.
+//! Order among programs by attained service: the program that has received most goes first.
 //!
-//! Only the latency of the whole program counts, and its prefix memory is held until it ends. So
-//! finishing what was begun frees memory soonest, and the long programs that make up the tail wait
-//! least. Least attained service first, the textbook choice for unknown lengths, was measured
-//! against it and lost: see docs/design/admission.md.
+//! Only the latency of whole programs counts, and a program's cached prefix is held until it ends.
+//! Finishing programs that have run longest frees memory soonest and shortens the tail.
+//! docs/design/admission.md compares this with least attained service first.
 
 use super::Class;
 use crate::prelude::*;
 
-/// Attained seconds at which a program rises to the next level; each is four times the last.
+/// Attained service in seconds at which a program rises to the next level.
 const LEVELS: [f64; 4] = [8.0, 32.0, 128.0, 512.0];
 
-/// Wait that lifts a call by one level, which bounds how often it can be overtaken.
+/// Delay per level; it bounds how often a call can be overtaken.
 const AGING: Duration = Duration::from_secs(3);
 
-/// What a program has had so far.
+/// Service that a program has received.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Attained {
-    /// Engine seconds of its calls, sub-agents counted.
+    /// Engine seconds of its calls, including sub-agents.
     pub service: f64,
-    /// Turns that ran.
+    /// Turns that were run.
     pub turns: u32,
 }
 
-/// Order of a call: lower runs first.
+/// Priority of a call; lower values run first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Priority(pub u8);
 
 impl Priority {
-    /// Ranks a call by its class and by what its program has had.
+    /// Returns the priority of a call from its class and its program's attained service.
     pub fn of(class: Class, attained: Attained) -> Priority {
         if class == Class::Urgent {
             return Priority(0);
@@ -37,10 +36,10 @@
         Priority(1 + (LEVELS.len() - level) as u8)
     }
 
-    /// Returns how far behind its arrival the call is queued.
+    /// Returns the delay that is added to the call's arrival time for queueing.
     ///
-    /// A bounded delay in place of strict levels: a call is overtaken only by those that arrive
-    /// within the delay after it, so that no stream of long programs can starve a short one.
+    /// A bounded delay, unlike strict levels, prevents starvation: a call is overtaken only by
+    /// calls that arrive within the delay after it.
     pub fn delay(self) -> Duration {
         AGING * u32::from(self.0)
     }
--- a/crates/core/src/policy/registry/announce.rs
+++ b/crates/core/src/policy/registry/announce.rs
@@ -1,50 +1,50 @@
-//! What an endpoint says about itself.
+//! Announcements of endpoints: what they run, where, and how busy they are.
 
 use crate::prelude::*;
 
-/// A model at one version, as the bundle names it.
+/// A model and its version, as named in the bundle.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ModelId {
-    /// The model's name.
+    /// Name of the model.
     pub model: CompactString,
-    /// The version served.
+    /// Version of the model.
     pub version: CompactString,
 }
 
 impl ModelId {
-    /// Names `version` of `model`.
+    /// Creates the ID of `version` of `model`.
     pub fn new(model: &str, version: &str) -> ModelId {
         ModelId { model: model.into(), version: version.into() }
     }
 }
 
-/// What an endpoint runs, with the capacity it claims.
+/// What an endpoint runs, with its announced capacity.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum EndpointKind {
-    /// A model engine that batches continuously and caches prompt prefixes.
+    /// A model engine with continuous batching and a prefix cache.
     Engine {
-        /// Models it has loaded.
+        /// Models that are loaded.
         models: Vec<ModelId>,
-        /// Calls it runs at one time.
+        /// Calls that run at the same time.
         slots: u32,
-        /// Prompt tokens it fills a second, over all calls.
+        /// Prompt tokens prefilled per second, over all calls.
         prefill_rate: f64,
-        /// Tokens it generates a second for one call.
+        /// Tokens generated per second for one call.
         decode_rate: f64,
-        /// Prefix tokens its memory holds.
+        /// Capacity of the prefix cache in tokens.
         cache_tokens: u64,
     },
-    /// A plain service.
+    /// A plain service, without models or a prefix cache.
     Service {
-        /// The service's name in the bundle.
+        /// Name of the service in the bundle.
         name: CompactString,
-        /// Calls it runs at one time.
+        /// Calls that run at the same time.
         slots: u32,
     },
 }
 
 impl EndpointKind {
-    /// Returns how many prefix tokens the endpoint holds; zero for a plain service.
+    /// Returns the capacity of the prefix cache in tokens; zero for a plain service.
     pub fn cache_tokens(&self) -> u64 {
         match self {
             EndpointKind::Engine { cache_tokens, .. } => *cache_tokens,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Returns how many calls the endpoint runs at one time, never zero.
+    /// Returns how many calls run at the same time, at least one.
     pub fn slots(&self) -> u32 {
         match self {
             EndpointKind::Engine { slots, .. } | EndpointKind::Service { slots, .. } => {
@@ -70,20 +70,20 @@
     }
 }
 
-/// Load as the endpoint saw it some time ago.
+/// Load that an endpoint reported, with the age of the figures.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Calls running.
+    /// Calls that were running.
     pub running: u32,
-    /// Calls waiting inside the endpoint.
+    /// Calls that were waiting inside the endpoint.
     pub waiting: u32,
-    /// Prefix tokens held.
+    /// Tokens in the prefix cache.
     pub cached_tokens: u64,
-    /// How old the figures were when the announcement was received.
+    /// Age of the figures when the report was received.
     pub age: Duration,
 }
 
-/// One change of an engine's prefix memory.
+/// A change of an engine's prefix cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CacheEvent {
     /// The engine now holds this many tokens of a program's prefix.
@@ -93,49 +93,49 @@
         /// Tokens held.
         tokens: u64,
     },
-    /// The engine threw the program's prefix away.
+    /// The engine evicted the program's prefix.
     Evicted {
         /// Hash of the program.
         program: u64,
     },
 }
 
-/// A run of cache events, numbered by the engine so that gaps show.
+/// Consecutive cache events, numbered by the engine so that gaps can be detected.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvents {
-    /// Number of the first event in `events`.
+    /// Sequence number of the first event.
     pub first: u64,
-    /// The events in the engine's order.
+    /// Events in the order in which the engine recorded them.
     pub events: Vec<CacheEvent>,
-    /// How old the newest event was when it was received.
+    /// Age of the newest event when it was received.
     pub age: Duration,
 }
 
-/// An endpoint's word about itself; also what a home VM passes on for it.
+/// Announcement of an endpoint, received from itself or relayed by its home VM.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Announcement {
     /// Instance name, unique among endpoints.
     pub name: EndpointName,
-    /// Grows with each start of the instance.
+    /// Incarnation, which increases with each start of the instance.
     pub incarnation: u64,
-    /// Grows with each announcement of one incarnation, so that replays show.
+    /// Sequence number within the incarnation, by which replays are detected.
     pub sequence: u64,
-    /// What it runs.
+    /// Models or service that the endpoint runs.
     pub kind: EndpointKind,
-    /// Host and port, or base URL, that calls go to.
+    /// Address for calls: host and port, or a base URL.
     pub address: CompactString,
-    /// Failure domain it runs in.
+    /// Failure domain that the endpoint runs in.
     pub domain: DomainId,
-    /// Region it runs in.
+    /// Region that the endpoint runs in.
     pub region: RegionId,
-    /// Whether it refuses orders that carry an old fencing number.
+    /// Whether the endpoint refuses orders with an outdated fencing number.
     pub fencing: bool,
-    /// How long the announcement holds from now; a relay subtracts the time that it held it.
+    /// Validity of the announcement from now; a relay subtracts the time for which it held it.
     pub lease: Duration,
-    /// True when it takes no new work; cannot be taken back in the same incarnation.
+    /// Whether the endpoint takes no new work. An incarnation can't take this back.
     pub leaving: bool,
-    /// Load, when the announcement carries it.
+    /// Load report, if the announcement carries one.
     pub load: Option<LoadReport>,
-    /// Changes of prefix memory, when the announcement carries them.
+    /// Changes of the prefix cache; empty if the announcement carries none.
     pub cache_events: CacheEvents,
 }
--- a/crates/core/src/policy/registry/endpoint.rs
+++ b/crates/core/src/policy/registry/endpoint.rs
@@ -1,31 +1,31 @@
-//! One endpoint, as it announced itself and as it has behaved since.
+//! State of one endpoint: its announcement, load, health and cached prefixes.
 
 use super::{Announcement, CacheHint, CacheHints, EndpointKind, LoadTracker, LoadView};
 use crate::policy::outlier::Health;
 use crate::prelude::*;
 
-/// One endpoint.
+/// An endpoint with a lease.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// Instance name.
+    /// Instance name, unique among endpoints.
     pub name: EndpointName,
-    /// Incarnation announced.
+    /// Incarnation of the instance.
     pub incarnation: u64,
-    /// What it runs.
+    /// Models or service that the endpoint runs.
     pub kind: EndpointKind,
-    /// Where calls go.
+    /// Address for calls.
     pub address: CompactString,
-    /// Its failure domain.
+    /// Failure domain that the endpoint runs in.
     pub domain: DomainId,
-    /// Its region.
+    /// Region that the endpoint runs in.
     pub region: RegionId,
-    /// Whether it checks fencing numbers.
+    /// Whether the endpoint checks fencing numbers of orders.
     pub fencing: bool,
-    /// True once it takes no new work.
+    /// Whether the endpoint takes no new work.
     pub leaving: bool,
-    /// End of its lease.
+    /// Time at which the lease expires.
     pub lease_end: Time,
-    /// Failures and slow start.
+    /// Ejection and slow start.
     pub health: Health,
     pub(super) load: LoadTracker,
     pub(super) hints: CacheHints,
@@ -33,7 +33,7 @@
 }
 
 impl Endpoint {
-    /// Makes an endpoint from its first announcement; the lease is cut to `max_lease`.
+    /// Creates an endpoint from its first announcement, with a lease of at most `max_lease`.
     pub(super) fn new(now: Time, announcement: &Announcement, max_lease: Duration) -> Endpoint {
         let mut endpoint = Endpoint {
             name: announcement.name.clone(),
@@ -57,17 +57,18 @@
         endpoint
     }
 
-    /// Returns the load as known at `now`.
+    /// Returns the estimated load at `now`.
     pub fn load(&self, now: Time) -> LoadView {
         self.load.view(now)
     }
 
-    /// Returns what the engine was last heard to hold of `program`.
+    /// Returns what the engine is expected to hold of a program's prefix, or of a prefix by its
+    /// hash.
     pub fn hint(&self, program: u64) -> Option<CacheHint> {
         self.hints.get(program)
     }
 
-    /// Returns true while a crash suspect runs here and nothing else may.
+    /// Returns true while a call runs that must run alone.
     pub fn isolated(&self) -> bool {
         self.isolated_calls > 0
     }
--- a/crates/core/src/policy/registry/hints.rs
+++ b/crates/core/src/policy/registry/hints.rs
@@ -1,23 +1,24 @@
-//! What engines say they hold in prefix memory: late, gapped, and so only a hint with an age.
+//! Hints about the prefix cache of an engine, from its cache events. Events may be late or lost, so
+//! each hint has a time.
 
 use std::collections::HashMap;
 
 use super::announce::{CacheEvent, CacheEvents};
 use crate::prelude::*;
 
-/// Programs remembered for one engine; the oldest hints go first.
+/// Maximum number of hints for one engine; the oldest are removed first.
 const MAX_HINTS: usize = 1024;
 
-/// What an engine was last heard to hold of one program.
+/// Tokens that an engine was last known to hold of one prefix.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CacheHint {
-    /// Tokens of the program's prefix; zero after an eviction.
+    /// Tokens held; zero after an eviction.
     pub tokens: u64,
-    /// When that was true.
+    /// Time to which the hint applies.
     pub at: Time,
 }
 
-/// Cache events of one engine, folded.
+/// Hints about one engine, by the hash of the program or prefix.
 #[derive(Clone, Debug, Default)]
 pub struct CacheHints {
     hints: HashMap<u64, CacheHint>,
@@ -25,10 +26,11 @@
 }
 
 impl CacheHints {
-    /// Folds a run of events in.
+    /// Applies a batch of cache events; those that were applied before are skipped.
     ///
-    /// After a gap every hint is dropped: a lost eviction would send a program to memory that is
-    /// gone, while a lost fill only costs a hint, and the program's own record still stands.
+    /// A gap in the sequence drops all hints. A lost eviction would send a program to an engine
+    /// that no longer holds its prefix, while a dropped hint costs little, since the program's own
+    /// record still counts.
     pub fn apply_events(&mut self, now: Time, batch: &CacheEvents) {
         if batch.events.is_empty() {
             return;
@@ -47,13 +49,13 @@
         self.next_sequence = end;
     }
 
-    /// Notes what the engine is expected to hold of a prefix from now on.
+    /// Records that the engine is expected to hold `tokens` tokens of a prefix from now on.
     pub fn record_expected(&mut self, now: Time, prefix: u64, tokens: u64) {
         self.evict_if_full(prefix);
         self.hints.insert(prefix, CacheHint { tokens, at: now });
     }
 
-    /// Returns what the engine was last heard to hold of `program`.
+    /// Returns the hint for a program or prefix, if there is one.
     pub fn get(&self, program: u64) -> Option<CacheHint> {
         self.hints.get(&program).copied()
     }
@@ -61,7 +63,7 @@
     fn apply(&mut self, at: Time, event: CacheEvent) {
         let (program, tokens) = match event {
             CacheEvent::Filled { program, tokens } => (program, tokens),
-            // Kept as a hint of nothing: it has to outweigh the program's older record.
+            // Kept as a hint of zero tokens, which overrides the program's older record.
             CacheEvent::Evicted { program } => (program, 0),
         };
         self.evict_if_full(program);
--- a/crates/core/src/policy/registry/home.rs
+++ b/crates/core/src/policy/registry/home.rs
@@ -1,13 +1,13 @@
-//! Home VM of an endpoint: the one VM that keeps its load and cache state in full.
+//! Home VM of an endpoint: the VM that keeps the endpoint's full load and cache state.
 
 use xxhash_rust::xxh3::Xxh3;
 
 use crate::prelude::*;
 
-/// Returns the home of an endpoint among the live VMs, the same wherever it is computed.
+/// Returns the home VM of an endpoint among the live VMs, the same on every VM.
 ///
-/// The highest hash of VM and name wins (rendezvous hashing), so that the loss of one VM moves
-/// only the endpoints that it was the home of.
+/// Uses rendezvous hashing, so that the loss of a VM moves only the endpoints that it was the home
+/// of.
 pub fn home(name: &str, live: &[VmId]) -> Option<VmId> {
     live.iter().copied().max_by_key(|vm| (weight(name, *vm), *vm))
 }
--- a/crates/core/src/policy/registry/load.rs
+++ b/crates/core/src/policy/registry/load.rs
@@ -1,40 +1,41 @@
-//! Load of one endpoint: lagging reports, corrected by what this process itself has in flight.
+//! Load of one endpoint: reports, corrected by the calls that this process has sent since.
 
 use std::collections::VecDeque;
 
 use super::announce::LoadReport;
 use crate::prelude::*;
 
-/// Age past which a load report no longer counts as news.
+/// Age above which a load report is stale.
 pub const STALE_AFTER: Duration = Duration::from_secs(5);
 
-/// Own changes remembered past the last report; older ones are folded into it.
+/// Maximum number of changes kept since the last report; older ones are added to its total.
 const MAX_CHANGES: usize = 512;
 
-/// Weight of the newest sample in the mean service time.
+/// Weight of the newest sample in the moving average of the service time.
 const SERVICE_GAIN: f64 = 0.05;
 
-/// Load of one endpoint at one moment, as well as this process knows it.
+/// Estimated load of one endpoint at one moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadView {
-    /// Calls believed to run or wait there.
+    /// Calls expected to run or wait at the endpoint.
     pub total: u32,
-    /// Calls of this process among them.
+    /// Calls of this process in flight there.
     pub own: u32,
-    /// Own prompt tokens sent there and not yet filled.
+    /// Prompt tokens of this process that were sent there and aren't prefilled yet.
     pub prefill_tokens: u64,
-    /// Prefix tokens held, as last reported.
+    /// Tokens in the prefix cache, as last reported.
     pub cached_tokens: u64,
-    /// Age of the last report; the longest there is before the first.
+    /// Age of the last report; [`Duration::MAX`] without one.
     pub age: Duration,
-    /// True when no report is recent enough to be trusted.
+    /// Whether the last report is missing or older than [`STALE_AFTER`].
     pub stale: bool,
-    /// Mean seconds from dispatch to last byte, if any call finished yet.
+    /// Moving average of the seconds from dispatch to last byte; `None` before the first call
+    /// finished.
     pub service_time: Option<f64>,
 }
 
 impl LoadView {
-    /// Returns the calls there that aren't of this process.
+    /// Returns the calls of other processes.
     pub fn others(&self) -> u32 {
         self.total - self.own
     }
@@ -54,7 +55,7 @@
     received: Time,
 }
 
-/// Keeps one endpoint's load between reports.
+/// Tracks one endpoint's load between reports.
 #[derive(Clone, Debug, Default)]
 pub struct LoadTracker {
     report: Option<Report>,
@@ -65,7 +66,8 @@
 }
 
 impl LoadTracker {
-    /// Takes a report in and forgets the own changes that it already contains.
+    /// Applies a report, and drops the changes that it already includes. A report older than the
+    /// last one is ignored.
     pub fn record_report(&mut self, now: Time, load: LoadReport) {
         let at = now - load.age;
         if self.report.is_some_and(|old| old.at > at) {
@@ -78,19 +80,19 @@
         }
     }
 
-    /// Counts a call sent.
+    /// Counts a call as sent, with `prefill_tokens` prompt tokens to prefill.
     pub fn record_sent(&mut self, now: Time, prefill_tokens: u64) {
         self.own += 1;
         self.prefill_tokens += prefill_tokens;
         self.push(Change { at: now, delta: 1 });
     }
 
-    /// Counts a call's prompt as filled.
+    /// Counts prompt tokens as prefilled.
     pub fn record_prefilled(&mut self, prefill_tokens: u64) {
         self.prefill_tokens = self.prefill_tokens.saturating_sub(prefill_tokens);
     }
 
-    /// Counts a call as over, `service_time` seconds after it was sent when it ran to its end.
+    /// Counts a call as ended. `service_time` is its duration in seconds if it ran to its end.
     pub fn record_finished(&mut self, now: Time, service_time: Option<f64>) {
         self.own = self.own.saturating_sub(1);
         self.push(Change { at: now, delta: -1 });
@@ -100,11 +102,10 @@
         }
     }
 
-    /// Returns the load as known at `now`.
+    /// Returns the estimated load at `now`.
     ///
-    /// A report says what was true when the endpoint wrote it. Calls sent since then are missing
-    /// from it, and a burst would all go to the same idle-looking endpoint; adding the own changes
-    /// after the report's instant closes that window for this process's share of the calls.
+    /// A report lacks the calls that were sent after it was written. Without adding this process's
+    /// own, a burst would go to whichever endpoint last reported itself idle.
     pub fn view(&self, now: Time) -> LoadView {
         let changed: i64 = self.changes.iter().map(|change| change.delta).sum();
         let total = self.report.map_or(0, |report| report.total + changed);
--- a/crates/core/src/policy/registry/mod.rs
+++ b/crates/core/src/policy/registry/mod.rs
@@ -1,8 +1,7 @@
-//! Endpoints as this VM knows them: leases, incarnations, load and hints about prefix memory.
+//! Registry of the endpoints that this VM knows: leases, incarnations, load and cached prefixes.
 //!
-//! Nobody hands the system a list of endpoints. Each announces itself, its announcement is a
-//! lease, and this arena is what remains true of all of them at `now`. See
-//! docs/design/registry.md.
+//! Endpoints announce themselves, and each announcement is a lease. The registry holds the
+//! endpoints until their leases expire. See docs/design/registry.md.
 
 mod announce;
 mod endpoint;
@@ -32,51 +31,51 @@
 use crate::prelude::*;
 
 new_key_type! {
-    /// Names an endpoint in the registry; a new incarnation gets a new key.
+    /// Identifies an endpoint; each incarnation has its own key.
     pub struct EndpointKey;
-    /// Names a call in flight from this process.
+    /// Identifies a call in flight from this process.
     pub struct DispatchKey;
 }
 
-/// Why an announcement changed nothing.
+/// Reason why an announcement was ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ignored {
     /// A newer incarnation is known.
     OldIncarnation,
-    /// This or a later announcement of the incarnation was already taken.
+    /// This or a later announcement of the incarnation was already applied.
     Replay,
-    /// The incarnation said that it leaves.
+    /// The incarnation has announced that it leaves.
     Left,
-    /// The name is held by an endpoint at another address, whose lease runs.
+    /// The name belongs to an endpoint at another address whose lease is valid.
     AddressTaken,
 }
 
-/// What an announcement did.
+/// Effect of an announcement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Announced {
-    /// The endpoint is new here.
+    /// The endpoint was added.
     New(EndpointKey),
-    /// Its lease goes on.
+    /// The lease of the endpoint was renewed.
     Renewed(EndpointKey),
-    /// A restarted instance took its own place.
+    /// A new incarnation replaced the previous one.
     Replaced {
-        /// Key of the gone incarnation; calls in flight there will fail.
+        /// Key of the previous incarnation, whose calls in flight will fail.
         old: EndpointKey,
-        /// Key of the new one.
+        /// Key of the new incarnation.
         new: EndpointKey,
     },
-    /// It gets no new work from here on; calls in flight go on.
+    /// The endpoint gets no new work, but calls in flight continue.
     Leaving(EndpointKey),
-    /// Nothing changed.
+    /// The announcement was ignored.
     Ignored(Ignored),
 }
 
-/// What a call is expected to ask of its endpoint.
+/// Load that a call puts on its endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DispatchLoad {
-    /// Prompt tokens to fill, the reused prefix not counted.
+    /// Prompt tokens to prefill, not counting the cached prefix.
     pub prefill_tokens: u64,
-    /// True when nothing else may run beside it.
+    /// Whether no other call may run beside it.
     pub isolated: bool,
 }
 
@@ -88,7 +87,8 @@
     prefilled: bool,
 }
 
-/// What is remembered of an instance name, also after the endpoint is gone.
+/// Last known state of an instance name. It is kept after the endpoint is removed, to reject
+/// announcements that arrive late.
 #[derive(Clone, Debug)]
 struct LastSeen {
     incarnation: u64,
@@ -98,7 +98,7 @@
     at: Time,
 }
 
-/// All endpoints that hold a lease, and who serves what.
+/// All endpoints with a lease, indexed by the models and services that they offer.
 #[derive(Clone, Debug, Default)]
 pub struct Registry {
     settings: RegistrySettings,
@@ -113,12 +113,12 @@
 }
 
 impl Registry {
-    /// Makes an empty registry.
+    /// Creates an empty registry.
     pub fn new(settings: RegistrySettings) -> Registry {
         Registry { settings, ..Registry::default() }
     }
 
-    /// Takes an announcement in, from the endpoint itself or from its home VM.
+    /// Applies an announcement, from the endpoint itself or from its home VM.
     pub fn announce(&mut self, now: Time, announcement: Announcement) -> Announced {
         if let Some(reason) = self.ignore_reason(now, &announcement) {
             return Announced::Ignored(reason);
@@ -138,9 +138,9 @@
         result
     }
 
-    /// Marks an incarnation as leaving; it gets no new work from this moment.
+    /// Marks an incarnation as leaving, so that it gets no new work.
     ///
-    /// Works for names not known here too: the news of leaving may overtake the announcement.
+    /// An unknown name is recorded too, because the notice may overtake the announcement.
     pub fn leave(&mut self, now: Time, name: &str, incarnation: u64) -> Option<EndpointKey> {
         let seen = self.seen.entry(name.into()).or_insert(LastSeen {
             incarnation,
@@ -161,7 +161,8 @@
         Some(key)
     }
 
-    /// Removes the endpoints whose lease is over, and forgets old names.
+    /// Removes the endpoints whose leases have expired and returns their keys. Also removes names
+    /// that were last seen more than `seen_ttl` ago.
     pub fn expire(&mut self, now: Time) -> Vec<EndpointKey> {
         let expired =
             |(key, endpoint): (EndpointKey, &Endpoint)| (endpoint.lease_end <= now).then_some(key);
@@ -177,15 +178,15 @@
         keys
     }
 
-    /// Takes the load that an endpoint told with an answer.
+    /// Applies a load report that came with an answer.
     pub fn load_reported(&mut self, now: Time, key: EndpointKey, load: LoadReport) {
         if let Some(endpoint) = self.endpoints.get_mut(key) {
             endpoint.load.record_report(now, load);
         }
     }
 
-    /// Notes that an engine will hold this many tokens of a prefix, because a call that reads them
-    /// was sent there. Later cache events of the engine overrule it.
+    /// Records that an engine will hold `tokens` tokens of a prefix, because a call that reads them
+    /// was sent there. Later cache events of the engine overwrite this.
     pub fn expect_prefix(&mut self, now: Time, key: EndpointKey, prefix: u64, tokens: u64) {
         if let Some(endpoint) = self.endpoints.get_mut(key) {
             endpoint.hints.record_expected(now, prefix, tokens);
@@ -193,13 +194,13 @@
         }
     }
 
-    /// Returns endpoints that are expected to hold a prefix, latest first. Each must still pass
-    /// [`Registry::is_available`].
+    /// Returns the endpoints that are expected to hold a prefix, latest first. The caller has to
+    /// check each with [`Registry::is_available`].
     pub fn prefix_holders(&self, prefix: u64) -> &[EndpointKey] {
         self.prefixes.endpoints(prefix)
     }
 
-    /// Counts a call as sent; the key closes it later.
+    /// Counts a call as sent, and returns the key with which it is ended.
     pub fn dispatched(&mut self, now: Time, key: EndpointKey, load: DispatchLoad) -> DispatchKey {
         if let Some(endpoint) = self.endpoints.get_mut(key) {
             endpoint.load.record_sent(now, load.prefill_tokens);
@@ -208,7 +209,7 @@
         self.dispatches.insert(Dispatch { endpoint: key, load, at: now, prefilled: false })
     }
 
-    /// Counts a call's prompt as filled: its first token came.
+    /// Counts a call's prompt as prefilled, since its first token has arrived.
     pub fn prefilled(&mut self, dispatch: DispatchKey) {
         let Some(call) = self.dispatches.get_mut(dispatch) else { return };
         if std::mem::replace(&mut call.prefilled, true) {
@@ -219,7 +220,7 @@
         }
     }
 
-    /// Counts a call as answered. Closing one twice changes nothing.
+    /// Ends a call that was answered. Ending a call twice has no effect.
     pub fn finished(&mut self, now: Time, dispatch: DispatchKey) {
         self.close(now, dispatch, |endpoint, _, service_time| {
             endpoint.load.record_finished(now, Some(service_time));
@@ -227,7 +228,7 @@
         });
     }
 
-    /// Counts a call as failed by its endpoint, which may eject it.
+    /// Ends a call that failed at its endpoint, which may eject the endpoint.
     pub fn failed(&mut self, now: Time, dispatch: DispatchKey) {
         self.close(now, dispatch, |endpoint, settings, _| {
             endpoint.load.record_finished(now, None);
@@ -235,8 +236,8 @@
         });
     }
 
-    /// Counts a call whose answer did not come in the usual time, which may eject its endpoint. The
-    /// call itself is closed apart.
+    /// Counts an answer that is late as a failure, which may eject the endpoint. The call stays in
+    /// flight until it is ended.
     pub fn timed_out(&mut self, now: Time, key: EndpointKey) {
         let settings = &self.settings.health;
         if let Some(endpoint) = self.endpoints.get_mut(key) {
@@ -244,55 +245,57 @@
         }
     }
 
-    /// Counts a call as given up by the caller, which says nothing about the endpoint.
+    /// Ends a call that its caller gave up, without effect on the endpoint's health.
     pub fn cancelled(&mut self, now: Time, dispatch: DispatchKey) {
         self.close(now, dispatch, |endpoint, _, _| endpoint.load.record_finished(now, None));
     }
 
-    /// Returns the endpoints that announced a model. Each must still pass [`Registry::is_available`].
+    /// Returns the endpoints that announced a model. The caller has to check each with
+    /// [`Registry::is_available`].
     pub fn candidates(&self, model: &ModelId) -> &[EndpointKey] {
         self.models.get(model).map_or(&[], Vec::as_slice)
     }
 
-    /// Returns the endpoints of a plain service. Each must still pass [`Registry::is_available`].
+    /// Returns the endpoints of a plain service. The caller has to check each with
+    /// [`Registry::is_available`].
     pub fn services(&self, name: &str) -> &[EndpointKey] {
         self.services.get(name).map_or(&[], Vec::as_slice)
     }
 
     /// Returns true when the endpoint may get new work at `now`.
     ///
-    /// The lease is checked here and not only in [`Registry::expire`], because a late timer would
-    /// otherwise send work to an endpoint whose leaving was never heard.
+    /// The lease is checked here as well as in [`Registry::expire`], whose timer may be late.
     pub fn is_available(&self, now: Time, key: EndpointKey) -> bool {
         let Some(endpoint) = self.endpoints.get(key) else { return false };
         let leased = endpoint.lease_end > now || !self.settings.safeguards.lease;
         leased && !endpoint.leaving
     }
 
-    /// Returns the endpoint behind a key.
+    /// Returns the endpoint of a key, unless it has been removed.
     pub fn get(&self, key: EndpointKey) -> Option<&Endpoint> {
         self.endpoints.get(key)
     }
 
-    /// Returns the key of an instance name, if its lease holds.
+    /// Returns the key of the endpoint with this instance name, unless it has been removed.
     pub fn key(&self, name: &str) -> Option<EndpointKey> {
         self.seen.get(name)?.key.filter(|key| self.endpoints.contains_key(*key))
     }
 
-    /// Returns all endpoints, in the arena's order.
+    /// Returns all endpoints with their keys, in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = (EndpointKey, &Endpoint)> {
         self.endpoints.iter()
     }
 
-    /// Returns the settings.
+    /// Returns the settings that the registry was created with.
     pub fn settings(&self) -> &RegistrySettings {
         &self.settings
     }
 
-    /// Tells why an announcement must not be taken.
+    /// Returns why an announcement has to be ignored, if it has to be.
     ///
-    /// Datagrams and relays repeat and reorder. Without this an old announcement that arrives late
-    /// revives an endpoint that left or restarted, and calls go to a process that is gone.
+    /// Datagrams and relays may repeat and reorder announcements. Without these checks an old
+    /// announcement would bring back an endpoint that left or restarted, and calls would go to a
+    /// process that is gone.
     fn ignore_reason(&self, now: Time, announcement: &Announcement) -> Option<Ignored> {
         let seen = self.seen.get(&announcement.name)?;
         let guards = self.settings.safeguards;
@@ -311,12 +314,12 @@
         (guards.replay && announcement.sequence <= seen.sequence).then_some(Ignored::Replay)
     }
 
-    /// Tells whether an endpoint that is up elsewhere has the name.
+    /// Returns true when an endpoint at another address holds a valid lease for the name.
     ///
-    /// All endpoints share a token, so any of them could claim another's name with a higher
-    /// incarnation, and get that one's calls with their histories. While the other's lease runs
-    /// its address stays. An endpoint that restarts at another address waits out its own last
-    /// lease, or says that it leaves before it stops.
+    /// All endpoints share a token, so any of them could announce another's name with a higher
+    /// incarnation and receive its calls with their prompts. An endpoint that restarts at another
+    /// address has to wait until its last lease expires, or announce that it leaves before it
+    /// stops.
     fn address_conflicts(&self, now: Time, seen: &LastSeen, announcement: &Announcement) -> bool {
         let held = seen.key.and_then(|key| self.endpoints.get(key));
         held.is_some_and(|held| {
--- a/crates/core/src/policy/registry/prefix_index.rs
+++ b/crates/core/src/policy/registry/prefix_index.rs
@@ -1,17 +1,17 @@
-//! Which endpoints hold a prefix: the way from a prefix to its endpoints.
+//! Index from prefixes to the endpoints that hold them.
 //!
-//! An endpoint's hints say what it holds. Where there are more endpoints than a routing decision
-//! draws, the draw misses the one that holds a program's history more often than not, and the whole
-//! prompt is read again elsewhere.
+//! A random sample of many endpoints is unlikely to contain the one that holds a program's prefix;
+//! without the index, the whole prompt would be prefilled elsewhere.
 
 use std::collections::{HashMap, VecDeque};
 
 use super::EndpointKey;
 
-/// Endpoints remembered for one prefix, the latest first. A prefix that more of them hold is found
-/// in any draw.
+/// Maximum number of endpoints for one prefix. A prefix that more of them hold is likely to be
+/// found by the random sample.
 const MAX_ENDPOINTS: usize = 8;
-/// Prefixes remembered; the oldest go first. Each turn adds one: some minutes of one process's turns.
+/// Maximum number of prefixes, which covers some minutes of one process's turns; the oldest are
+/// removed first.
 const MAX_PREFIXES: usize = 32_768;
 
 /// Endpoints by the prefixes that they are expected to hold.
@@ -22,7 +22,7 @@
 }
 
 impl PrefixIndex {
-    /// Notes that an endpoint holds a prefix.
+    /// Records that an endpoint holds a prefix.
     pub(super) fn insert(&mut self, prefix: u64, key: EndpointKey) {
         let Some(keys) = self.by_prefix.get_mut(&prefix) else {
             self.evict_if_full();
@@ -35,8 +35,8 @@
         keys.truncate(MAX_ENDPOINTS);
     }
 
-    /// Returns the endpoints that held a prefix when it was last noted, latest first. Some may be
-    /// gone, or have evicted it since.
+    /// Returns the endpoints last known to hold a prefix, latest first. Some may have evicted it or
+    /// been removed since.
     pub(super) fn endpoints(&self, prefix: u64) -> &[EndpointKey] {
         self.by_prefix.get(&prefix).map_or(&[], Vec::as_slice)
     }
--- a/crates/core/src/policy/registry/renewal.rs
+++ b/crates/core/src/policy/registry/renewal.rs
@@ -1,22 +1,23 @@
-//! When everything known of the endpoints is to be announced to the registry again.
+//! Decides when all known endpoints are announced to the registry again.
 
 use crate::prelude::*;
 
-/// Pause between two renewals of all leases.
+/// Interval between renewals of all leases.
 const INTERVAL: Duration = Duration::from_secs(10);
 
-/// What the registry was last told under.
+/// The bundle revision and time of the last announcement to the registry.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Renewal {
     last: Option<(RevisionNumber, Time)>,
 }
 
 impl Renewal {
-    /// Tells whether the registry is to be told again under the bundle that is in force.
+    /// Returns true when the endpoints have to be announced under the bundle in force: under a new
+    /// revision, or when the interval is over.
     ///
-    /// The bundle says what the endpoints of each pool are, so nothing is told without one. Only the
-    /// telling itself counts as done: a process that noted the revision when it first saw it, before
-    /// it held the lease to use it, had no endpoints for ten seconds and refused every request.
+    /// Nothing is due without a bundle, which defines the endpoints of each pool. Only a completed
+    /// announcement is recorded: counting a revision as done when it is first seen, before its
+    /// lease is held, would leave the registry empty until the next interval.
     pub fn is_due(&self, now: Time, in_force: Option<RevisionNumber>) -> bool {
         match (in_force, self.last) {
             (None, _) => false,
@@ -27,17 +28,17 @@
         }
     }
 
-    /// Notes that the registry was told.
+    /// Records that all endpoints were announced under a revision.
     pub fn record(&mut self, now: Time, revision: RevisionNumber) {
         self.last = Some((revision, now));
     }
 
-    /// Tells whether there is something that could not be told yet, for want of a bundle.
+    /// Returns true while an announcement is outstanding, which includes the time without a bundle.
     pub fn is_pending(&self) -> bool {
         self.last.is_none()
     }
 
-    /// Makes a renewal due, since there is news.
+    /// Makes a renewal due, because the endpoints have changed.
     pub fn make_due(&mut self) {
         self.last = None;
     }
--- a/crates/core/src/policy/registry/settings.rs
+++ b/crates/core/src/policy/registry/settings.rs
@@ -1,18 +1,18 @@
-//! Limits of the registry.
+//! Settings of the registry.
 
 use crate::policy::outlier::HealthSettings;
 use crate::prelude::*;
 
-/// Limits of the registry, and safeguards that tests switch off one at a time.
+/// Limits of the registry, and the safeguards that tests can disable.
 #[derive(Clone, Debug)]
 pub struct RegistrySettings {
-    /// Longest lease granted, whatever an endpoint asks for.
+    /// Longest lease granted, even if an endpoint asks for more.
     pub max_lease: Duration,
-    /// How long the incarnation of a gone endpoint is remembered against replays.
+    /// Time for which the name of a removed endpoint is kept to reject replays.
     pub seen_ttl: Duration,
-    /// When an endpoint is ejected and how it comes back.
+    /// Settings of ejection and slow start.
     pub health: HealthSettings,
-    /// Safeguards that a mutation test can switch off.
+    /// Safeguards that mutation tests disable one at a time.
     #[doc(hidden)]
     pub safeguards: RegistrySafeguards,
 }
@@ -28,17 +28,17 @@
     }
 }
 
-/// Safeguards of the registry; all on outside tests.
+/// Safeguards of the registry; all enabled except in tests.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug)]
 pub struct RegistrySafeguards {
-    /// An announcement past its lease gives no work.
+    /// Endpoints whose lease has expired get no work.
     pub lease: bool,
-    /// `leaving` holds for the rest of the incarnation.
+    /// An incarnation that leaves stays so.
     pub sticky: bool,
-    /// Announcements of an older incarnation or sequence are ignored.
+    /// Announcements with an older incarnation or sequence number are ignored.
     pub replay: bool,
-    /// A name stays at its address while the lease runs.
+    /// A name stays with its address while the lease is valid.
     pub address: bool,
 }
 
--- a/crates/core/src/policy/registry/summary.rs
+++ b/crates/core/src/policy/registry/summary.rs
@@ -1,38 +1,38 @@
-//! Summaries that the home VM of some endpoints sends to the other VMs.
+//! Summaries of endpoints, which their home VM sends to the other VMs.
 //!
-//! Telling every VM every announcement does not fit 10 KB/s at 390 VMs and 5,900 endpoints. The
-//! home keeps the whole; the others get three small columns for each of its endpoints. Names are
-//! left out: both sides hold the roster, and its hash shows when they differ. The arithmetic is in
-//! docs/design/registry.md.
+//! Sending every announcement to every VM would take too much bandwidth in a large cluster. The
+//! home VM keeps the full state and sends three small columns: leases, calls and cache use. Names
+//! are left out: both sides hold the roster, and a hash of it shows when they differ.
+//! docs/design/registry.md has the calculation.
 
 use super::{EndpointKey, LoadReport, Registry, home};
 use crate::prelude::*;
 use crate::wire::endpoint::HomeSummary;
 
-/// Milliseconds in one unit of leases and ages.
+/// Milliseconds in the unit of leases and ages, a tenth of a second.
 const TENTH_MS: u64 = 100;
 
-/// Number of a home's summary: a later one is greater, across restarts of the home too.
+/// Number of a home VM's summary; later ones are greater, also after the home VM restarts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SummaryNumber {
     /// Incarnation of the home VM.
     pub incarnation: u32,
-    /// Counts the summaries of the incarnation.
+    /// Number of the summary within the incarnation.
     pub sequence: u32,
 }
 
-/// The receiver knows other endpoints of this home than the sender; it must fetch the roster.
+/// The receiver knows other endpoints of this home VM than the sender, and must fetch the roster.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the endpoints of {home} differ from those known here; fetch its roster")]
 pub struct RosterMismatch {
-    /// The home VM that has the roster.
+    /// Home VM that has the roster.
     pub home: VmId,
 }
 
 impl Registry {
-    /// Sorts all endpoints to their homes among the live VMs.
+    /// Assigns all endpoints to their home VMs among the live ones.
     ///
-    /// Needed after a change of membership or of the endpoints, and not for each summary.
+    /// Needed after a change of membership or of the endpoints, not for each summary.
     pub fn assign_homes(&mut self, live: &[VmId]) {
         self.rosters.clear();
         for (key, endpoint) in &self.endpoints {
@@ -46,12 +46,12 @@
         }
     }
 
-    /// Returns the endpoints that a VM is the home of, in the order of their names.
+    /// Returns the endpoints whose home is `vm`, ordered by name.
     pub fn roster(&self, vm: VmId) -> &[EndpointKey] {
         self.rosters.get(&vm).map_or(&[], Vec::as_slice)
     }
 
-    /// Sums up the endpoints that this VM is the home of.
+    /// Returns a summary of the endpoints whose home is this VM.
     pub fn summarise(&self, now: Time, vm: VmId, number: SummaryNumber) -> HomeSummary {
         let mut summary = HomeSummary {
             home: vm.0,
@@ -63,7 +63,7 @@
         for endpoint in self.roster(vm).iter().filter_map(|key| self.endpoints.get(*key)) {
             let load = endpoint.load(now);
             let left = endpoint.lease_end.since(now).as_millis() as u64 / TENTH_MS;
-            // Rounded to zero, a lease about to be renewed would read as leaving for good.
+            // Zero means leaving, so a lease that is about to expire counts as at least one unit.
             summary.leases.push(if endpoint.leaving { 0 } else { (left as u32).max(1) });
             summary.calls.push(load.total);
             summary
@@ -73,11 +73,13 @@
         summary
     }
 
-    /// Takes a home's summary in: leases go on, loads are news, and what leaves gets no new work.
+    /// Applies a summary of a home VM: renews leases, updates loads, and marks endpoints that
+    /// leave.
     ///
     /// # Errors
-    /// Fails without any change when the rosters differ. Applied all the same, the columns would
-    /// renew the lease of the wrong endpoint.
+    ///
+    /// Returns [`RosterMismatch`] without any change if the rosters differ, since the columns would
+    /// then apply to the wrong endpoints.
     pub fn apply_summary(
         &mut self,
         now: Time,
@@ -90,7 +92,7 @@
             return Err(RosterMismatch { home: vm });
         }
         let number = SummaryNumber { incarnation: summary.incarnation, sequence: summary.sequence };
-        // A summary that was held up on its way would renew leases that have since run out.
+        // A summary that arrives late would renew leases that have expired since.
         if self.last_summaries.get(&vm).is_some_and(|last| *last >= number) {
             return Ok(());
         }
--- a/crates/core/src/policy/regression.rs
+++ b/crates/core/src/policy/regression.rs
@@ -1,28 +1,27 @@
-//! A straight line through observations that keep coming, with the older ones forgotten.
+//! Linear regression over a stream of observations, in which older ones decay.
 
-/// Weight that older observations keep with each new one: a hundred of them, some ten seconds of one
-/// VM's share of a pool, so that what changed is followed.
+/// Factor by which older observations decay with each new one: about the last hundred count.
 const DECAY: f64 = 0.99;
 
-/// A straight line.
+/// A straight line, `y = intercept + slope * x`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct FittedLine {
-    /// Value at zero.
+    /// Value at `x = 0`.
     pub intercept: f64,
-    /// What each unit adds.
+    /// Increase of `y` per unit of `x`.
     pub slope: f64,
 }
 
-/// A slope that is believed before observations tell it.
+/// Slope that is assumed before observations determine it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Prior {
-    /// The slope.
+    /// Assumed slope.
     pub slope: f64,
-    /// What it counts for, in squared units of spread.
+    /// Weight of the assumption, in squared units of `x`.
     pub weight: f64,
 }
 
-/// Least squares over observations.
+/// Weighted least squares over observations.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinearRegression {
     weight: f64,
@@ -33,8 +32,7 @@
 }
 
 impl LinearRegression {
-    /// Takes an observation. One that is no number changes nothing: it would stay in the sums for
-    /// good.
+    /// Adds an observation. A value that isn't finite is ignored, since it would stay in the sums.
     pub fn observe(&mut self, x: f64, y: f64) {
         if !x.is_finite() || !y.is_finite() {
             return;
@@ -47,12 +45,14 @@
         add(&mut self.xy, x * y);
     }
 
-    /// Returns the mean of what was observed, as a point of the line; nothing before the first.
+    /// Returns the mean of the observations, which lies on the line, or `None` before the first
+    /// one.
     pub fn mean(&self) -> Option<Point> {
         (self.weight > 0.0).then(|| Point { x: self.x / self.weight, y: self.y / self.weight })
     }
 
-    /// Returns the line, its slope held between zero and `max_slope`.
+    /// Returns the fitted line with a slope between zero and `max_slope`, or `None` before the
+    /// first observation.
     pub fn line(&self, prior: Prior, max_slope: f64) -> Option<FittedLine> {
         let mean = self.mean()?;
         let spread = self.xx - self.weight * mean.x * mean.x;
@@ -63,11 +63,11 @@
     }
 }
 
-/// A point.
+/// A point of a line.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Point {
-    /// Where.
+    /// Independent variable.
     pub x: f64,
-    /// What was seen there.
+    /// Dependent variable.
     pub y: f64,
 }
--- a/crates/core/src/policy/retention.rs
+++ b/crates/core/src/policy/retention.rs
@@ -1,28 +1,29 @@
-//! Prefix memory across tool pauses: keep it, drop it, or move it off the engine.
+//! Retention of cached prefixes during tool calls: keep, drop or move them.
 //!
-//! An engine's memory held through a pause is memory that running programs cannot use; dropped, it
-//! is filled again when the tool answers. Which is cheaper depends on how long the tool takes, so
-//! pauses are learnt per tool. See docs/design/routing.md.
+//! While a program waits for a tool, its prefix takes memory that running programs could use; if it
+//! is dropped, it has to be prefilled again afterwards. Which of them costs less depends on the
+//! length of the pause, which is learned for each tool. See docs/design/routing.md.
 
 use std::collections::HashMap;
 
 use crate::prelude::*;
 
-/// Shortest and longest pause told apart, and the step between two buckets.
+/// Lower bound of the first bucket, in seconds.
 const MIN_PAUSE: f64 = 0.05;
+/// Ratio between the bounds of neighbouring buckets.
 const BUCKET_FACTOR: f64 = 1.5;
 const BUCKET_COUNT: usize = 32;
 
-/// Samples after which older ones count half, so that a tool that changed is learnt anew.
+/// Number of samples at which all counts are halved, so that recent pauses outweigh older ones.
 const HALVE_AT: f64 = 200.0;
 
-/// Samples below which a tool's own figures are mixed with those of all tools.
+/// Number of samples below which the statistics of all tools are used instead.
 const MIN_SAMPLES: f64 = 5.0;
 
-/// Tools remembered; names come from callers, so that their count must be bounded.
+/// Maximum number of tools with their own statistics; callers choose the names.
 const MAX_TOOLS: usize = 1024;
 
-/// Pause lengths of one tool, in logarithmic buckets.
+/// Histogram of pause lengths with logarithmic buckets.
 #[derive(Clone, Debug)]
 pub struct PauseHistogram {
     buckets: [f32; BUCKET_COUNT],
@@ -36,7 +37,7 @@
 }
 
 impl PauseHistogram {
-    /// Counts a pause.
+    /// Adds a pause.
     pub fn record(&mut self, pause: Duration) {
         if self.total >= HALVE_AT {
             self.buckets.iter_mut().for_each(|count| *count /= 2.0);
@@ -46,7 +47,7 @@
         self.total += 1.0;
     }
 
-    /// Returns the chance that a pause which has lasted `so_far` ends within `more`.
+    /// Returns the probability that a pause that has lasted `so_far` ends within `more`.
     pub fn ends_within(&self, so_far: Duration, more: Duration) -> f64 {
         let from = bucket(so_far.as_secs_f64());
         let to = bucket((so_far + more).as_secs_f64());
@@ -57,7 +58,7 @@
         f64::from(self.buckets[from..=to].iter().sum::<f32>() / remaining_samples)
     }
 
-    /// Returns the mean pause that is still to come after `so_far`.
+    /// Returns the expected remaining time of a pause that has lasted `so_far`.
     pub fn remaining(&self, so_far: Duration) -> Duration {
         let from = bucket(so_far.as_secs_f64());
         let remaining_samples: f64 =
@@ -80,52 +81,53 @@
     MIN_PAUSE * BUCKET_FACTOR.powf(index as f64 + 0.5)
 }
 
-/// What is done with a program's prefix memory at the start of a pause.
+/// What happens to a program's cached prefix at the start of a pause.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Retention {
-    /// Held, ahead of memory that nobody expects back, until the time given.
+    /// Keep it, with precedence over prefixes that nobody is expected to use again.
     Keep {
-        /// When to ask again.
+        /// Time at which to decide again.
         until: Time,
     },
-    /// First to go when the engine needs room.
+    /// Evict it first when the engine needs memory.
     Drop,
-    /// Moved to another engine or to host memory, because here it is in the way.
+    /// Move it to another engine or to host memory.
     Move,
 }
 
-/// A program that pauses for a tool.
+/// A program that waits for a tool.
 #[derive(Clone, Debug)]
 pub struct RetentionRequest {
-    /// The tool, as the program named it.
+    /// Name of the tool.
     pub tool: CompactString,
-    /// How long the pause has lasted.
+    /// Time for which the program has waited.
     pub paused: Duration,
-    /// Tokens held.
+    /// Length of the cached prefix in tokens.
     pub tokens: u64,
-    /// Prompt tokens the engine fills a second.
+    /// Prompt tokens that the engine prefills per second.
     pub prefill_rate: f64,
-    /// Share of the engine's prefix memory in use, zero to one.
+    /// Used share of the engine's prefix cache, from zero to one.
     pub pressure: f64,
-    /// Seconds that moving the memory away and back would take, when the engines can.
+    /// Seconds to move the prefix away and back, if the engines support it.
     pub move_time: Option<f64>,
 }
 
-/// Prefix memory filled and what became of it, in tokens.
+/// Token counts of prefix cache use.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheUse {
-    /// Tokens filled.
+    /// Tokens that were prefilled.
     pub filled: u64,
-    /// Tokens found in memory and not filled again.
+    /// Tokens found in the cache and not prefilled again.
     pub reused: u64,
-    /// Tokens filled although an earlier turn had filled them.
+    /// Prefilled tokens that an earlier turn had prefilled before.
     pub refilled: u64,
-    /// Tokens thrown away that a later turn asked for, or that were never used again.
+    /// Tokens evicted before their program ended, or held for a program that failed.
     pub dropped: u64,
 }
 
 impl CacheUse {
-    /// Counts one call: its prompt, what earlier turns had filled, and what the engine still held.
+    /// Counts a call by its prompt length, the part that earlier turns had prefilled, and the part
+    /// that was still cached.
     pub fn record_call(&mut self, prompt: u64, prior: u64, resident: u64) {
         let resident = resident.min(prompt);
         self.filled += prompt - resident;
@@ -133,13 +135,14 @@
         self.refilled += prior.min(prompt).saturating_sub(resident);
     }
 
-    /// Counts memory thrown away while its program still ran.
+    /// Counts tokens that were evicted before their program ended, or held for a program that
+    /// failed.
     pub fn record_evicted(&mut self, tokens: u64) {
         self.dropped += tokens;
     }
 }
 
-/// Decides what happens to prefix memory in pauses.
+/// Decides what happens to cached prefixes during pauses.
 #[derive(Clone, Debug, Default)]
 pub struct RetentionPolicy {
     tools: HashMap<CompactString, PauseHistogram>,
@@ -147,7 +150,7 @@
 }
 
 impl RetentionPolicy {
-    /// Learns how long a tool took.
+    /// Adds the duration of a tool call.
     pub fn record(&mut self, tool: &str, pause: Duration) {
         self.all.record(pause);
         if let Some(histogram) = self.tools.get_mut(tool) {
@@ -157,7 +160,7 @@
         }
     }
 
-    /// Returns what was learnt of a tool, or of all tools while it is new.
+    /// Returns the statistics of a tool, or those of all tools while it has too few samples.
     pub fn histogram(&self, tool: &str) -> &PauseHistogram {
         match self.tools.get(tool) {
             Some(histogram) if histogram.total >= MIN_SAMPLES => histogram,
@@ -165,10 +168,10 @@
         }
     }
 
-    /// Decides for a program in a pause.
+    /// Decides what to do with the prefix of a waiting program.
     ///
-    /// Keeping costs the room times the rest of the pause, at the worth of room under the engine's
-    /// pressure; dropping costs the refill. On an engine with room to spare keeping is free.
+    /// Keeping it costs the memory for the rest of the pause, weighted by the demand for it;
+    /// dropping it costs a prefill. Without memory pressure, keeping is free.
     pub fn decide(&self, now: Time, request: &RetentionRequest) -> Retention {
         let remaining = self.histogram(&request.tool).remaining(request.paused);
         let refill_time = request.tokens as f64 / request.prefill_rate.max(1.0);
@@ -184,10 +187,10 @@
     }
 }
 
-/// Chance in a second that the room would be taken by another program's live prefix.
+/// Returns the probability per second that the memory would be taken by another running program.
 ///
-/// Below four fifths full nothing is pushed out. The rate of a full engine was tuned with
-/// `gypsumglade bench policy` on the tuning seeds; see docs/measurements/policy.md.
+/// Zero up to a usage of four fifths; docs/measurements/policy.md describes how the rate of a full
+/// cache was determined.
 fn eviction_rate(pressure: f64) -> f64 {
     const EVICTION_THRESHOLD: f64 = 0.8;
     const FULL_RATE: f64 = 1.0 / 50.0;
--- a/crates/core/src/policy/retry.rs
+++ b/crates/core/src/policy/retry.rs
@@ -1,8 +1,8 @@
-//! Retries: how many, how soon, and which calls may run twice at once.
+//! Retries and hedges: how many, after which delay, and for which calls.
 //!
-//! The danger is not the single retry but all of them together: after a domain, a region or a store
-//! comes back, every caller tries again in the same second. A budget bounds retries to a share of
-//! the calls that went through, and jitter spreads the rest. See docs/design/retries.md.
+//! When a domain, a region or a store comes back, all callers would retry in the same second. A
+//! budget limits retries to a share of first attempts, and jitter spreads them. See
+//! docs/design/retries.md.
 
 use std::collections::HashMap;
 
@@ -11,22 +11,22 @@
 
 use crate::prelude::*;
 
-/// How retries are bounded and spread.
+/// Limits and delays of retries.
 #[derive(Clone, Debug)]
 pub struct RetrySettings {
-    /// Retries earned by each call sent for the first time.
+    /// Retries that each first attempt adds to the budget.
     pub ratio: f64,
-    /// Most retries saved up by one organisation.
+    /// Largest budget of one organisation.
     pub burst: f64,
-    /// First mean wait before a retry; doubles with each attempt.
+    /// Mean delay before the first retry; doubles with each attempt.
     pub base_backoff: Duration,
-    /// Longest mean wait.
+    /// Longest mean delay.
     pub max_backoff: Duration,
-    /// Attempts for one call, the first one counted.
+    /// Maximum number of attempts for one call, including the first.
     pub max_attempts: u32,
-    /// Least wait before a hedge.
+    /// Shortest hedge delay.
     pub min_hedge: Duration,
-    /// Safeguards that tests switch off.
+    /// Safeguards that tests can disable.
     #[doc(hidden)]
     pub safeguards: RetrySafeguards,
 }
@@ -45,13 +45,13 @@
     }
 }
 
-/// Safeguards of retries; all on outside tests.
+/// Safeguards of retries; all enabled except in tests.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug)]
 pub struct RetrySafeguards {
-    /// Retries draw from a budget.
+    /// Retries are limited by a budget.
     pub budget: bool,
-    /// Waits are drawn at random.
+    /// Delays are randomised.
     pub jitter: bool,
     /// Only calls that may be repeated are hedged.
     pub repeatable: bool,
@@ -63,76 +63,76 @@
     }
 }
 
-/// Why a call failed, as far as it is known.
+/// What is known of a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// Proved that it did not run.
+    /// The call certainly did not run.
     NotRun,
-    /// It may have run.
+    /// The call may have run.
     Unknown,
 }
 
-/// A failed attempt that asks whether to go on.
+/// A failed attempt that may be retried.
 #[derive(Clone, Debug)]
 pub struct RetryRequest {
-    /// The organisation whose budget pays.
+    /// Organisation whose budget is used.
     pub org: OrgName,
-    /// Attempts made, this one counted.
+    /// Attempts so far, including this one.
     pub attempts: u32,
-    /// True when running it twice does no harm.
+    /// Whether running the call twice does no harm.
     pub repeatable: bool,
-    /// What is known of the failure.
+    /// Whether the call may have run.
     pub failure: Failure,
-    /// When the caller gives up.
+    /// Time at which the caller gives up.
     pub deadline: Option<Time>,
-    /// When the endpoint or the router asked to be tried again, if it did.
+    /// Retry delay that the endpoint or the router asked for.
     pub retry_after: Option<Duration>,
 }
 
-/// Whether to try again.
+/// Decision on a [`RetryRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// Try again at this time, on another endpoint.
+    /// Retry at this time, on another endpoint.
     At(Time),
-    /// Answer the caller now.
+    /// Don't retry; return the failure to the caller.
     Stop(StopReason),
 }
 
-/// Why a call is not tried again.
+/// Reason why a call is not retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StopReason {
-    /// It may have run and may not be repeated.
-    #[error("the call may have run and may not be repeated")]
+    /// The call may have run, and must not be repeated.
+    #[error("the call may have run and must not be repeated")]
     NotRepeatable,
-    /// All attempts are used.
-    #[error("all attempts are used")]
+    /// The call has reached the maximum of attempts.
+    #[error("the call has reached its maximum of attempts")]
     Attempts,
     /// The retry would come after the deadline.
-    #[error("no time is left before the deadline")]
+    #[error("the next attempt would start after the deadline")]
     Deadline,
-    /// The organisation's retry budget is spent.
-    #[error("the retry budget is spent")]
+    /// The retry budget of the organisation is used up.
+    #[error("the retry budget of the organisation is used up")]
     Budget,
 }
 
-/// Second copies of calls that may be sent: each first copy earns a part of one.
+/// Budget for retries or hedges, to which each first attempt adds a fraction.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
     balance: f64,
 }
 
 impl RetryBudget {
-    /// Returns a full budget.
+    /// Creates a full budget.
     pub fn full(settings: &RetrySettings) -> RetryBudget {
         RetryBudget { balance: settings.burst }
     }
 
-    /// Counts a call sent for the first time. Returns whether the budget is full.
+    /// Adds the share of a first attempt. Returns true if the budget is full.
     pub fn earn(&mut self, settings: &RetrySettings) -> bool {
         self.add(settings.ratio, settings)
     }
 
-    /// Takes one second copy out, if there is one.
+    /// Takes one retry out of the budget. Returns false if there is none.
     pub fn spend(&mut self) -> bool {
         let available = self.balance >= 1.0;
         if available {
@@ -147,7 +147,7 @@
     }
 }
 
-/// Decides about retries and hedges.
+/// Decides on retries and hedges.
 #[derive(Clone, Debug)]
 pub struct RetryPolicy {
     settings: RetrySettings,
@@ -156,21 +156,21 @@
 }
 
 impl RetryPolicy {
-    /// Makes a value with full budgets.
+    /// Creates a policy with full budgets; the seed makes its delays reproducible.
     pub fn new(settings: RetrySettings, seed: u64) -> RetryPolicy {
         RetryPolicy { settings, budgets: HashMap::new(), rng: ChaCha8Rng::seed_from_u64(seed) }
     }
 
-    /// Counts a call sent for the first time, which earns a part of a retry.
+    /// Counts a first attempt, which adds to the budget of its organisation.
     pub fn record_call(&mut self, org: &OrgName) {
         let Some(budget) = self.budgets.get_mut(org) else { return };
-        // A full budget is the same as an unknown organisation, and takes no memory.
+        // An organisation without an entry has a full budget, so full ones aren't stored.
         if budget.earn(&self.settings) {
             self.budgets.remove(org);
         }
     }
 
-    /// Decides whether a failed call is tried again, and when.
+    /// Decides whether and when a failed call is retried.
     pub fn decide(&mut self, now: Time, request: &RetryRequest) -> RetryDecision {
         if request.failure == Failure::Unknown && !request.repeatable {
             return RetryDecision::Stop(StopReason::NotRepeatable);
@@ -188,10 +188,11 @@
         RetryDecision::At(at)
     }
 
-    /// Returns when a second copy of a call may start, if at all.
+    /// Returns the time at which a call is hedged, or `None` if it must not be. `typical` is the
+    /// usual response time.
     ///
-    /// The copy draws from the same budget as retries: when everything is slow, hedges would
-    /// double the load just then.
+    /// Hedges use the same budget as retries. Otherwise they would double the load exactly when all
+    /// responses are slow.
     pub fn hedge(
         &mut self,
         now: Time,
@@ -208,17 +209,17 @@
         Some(now + typical.max(self.settings.min_hedge))
     }
 
-    /// Gives back what [`RetryPolicy::hedge`] took when the first copy answered in time.
+    /// Returns what [`RetryPolicy::hedge`] took from the budget, if the hedge wasn't sent.
     pub fn refund_hedge(&mut self, org: &OrgName) {
         if let Some(budget) = self.budgets.get_mut(org) {
             budget.add(1.0, &self.settings);
         }
     }
 
-    /// Draws the wait before the next attempt, between zero and twice the mean.
+    /// Returns a random delay before the next attempt.
     ///
-    /// Calls that failed together must not come back together. Advice from the other side is kept
-    /// as the least, with the draw on top.
+    /// The delay is uniform between zero and twice the mean, so that calls that failed together
+    /// don't return together. A requested retry delay is added as a minimum.
     fn backoff(&mut self, request: &RetryRequest) -> Duration {
         let doublings = 1_u32 << request.attempts.saturating_sub(1).min(16);
         let mean = (self.settings.base_backoff * doublings).min(self.settings.max_backoff);
@@ -226,7 +227,8 @@
         if !self.settings.safeguards.jitter {
             return retry_after + mean;
         }
-        // Spread grows with the advice, or callers told "in 10 s" would all come in one instant.
+        // The range grows with the requested delay; otherwise callers that were given the same long
+        // delay would still return nearly together.
         let spread = mean * 2 + retry_after / 2;
         retry_after + spread.mul_f64(self.rng.random_range(0.0..1.0))
     }
--- a/crates/core/src/policy/route/cost.rs
+++ b/crates/core/src/policy/route/cost.rs
@@ -1,4 +1,4 @@
-//! Cost of one candidate, in seconds.
+//! Cost of a candidate endpoint, in seconds.
 
 use super::{Choice, Place, RouteRequest, RouteSettings};
 use crate::policy::batch::BatchCost;
@@ -6,57 +6,56 @@
 use crate::policy::registry::{Endpoint, EndpointKey, EndpointKind, LoadView, Registry};
 use crate::prelude::*;
 
-/// What a call is expected to cost at one endpoint, in seconds.
+/// Expected cost of a call at one endpoint, in seconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Cost {
-    /// Wait for a slot and for the prompts before it.
+    /// Wait for a slot and for the prefill of earlier prompts.
     pub wait: f64,
-    /// Filling or importing the missing prefix.
+    /// Prefill or import of the missing prefix.
     pub prefill: f64,
-    /// Way there and back, with the price of paid bytes.
+    /// Round trip and transfer, with the price of paid bytes.
     pub network: f64,
-    /// Generating the answer.
+    /// Generation of the answer.
     pub decode: f64,
-    /// Time that the calls beside this one lose by it.
+    /// Time that concurrent calls lose to this one.
     pub interference: f64,
-    /// Prefill that others will pay for memory pushed out, and tokens filled twice.
+    /// Prefill that has to be repeated: tokens that are prefilled twice, and prefixes that this
+    /// call evicts.
     pub waste: f64,
-    /// The weighted sum that is compared.
+    /// Weighted sum by which candidates are compared.
     pub total: f64,
 }
 
-/// Where the program's prefix comes from.
+/// Source of the program's prefix.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Prefix {
-    /// The engine is believed to hold this many tokens.
+    /// The engine is expected to hold this many tokens.
     Resident(u64),
-    /// Another engine hands this many tokens over.
+    /// Another engine transfers the prefix.
     Import {
-        /// The engine that holds them.
+        /// Engine that holds the prefix.
         from: EndpointKey,
-        /// Tokens handed over.
+        /// Tokens that are transferred.
         tokens: u64,
     },
-    /// Everything is filled.
+    /// The whole prompt is prefilled.
     Absent,
 }
 
-/// What the candidates look like together.
+/// Mean load of the candidates whose load reports are recent.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct CandidateMeans {
-    /// Queue length, in parts of the slots, assumed for endpoints whose load is stale: the mean of
-    /// the fresh candidates.
+    /// Calls per slot, the least that is assumed of an endpoint whose load report is stale.
     ///
-    /// A frozen report of an idle engine would otherwise win every decision until it falls over.
-    /// With the mean as the least it can claim, silence is never an advantage; own calls still
-    /// count on top.
+    /// Without this bound, an endpoint that reported itself idle and then stopped reporting would
+    /// win every decision. Calls of this process are added on top.
     usage: f64,
-    /// Mean calls of other processes at a candidate.
+    /// Calls of other processes per endpoint.
     others: f64,
 }
 
 impl CandidateMeans {
-    /// Looks at all candidates with fresh loads.
+    /// Returns the means over the candidates with recent load reports.
     pub fn of(now: Time, registry: &Registry, keys: &[EndpointKey]) -> CandidateMeans {
         let mut sum = CandidateMeans::default();
         let mut count = 0;
@@ -72,11 +71,12 @@
         CandidateMeans { usage: sum.usage / count, others: sum.others / count }
     }
 
-    /// Calls that run at an endpoint now, own ones and what others are expected to have there.
+    /// Returns the number of calls expected at an endpoint now.
     ///
-    /// A report tells others' calls of its moment. Those end within a call's time, and what comes
-    /// after follows the mean of all candidates. Taken as it stands, the engine that last reported
-    /// the least draws every process's calls until the next report.
+    /// The calls of other processes are known as of the last report. As they end within about a
+    /// service time, the estimate decays from the reported number to the mean of all candidates.
+    /// Otherwise the endpoint with the lowest report would attract the calls of every process until
+    /// its next report.
     fn expected_calls(&self, load: &LoadView, service_time: f64) -> f64 {
         let weight = (-load.age.as_secs_f64() / service_time.max(MIN_SERVICE)).exp();
         let others = f64::from(load.others());
@@ -84,10 +84,10 @@
     }
 }
 
-/// Least seconds that a call's time counts for, so that a division is safe.
+/// Shortest service time in seconds, which avoids a division by zero.
 const MIN_SERVICE: f64 = 0.001;
 
-/// Prices one candidate.
+/// Returns one candidate with its expected cost, which is infinite if the registry doesn't have it.
 pub fn price(
     settings: &RouteSettings,
     now: Time,
@@ -137,20 +137,20 @@
     Choice { endpoint: key, cost, prefix, prefill_tokens }
 }
 
-/// Prices the steps that a call shares with those beside it.
+/// Accounts for the engine steps that the call shares with concurrent calls.
 ///
-/// It is slowed by them, and slows each of them: by its part of every step, and by its prompt, which
-/// is read between their tokens.
+/// Concurrent calls slow this call down. This call delays each of them by lengthening the steps,
+/// and by its prefill, which runs between their tokens.
 fn add_batch_cost(cost: &mut Cost, batch: BatchCost, expected_calls: f64, tokens: u64) {
     let tokens = tokens as f64;
     cost.decode = tokens * (batch.base + batch.slope * expected_calls);
     cost.interference = expected_calls * (tokens * batch.slope + cost.prefill);
 }
 
-/// Tokens of the prompt that the endpoint is believed to hold.
+/// Returns the prompt tokens that the endpoint is expected to hold.
 ///
-/// The program's own record says where it last ran and is exact up to eviction. A hint counts only
-/// where it is newer than the record, or where there is no record.
+/// The program's own record of its last run there is exact except for evictions. A cache hint is
+/// used only if it is newer than the record, or if there is no record.
 fn cached_tokens(
     settings: &RouteSettings,
     now: Time,
@@ -172,8 +172,8 @@
         .min(request.prompt_tokens)
 }
 
-/// Tokens of the longest shared start that the endpoint is believed to hold. One that has grown
-/// since is held up to where it was.
+/// Returns the length of the longest shared prefix that the endpoint is expected to hold. If the
+/// prefix has grown since the hint, the length in the hint counts.
 fn cached_shared(endpoint: &Endpoint, request: &RouteRequest) -> u64 {
     let tokens = request
         .shared_prefixes
@@ -197,8 +197,7 @@
     let total = if load.stale { known.max(usage * slots + f64::from(load.own)) } else { known };
     let service_time = load.service_time.unwrap_or(settings.service_time);
     let ahead = (total + 1.0 - slots).max(0.0);
-    // Prompts are filled one after another, so those still to fill delay this one even when slots
-    // are free.
+    // Prefills run one after another, so pending ones delay this call even while slots are free.
     let prompts = prefill_time(request, endpoint, load.prefill_tokens);
     ahead / slots * service_time + prompts
 }
@@ -214,7 +213,8 @@
     2.0 * link.latency.as_secs_f64() + bytes / link.rate + bytes * link.price
 }
 
-/// Prefill seconds that others will pay: what is filled twice, and what this call pushes out.
+/// Returns the prefill time that is wasted: tokens prefilled twice, and prefixes that this call
+/// evicts.
 fn waste(
     settings: &RouteSettings,
     request: &RouteRequest,
@@ -238,7 +238,7 @@
     cost: f64,
 }
 
-/// Cheapest import of the prefix, if one beats filling it again.
+/// Returns the cheapest import of the prefix, if one costs less than prefilling it.
 fn import(
     settings: &RouteSettings,
     now: Time,
--- a/crates/core/src/policy/route/mod.rs
+++ b/crates/core/src/policy/route/mod.rs
@@ -1,9 +1,10 @@
-//! Endpoint choice: least cost in seconds among a few candidates.
+//! Routing: chooses the endpoint with the least cost, in seconds, among a few candidates.
 //!
-//! The cost of a candidate is what the program would wait there, plus what others would pay:
-//! queue, missing prefix (filled again or imported), network, decode, and prefix memory pushed
-//! out. Affinity is not a rule of its own: the program's engine is cheaper by the prefix it holds,
-//! and stops being cheaper once its queue is longer than the refill. See docs/design/routing.md.
+//! The cost of a candidate is the expected latency of the call there plus the time that it costs
+//! other programs: queueing, prefill or import of the missing prefix, network, decoding, and cached
+//! prefixes that would be evicted. Affinity isn't a rule of its own: the engine that holds the
+//! program's prefix is cheaper until its queue takes longer than a refill. See
+//! docs/design/routing.md.
 
 mod cost;
 mod settings;
@@ -20,11 +21,10 @@
 use super::registry::{EndpointKey, ModelId, Registry};
 use crate::prelude::*;
 
-/// How soon to try again when nothing can take the call.
+/// Retry delay given when no endpoint can take the call.
 const RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// Starts of a prompt whose holders are looked up; a program's last turns and what it shares with
-/// others are among them.
+/// Maximum number of prompt prefixes whose holders are looked up, longest first.
 const MAX_PREFIXES: usize = 8;
 
 /// What the call runs on.
@@ -32,110 +32,110 @@
 pub enum Target {
     /// A model engine.
     Model(ModelId),
-    /// A plain service by its name in the bundle.
+    /// A plain service, by its name in the bundle.
     Service(CompactString),
 }
 
-/// An engine where the program ran before, from the program's own record.
+/// An engine that ran the program before, from the program's own record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LastRun {
-    /// The engine's instance name.
+    /// Instance name of the engine.
     pub endpoint: EndpointName,
-    /// Tokens of the program's prefix it held when the call ended.
+    /// Tokens of the program's prefix that the engine held when the call ended.
     pub tokens: u64,
-    /// When that was.
+    /// Time at which the call ended.
     pub at: Time,
 }
 
-/// A start of a prompt, known by its content.
+/// A prefix of a prompt, identified by its content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SharedPrefix {
-    /// Hash of the content, under which hints know it.
+    /// Hash of the content, which is the key of cache hints.
     pub hash: u64,
-    /// Tokens from the prompt's start to the prefix's end.
+    /// Length of the prefix in tokens.
     pub tokens: u64,
 }
 
 /// One call that needs an endpoint.
 #[derive(Clone, Debug)]
 pub struct RouteRequest {
-    /// What it runs on.
+    /// Model or service that the call runs on.
     pub target: Target,
-    /// Hash of the program, as cache events carry it.
+    /// Hash of the program, as in cache events.
     pub program: u64,
-    /// Tokens of the whole prompt.
+    /// Length of the whole prompt in tokens.
     pub prompt_tokens: u64,
-    /// Tokens of the prompt that earlier turns already held.
+    /// Prompt tokens that were part of the program's earlier turns.
     pub prior_tokens: u64,
-    /// Tokens that the answer is expected to have.
+    /// Expected length of the answer in tokens.
     pub expected_output: u64,
-    /// Bytes that are sent, where they are at hand; otherwise they are reckoned from the tokens.
+    /// Bytes to send, if known; otherwise estimated from the tokens.
     pub bytes: Option<u64>,
-    /// How engines slow down with what they run, where that is known.
+    /// How the time for a token grows with the batch, if known.
     pub batch: Option<BatchCost>,
-    /// Seconds that an engine takes to read a prompt token, where that is known; otherwise the rate
-    /// that the endpoint claims counts.
+    /// Seconds of prefill for each prompt token, if known; otherwise the rate that the endpoint
+    /// announces is used.
     pub prefill_seconds: Option<f64>,
-    /// Where earlier turns ran, latest first.
+    /// Earlier runs of the program, latest first.
     pub last_runs: Vec<LastRun>,
-    /// Starts of the prompt that other programs may have left in an engine's memory, shortest
+    /// Prefixes of the prompt that other programs may have left in an engine's cache, shortest
     /// first.
     pub shared_prefixes: Vec<SharedPrefix>,
-    /// Urgency.
+    /// Urgency class of the call.
     pub class: Class,
-    /// Where the call comes from.
+    /// Location that the call comes from.
     pub place: Place,
-    /// Endpoints that must not get it: already tried, or not allowed by the bundle.
+    /// Endpoints that must not get the call: already tried, or not allowed by the bundle.
     pub excluded: Vec<EndpointName>,
-    /// True for a crash suspect, which must run alone on its engine.
+    /// Whether the call is suspected of crashing engines, and so must run alone on its engine.
     pub isolate: bool,
 }
 
-/// Where a call goes, and why.
+/// The chosen endpoint, with its expected cost.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Choice {
-    /// The endpoint.
+    /// Key of the endpoint.
     pub endpoint: EndpointKey,
-    /// What the choice is expected to cost.
+    /// Expected cost of the call.
     pub cost: Cost,
-    /// Where the prefix comes from.
+    /// Source of the program's prefix.
     pub prefix: Prefix,
-    /// Prompt tokens the engine has to fill.
+    /// Prompt tokens that the engine has to prefill.
     pub prefill_tokens: u64,
 }
 
-/// Why no endpoint was chosen. Nothing was sent.
+/// Reason why no endpoint was chosen. Nothing was sent.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RouteError {
-    /// No endpoint with a lease serves the target.
+    /// No endpoint with a valid lease serves the target.
     #[error("no endpoint serves {target}; check that one announces it, then retry")]
     NoEndpoint {
-        /// The model or service asked for.
+        /// Requested model or service.
         target: CompactString,
-        /// When it is worth trying again.
+        /// Delay before the next attempt.
         retry_after: Duration,
     },
     /// Endpoints serve the target, but each is excluded, ejected or isolated.
-    #[error("every endpoint of {target} is out of use for now; retry later")]
+    #[error("no endpoint of {target} is available at the moment; retry later")]
     NoneAvailable {
-        /// The model or service asked for.
+        /// Requested model or service.
         target: CompactString,
-        /// When it is worth trying again.
+        /// Delay before the next attempt.
         retry_after: Duration,
     },
 }
 
-/// Whether slow start binds.
+/// Whether slow start limits the calls of new endpoints.
 ///
-/// It protects endpoints that come back while others carry the load. Where all of them are new, as
-/// after a cold start, refusing calls would protect nothing.
+/// Slow start protects endpoints that come back while others carry the load. Where all endpoints
+/// are new, as after a cold start, refusing calls would protect nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum SlowStart {
     Enforced,
     Ignored,
 }
 
-/// Chooses endpoints. One per process; the seed makes its draws repeatable.
+/// Chooses endpoints. A process has one router, and the seed makes its random choices reproducible.
 #[derive(Clone, Debug)]
 pub struct Router {
     settings: RouteSettings,
@@ -143,22 +143,27 @@
 }
 
 impl Router {
-    /// Makes a router.
+    /// Creates a router.
     pub fn new(settings: RouteSettings, seed: u64) -> Router {
         Router { settings, rng: ChaCha8Rng::seed_from_u64(seed) }
     }
 
-    /// Takes the weights of a new bundle.
+    /// Replaces the weights by those of a new bundle.
     pub fn set_weights(&mut self, weights: PolicyWeights) {
         self.settings.weights = weights;
     }
 
-    /// Returns the settings.
+    /// Returns the settings, with the current weights.
     pub fn settings(&self) -> &RouteSettings {
         &self.settings
     }
 
-    /// Chooses the endpoint of least cost among a sample and the program's own engines.
+    /// Chooses the endpoint with the least cost among a random sample, the program's previous
+    /// engines and the engines that hold a prefix of the prompt.
+    ///
+    /// # Errors
+    ///
+    /// Returns a [`RouteError`] if no endpoint that serves the target may get the call.
     pub fn choose(
         &mut self,
         now: Time,
@@ -179,7 +184,7 @@
             false => SlowStart::Ignored,
         };
         for slow_start in [slow_start, SlowStart::Ignored] {
-            // The sample can miss the few that are free; the whole list is the exception.
+            // The sample may miss the few available endpoints, so the whole list is tried next.
             for keys in [keys.as_slice(), all] {
                 if let Some(choice) = self.cheapest(now, registry, request, keys, slow_start) {
                     return Ok(choice);
@@ -236,7 +241,7 @@
     }
 }
 
-/// Returns the program's own engines that serve the target.
+/// Returns the engines that ran the program before and serve the target.
 fn previous_engines(
     registry: &Registry,
     request: &RouteRequest,
@@ -250,11 +255,11 @@
     keys.filter(|key| serves(registry, *key, model)).collect()
 }
 
-/// Returns the engines that hold a start of the prompt. A draw from many engines would miss them, and
-/// the whole history would be read again at another.
+/// Returns the engines that hold a prefix of the prompt. A sample of many engines would miss most
+/// of them, and the whole prompt would be prefilled again.
 fn prefix_holders(registry: &Registry, request: &RouteRequest) -> Vec<EndpointKey> {
     let Target::Model(model) = &request.target else { return Vec::new() };
-    // The longest starts come last, and save most.
+    // The longest prefixes come last and save most of the prefill.
     let starts = request.shared_prefixes.iter().rev().take(MAX_PREFIXES);
     let endpoints = starts.flat_map(|start| registry.prefix_holders(start.hash)).copied();
     let mut keys: Vec<EndpointKey> =
@@ -264,7 +269,7 @@
     keys
 }
 
-/// Tells whether an endpoint is an engine that has loaded the model.
+/// Returns true for an engine that has loaded the model.
 fn serves(registry: &Registry, key: EndpointKey, model: &ModelId) -> bool {
     registry.get(key).is_some_and(|endpoint| endpoint.kind.serves(model))
 }
--- a/crates/core/src/policy/route/settings.rs
+++ b/crates/core/src/policy/route/settings.rs
@@ -1,15 +1,15 @@
-//! What a routing decision weighs, and the prices of the links between endpoints and VMs.
+//! Settings of the router: weights, links and estimates.
 
 use crate::policy::mechanism::Mechanisms;
 use crate::prelude::*;
 
-/// Weights of the operator's bundle: what a second and a wasted token are worth.
+/// Weights of the cost, from the operator's bundle.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PolicyWeights {
-    /// Worth of a second of the program's own latency.
+    /// Weight of a second of the program's own latency.
     pub latency: f64,
-    /// Worth of a second of prefill spent because prefix memory was thrown away. More than one even
-    /// where only latency counts: that second also delays every prompt behind it.
+    /// Weight of a second of prefill that is repeated because a prefix was evicted. More than one
+    /// by default, because that second also delays every prompt queued behind it.
     pub waste: f64,
 }
 
@@ -19,18 +19,19 @@
     }
 }
 
-/// A kind of link.
+/// Properties of a kind of network link.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Link {
     /// One-way latency.
     pub latency: Duration,
-    /// Bytes a second that one transfer may count on.
+    /// Bytes per second that one transfer may expect.
     pub rate: f64,
-    /// Seconds of cost for each byte, on top of the time it takes: the price of paid volume.
+    /// Cost of each byte in seconds, on top of the transfer time; expresses the price of paid
+    /// traffic.
     pub price: f64,
 }
 
-/// The three kinds of links there are.
+/// Properties of links by their distance.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Links {
     /// Within a failure domain.
@@ -51,17 +52,17 @@
     }
 }
 
-/// A place: where a VM or an endpoint stands.
+/// Location of a VM or an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Place {
-    /// The failure domain.
+    /// Failure domain of the VM or endpoint.
     pub domain: DomainId,
-    /// The region.
+    /// Region of the VM or endpoint.
     pub region: RegionId,
 }
 
 impl Links {
-    /// Returns the link between two places.
+    /// Returns the kind of link that connects two locations.
     pub fn between(&self, a: Place, b: Place) -> &Link {
         if a.region != b.region {
             &self.paid
@@ -73,26 +74,27 @@
     }
 }
 
-/// Settings of the router. docs/design/routing.md gives the figures behind the defaults.
+/// Settings of the router. docs/design/routing.md explains the defaults.
 #[derive(Clone, Debug)]
 pub struct RouteSettings {
-    /// Candidates drawn for each decision, besides the program's own engines.
+    /// Candidates drawn at random for each decision, besides the program's previous engines and the
+    /// engines that hold a prefix of the prompt.
     pub sample_size: usize,
     /// Weights from the bundle in force.
     pub weights: PolicyWeights,
-    /// Links and prices.
+    /// Latency, rate and price of links.
     pub links: Links,
-    /// Bytes of KV cache for each token, for transfers between engines.
+    /// Bytes of KV cache per token, for transfers between engines.
     pub kv_bytes: f64,
-    /// Bytes of text for each prompt token sent to an engine.
+    /// Bytes of text per token, for calls and their answers.
     pub text_bytes: f64,
-    /// Whether engines may hand prefix memory to each other.
+    /// Whether engines can transfer cached prefixes to each other.
     pub import: bool,
-    /// Age past which the program's own record of an engine's memory counts for nothing.
+    /// Age above which the program's record of an earlier run is ignored.
     pub record_age: Duration,
-    /// Seconds assumed for a call's service where no call finished yet.
+    /// Service time in seconds that is assumed until a call has finished at the endpoint.
     pub service_time: f64,
-    /// Mechanisms that are on.
+    /// Mechanisms that are enabled.
     pub mechanisms: Mechanisms,
 }
 
--- a/crates/core/src/policy/stall.rs
+++ b/crates/core/src/policy/stall.rs
@@ -1,22 +1,23 @@
-//! Notices when a process stood still, so that it doesn't take its own stand for endpoints' slowness.
+//! Detects pauses of this process, such as a suspended VM or a lack of CPU time.
 //!
-//! A stream that was under way while a VM was suspended, or its processor was taken away, seems to have
-//! taken an engine all that time. Learnt from, a stand of some seconds makes engines seem many times
-//! slower than alone, and the VM turns new programs away after it is back, while engines have slots free.
+//! Streams that were in flight during a pause seem to have taken that long at the engine. Their
+//! times must not be learned: engines would look overloaded, and new programs would be turned away
+//! after the pause although engines have free slots.
 
 use crate::prelude::*;
 
-/// Pause between two looks at the clock.
+/// Interval between calls of [`StallDetector::tick`].
 pub const TICK: Duration = Duration::from_millis(100);
-/// How late a look may come before the process counts as having stood still: more than a busy
-/// processor delays it, less than callers notice.
+/// Delay of a tick that is tolerated: above the scheduling delay of a busy CPU, but short enough to
+/// be negligible for callers.
 const TOLERANCE: Duration = Duration::from_millis(150);
 
-/// How often a process had stood still at some moment.
+/// Number of stalls detected up to some moment. If it changes during a measurement, the measurement
+/// is invalid.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StallCount(u64);
 
-/// Counts how often a process stood still.
+/// Counts the stalls of this process.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StallDetector {
     stalls: StallCount,
@@ -24,19 +25,19 @@
 }
 
 impl StallDetector {
-    /// Starts at `now`.
+    /// Creates a detector whose first tick is at `now`.
     pub fn new(now: Time) -> StallDetector {
         StallDetector { stalls: StallCount::default(), last_tick: now }
     }
 
-    /// Looks at the clock, every [`TICK`].
+    /// Checks for a stall; has to be called every [`TICK`].
     pub fn tick(&mut self, now: Time) {
         self.stalls = self.stalls(now);
         self.last_tick = now;
     }
 
-    /// Returns how often the process has stood still. It counts a stand that no look has noticed yet:
-    /// what waited during the stand may run before the next look does.
+    /// Returns the number of stalls up to `now`. It includes a stall that the next tick will count,
+    /// because tasks that were waiting may run before that tick.
     pub fn stalls(&self, now: Time) -> StallCount {
         match now.since(self.last_tick) > TICK + TOLERANCE {
             true => StallCount(self.stalls.0 + 1),
