--- a/crates/core/src/policy/admission/mod.rs
+++ b/crates/core/src/policy/admission/mod.rs
@@ -91,7 +91,7 @@
             return AdmissionDecision::Now(self.start(org, request.service_time));
         }
         if self.queues.len() == 0 {
-            self.rate.idle(now);
+            self.rate.restart(now);
         }
         if let Some((reason, retry_after)) = self.shed_reason(now, &request, org, band) {
             return AdmissionDecision::Shed { retry_after, reason };
--- a/crates/core/src/policy/admission/queue.rs
+++ b/crates/core/src/policy/admission/queue.rs
@@ -52,7 +52,7 @@
 struct OrgQueue {
     calls: BTreeMap<Rank, QueuedCall>,
     credit: f64,
-    listed: bool,
+    in_ring: bool,
 }
 
 /// Queues and counts of one organisation.
@@ -158,7 +158,7 @@
         let queue = &mut entry.queues[index];
         queue.calls.insert(rank, call);
         self.counts[index] += 1;
-        if !std::mem::replace(&mut queue.listed, true) {
+        if !std::mem::replace(&mut queue.in_ring, true) {
             self.rings[index].push_back(org);
         }
     }
@@ -222,7 +222,7 @@
                 // An organisation without queued calls loses its credit, so that it can't save up
                 // for a burst.
                 queue.credit = 0.0;
-                queue.listed = false;
+                queue.in_ring = false;
                 self.rings[index].pop_front();
                 continue;
             };
--- a/crates/core/src/policy/admission/rate.rs
+++ b/crates/core/src/policy/admission/rate.rs
@@ -22,7 +22,7 @@
 
 impl Rate {
     /// Starts a new window, because the queue was empty until now.
-    pub fn idle(&mut self, now: Time) {
+    pub fn restart(&mut self, now: Time) {
         self.start = now;
         self.count = 0;
     }
--- a/crates/core/src/policy/group_health.rs
+++ b/crates/core/src/policy/group_health.rs
@@ -229,7 +229,7 @@
     /// Returns true if a caller may probe a lost group; only one probe runs at a time.
     fn may_probe(&self, now: Time) -> bool {
         let probe_pending =
-            self.in_flight.iter().any(|in_flight| now.since(in_flight.since) < PROBE_TIMEOUT);
+            self.in_flight.iter().any(|entry| now.since(entry.since) < PROBE_TIMEOUT);
         !probe_pending && (self.leader_known || now.since(self.last_probe) >= PROBE_INTERVAL)
     }
 }
--- a/crates/core/src/policy/mod.rs
+++ b/crates/core/src/policy/mod.rs
@@ -7,7 +7,7 @@
 //! - [`admission`]: whether and when a call starts (docs/design/admission.md).
 //! - [`overload`]: whether new programs are turned away while a pool is overloaded.
 //! - [`priority`]: order among the programs of an organisation.
-//! - [`batch`]: prefill and decode speed of engines, by their load; uses [`mod@regression`].
+//! - [`batch`]: prefill and decode speed of engines, by their load; uses [`regression`].
 //! - [`retention`]: cached prefixes during tool calls.
 //! - [`retry`]: retries and their budget (docs/design/retries.md).
 //! - [`attempt_timeout`]: time that an attempt of a repeatable call may take.
--- a/crates/core/src/policy/route/mod.rs
+++ b/crates/core/src/policy/route/mod.rs
@@ -260,8 +260,8 @@
 fn prefix_holders(registry: &Registry, request: &RouteRequest) -> Vec<EndpointKey> {
     let Target::Model(model) = &request.target else { return Vec::new() };
     // The longest prefixes come last and save most of the prefill.
-    let starts = request.shared_prefixes.iter().rev().take(MAX_PREFIXES);
-    let endpoints = starts.flat_map(|start| registry.prefix_holders(start.hash)).copied();
+    let prefixes = request.shared_prefixes.iter().rev().take(MAX_PREFIXES);
+    let endpoints = prefixes.flat_map(|prefix| registry.prefix_holders(prefix.hash)).copied();
     let mut keys: Vec<EndpointKey> =
         endpoints.filter(|key| serves(registry, *key, model)).collect();
     keys.sort_unstable();
