--- a/crates/core/src/policy/registry/announce.rs
+++ b/crates/core/src/policy/registry/announce.rs
@@ -25,7 +25,7 @@
     Engine {
         /// Models that are loaded.
         models: Vec<ModelId>,
-        /// Calls that run at the same time.
+        /// Maximum number of calls that run at the same time.
         slots: u32,
         /// Prompt tokens prefilled per second, over all calls.
         prefill_rate: f64,
@@ -38,7 +38,7 @@
     Service {
         /// Name of the service in the bundle.
         name: CompactString,
-        /// Calls that run at the same time.
+        /// Maximum number of calls that run at the same time.
         slots: u32,
     },
 }
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Returns how many calls run at the same time, at least one.
+    /// Returns the maximum number of calls that run at the same time, at least one.
     pub fn slots(&self) -> u32 {
         match self {
             EndpointKind::Engine { slots, .. } | EndpointKind::Service { slots, .. } => {
