--- a/crates/core/examples/program_cost.rs
+++ b/crates/core/examples/program_cost.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use gypsumglade_core::prelude::*;
-use gypsumglade_core::program::{Effect, Input, Name, RequestToken, Sequencer, Settings};
+use gypsumglade_core::program::{Effect, Input, QualifiedName, RequestToken, Sequencer, Settings};
 use gypsumglade_core::wire::common::Outcome;
 use gypsumglade_core::wire::program as wire;
 use gypsumglade_core::wire::program::reply::Body as ReplyBody;
@@ -129,8 +129,9 @@
 }
 
 fn program_ref(program: usize) -> Option<wire::ProgramRef> {
-    let name = Name { org: "organisation".into(), program: format!("program-{program}").into() };
-    Some(name.to_ref())
+    let name =
+        QualifiedName { org: "organisation".into(), program: format!("program-{program}").into() };
+    Some(name.to_wire())
 }
 
 /// Returns the resident memory of this process in bytes.
@@ -183,7 +184,7 @@
 
 /// Prints what an escrow holds that a leader change may cost.
 fn print_escrow(turns: u64, bench: &Bench) {
-    let name = Name { org: "organisation".into(), program: "program-0".into() };
+    let name = QualifiedName { org: "organisation".into(), program: "program-0".into() };
     let held = bench.sequencer.state().consumed(&name).unwrap_or_default().1;
     println!(
         "left in an escrow of {turns} turns after the eighth: {} of 1000000 tokens, {} of 200 calls",
@@ -205,7 +206,7 @@
         snapshot.len() as f64 / PROGRAMS as f64,
         start.elapsed().as_secs_f64()
     );
-    let name = Name { org: "organisation".into(), program: "program-0".into() };
+    let name = QualifiedName { org: "organisation".into(), program: "program-0".into() };
     let memory = turns.sequencer.state().history_memory(&name).unwrap_or(0);
     println!("history of eight turns of {TEXT} + {TEXT} bytes of text: {memory} bytes");
 }
--- a/crates/core/src/program/budget.rs
+++ b/crates/core/src/program/budget.rs
@@ -68,12 +68,12 @@
     }
 
     /// Reads amounts off the wire.
-    pub(super) fn of_record(record: wire::Spent) -> Amounts {
+    pub(super) fn from_record(record: wire::Spent) -> Amounts {
         Amounts { tokens: record.tokens, calls: record.calls, micros: record.micros }
     }
 
     /// Returns what a settled dispatch consumed.
-    pub(super) fn of_usage(usage: &wire::Usage) -> Amounts {
+    pub(super) fn from_usage(usage: &wire::Usage) -> Amounts {
         let tokens = usage.prompt_tokens.saturating_add(usage.output_tokens);
         Amounts { tokens, calls: 1, micros: usage.micros }
     }
@@ -81,25 +81,25 @@
 
 /// The resource that ran short.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Shortage {
+pub enum BudgetExceeded {
     /// Too few tokens are left.
-    #[error("the token budget is used up: {left} left, {asked} needed")]
+    #[error("the token budget is used up: {left} left, {needed} needed")]
     Tokens {
         /// Tokens neither spent nor reserved.
         left: u64,
         /// Tokens that the call needs at the least.
-        asked: u64,
+        needed: u64,
     },
     /// No call is left.
     #[error("the call budget is used up")]
     Calls,
     /// Too little money is left.
-    #[error("the money budget is used up: {left} left, {asked} needed, in millionths")]
+    #[error("the money budget is used up: {left} left, {needed} needed, in millionths")]
     Micros {
         /// Money neither spent nor reserved.
         left: u64,
         /// Price ceiling of the call.
-        asked: u64,
+        needed: u64,
     },
 }
 
@@ -108,25 +108,25 @@
 pub(super) struct Account {
     pub(super) limits: wire::Budget,
     pub(super) spent: Amounts,
-    pub(super) held: Amounts,
+    pub(super) reserved: Amounts,
 }
 
 impl Account {
     /// Returns what is left of each resource; a limit of zero stands for no limit.
     pub(super) fn left(&self) -> Amounts {
-        let left = |limit: u64, spent: u64, held: u64| match limit {
+        let left = |limit: u64, spent: u64, reserved: u64| match limit {
             0 => u64::MAX,
-            limit => limit.saturating_sub(spent).saturating_sub(held),
+            limit => limit.saturating_sub(spent).saturating_sub(reserved),
         };
         Amounts {
-            tokens: left(self.limits.tokens, self.spent.tokens, self.held.tokens),
-            calls: left(self.limits.calls, self.spent.calls, self.held.calls),
-            micros: left(self.limits.micros, self.spent.micros, self.held.micros),
+            tokens: left(self.limits.tokens, self.spent.tokens, self.reserved.tokens),
+            calls: left(self.limits.calls, self.spent.calls, self.reserved.calls),
+            micros: left(self.limits.micros, self.spent.micros, self.reserved.micros),
         }
     }
 
     /// Tells whether some resource is spent for good, so that no later call can be granted.
-    pub(super) fn is_spent(&self) -> bool {
+    pub(super) fn is_exhausted(&self) -> bool {
         let spent = |limit: u64, spent: u64| limit > 0 && spent >= limit;
         spent(self.limits.tokens, self.spent.tokens)
             || spent(self.limits.calls, self.spent.calls)
@@ -134,17 +134,17 @@
     }
 
     /// Tells whether `asked` fits, given that its last `spare` tokens may be cut.
-    pub(super) fn check(&self, asked: Amounts, spare: u64) -> Result<(), Shortage> {
+    pub(super) fn check(&self, needed: Amounts, reducible: u64) -> Result<(), BudgetExceeded> {
         let left = self.left();
-        let least = asked.tokens.saturating_sub(spare);
-        if left.calls < asked.calls {
-            return Err(Shortage::Calls);
+        let least = needed.tokens.saturating_sub(reducible);
+        if left.calls < needed.calls {
+            return Err(BudgetExceeded::Calls);
         }
         if left.tokens < least {
-            return Err(Shortage::Tokens { left: left.tokens, asked: least });
+            return Err(BudgetExceeded::Tokens { left: left.tokens, needed: least });
         }
-        if left.micros < asked.micros {
-            return Err(Shortage::Micros { left: left.micros, asked: asked.micros });
+        if left.micros < needed.micros {
+            return Err(BudgetExceeded::Micros { left: left.micros, needed: needed.micros });
         }
         Ok(())
     }
--- a/crates/core/src/program/asked.rs
+++ b/crates/core/src/program/call_request.rs
@@ -4,14 +4,14 @@
 
 use super::messages::{MessageHash, Prompt, fingerprint, parse_messages};
 use super::settings::Settings;
-use super::state::Name;
+use super::state::QualifiedName;
 use crate::prelude::*;
 use crate::wire::program as wire;
 
 /// A request to run a call.
 #[derive(Clone, Debug)]
-pub(super) struct Asked {
-    pub(super) name: Name,
+pub(super) struct CallRequest {
+    pub(super) name: QualifiedName,
     pub(super) key: CompactString,
     pub(super) content: MessageHash,
     pub(super) revision: RevisionNumber,
@@ -20,16 +20,16 @@
     pub(super) max_micros: u64,
     pub(super) idle_ms: u64,
     /// Milliseconds the caller waits; zero for no deadline.
-    pub(super) deadline_ms: u64,
+    pub(super) timeout_ms: u64,
     pub(super) nonce: CompactString,
     pub(super) repeatable: bool,
     pub(super) digest: Bytes,
-    pub(super) model: Option<ModelAsk>,
+    pub(super) model: Option<ModelRequest>,
 }
 
 /// What only a model call has.
 #[derive(Clone, Debug)]
-pub(super) struct ModelAsk {
+pub(super) struct ModelRequest {
     pub(super) prompt: Prompt,
     /// Zero for the next turn.
     pub(super) turn: u64,
@@ -38,12 +38,15 @@
     pub(super) prompt_tokens: u64,
 }
 
-impl Asked {
+impl CallRequest {
     /// Reads a model call, or tells what is wrong with it.
-    pub(super) fn of_turn(turn: &wire::BeginTurn, settings: &Settings) -> Result<Asked, String> {
+    pub(super) fn from_turn(
+        turn: &wire::BeginTurn,
+        settings: &Settings,
+    ) -> Result<CallRequest, String> {
         let prompt = parse_messages(&turn.messages)?;
         let content = fingerprint(&[b"turn".as_slice(), &turn.digest, &prompt.hash_bytes(0)]);
-        let asked = Asked {
+        let request = CallRequest {
             name: checked_name(turn.program.as_ref(), &turn.key)?,
             key: (&turn.key).into(),
             content,
@@ -52,11 +55,11 @@
             budget: turn.budget.unwrap_or_default(),
             max_micros: turn.max_micros,
             idle_ms: turn.idle_ms,
-            deadline_ms: turn.deadline_ms,
+            timeout_ms: turn.deadline_ms,
             nonce: (&turn.nonce).into(),
             repeatable: true,
             digest: turn.digest.clone(),
-            model: Some(ModelAsk {
+            model: Some(ModelRequest {
                 prompt,
                 turn: turn.turn,
                 max_output: match turn.max_output {
@@ -66,15 +69,15 @@
                 prompt_tokens: turn.prompt_tokens,
             }),
         };
-        Ok(asked)
+        Ok(request)
     }
 
     /// Reads a service call, or tells what is wrong with it.
-    pub(super) fn of_call(call: &wire::BeginCall) -> Result<Asked, String> {
+    pub(super) fn from_call(call: &wire::BeginCall) -> Result<CallRequest, String> {
         let parts =
             [b"call".as_slice(), call.service.as_bytes(), call.operation.as_bytes(), &call.digest];
         let content = fingerprint(&parts);
-        Ok(Asked {
+        Ok(CallRequest {
             name: checked_name(call.program.as_ref(), &call.key)?,
             key: (&call.key).into(),
             content,
@@ -83,7 +86,7 @@
             budget: call.budget.unwrap_or_default(),
             max_micros: call.max_micros,
             idle_ms: call.idle_ms,
-            deadline_ms: call.deadline_ms,
+            timeout_ms: call.deadline_ms,
             nonce: (&call.nonce).into(),
             repeatable: call.repeatable,
             digest: Bytes::copy_from_slice(&content),
@@ -92,16 +95,16 @@
     }
 
     /// Returns the digest of all that an engine would get: the same wherever it is sent from.
-    pub(super) fn crash_digest(&self, stored: &[MessageHash], known: usize) -> MessageHash {
+    pub(super) fn crash_digest(&self, stored: &[MessageHash], skip: usize) -> MessageHash {
         let Some(model) = &self.model else { return self.content };
-        let fresh = model.prompt.hash_bytes(known);
+        let fresh = model.prompt.hash_bytes(skip);
         let whole = [&stored.concat()[..], &fresh[..]].concat();
         fingerprint(&[b"crash".as_slice(), &self.digest, &whole])
     }
 }
 
-fn checked_name(program: Option<&wire::ProgramRef>, key: &str) -> Result<Name, String> {
-    let name = Name::of(program);
+fn checked_name(program: Option<&wire::ProgramRef>, key: &str) -> Result<QualifiedName, String> {
+    let name = QualifiedName::from_wire(program);
     if name.org.is_empty() || name.program.is_empty() {
         return Err("the request names no organisation or no program".into());
     }
--- a/crates/core/src/program/deadlines.rs
+++ b/crates/core/src/program/deadlines.rs
@@ -16,14 +16,14 @@
 impl Sequencer {
     /// Does what is due by now.
     pub(super) fn tick(&mut self, now: Time, out: &mut Vec<Effect>) {
-        let Some(lead) = self.lead else { return };
+        let Some(lead) = self.leader_state else { return };
         let now_ms = self.now_ms(now);
-        for ticket in self.parking.take_due(now_ms) {
+        for waiter in self.parked.take_expired(now_ms) {
             let detail = "the caller's deadline passed while the request waited for its turn";
-            let reply = self.give_up(&ticket, Refusal::DeadlinePassed, detail);
-            out.push(Effect::Reply { token: ticket.token, reply });
+            let reply = self.final_reply(&waiter, Refusal::DeadlinePassed, detail);
+            out.push(Effect::Reply { token: waiter.token, reply });
         }
-        self.withdraw_late(now, out);
+        self.withdraw_expired(now, out);
         if now_ms < self.scanned_ms.saturating_add(self.settings.scan_ms) {
             return;
         }
@@ -31,7 +31,7 @@
         if !lead.ready {
             return self.renew_barrier(now, out);
         }
-        if self.chores.is_empty() {
+        if self.maintenance.is_empty() {
             self.propose_due(now, out);
         }
         self.close_escrows(now, out);
@@ -43,21 +43,21 @@
     /// Its requests that still wait get no grant: nobody would be there to use it, and the program
     /// would stand still until it expires.
     pub(super) fn vm_gone(&mut self, now: Time, vm: VmId, out: &mut Vec<Effect>) {
-        for ticket in self.parking.take_from(vm) {
+        for waiter in self.parked.take_from(vm) {
             let detail = "the VM that asked was declared dead";
-            let reply = self.give_up(&ticket, Refusal::DeadlinePassed, detail);
-            out.push(Effect::Reply { token: ticket.token, reply });
+            let reply = self.final_reply(&waiter, Refusal::DeadlinePassed, detail);
+            out.push(Effect::Reply { token: waiter.token, reply });
         }
         self.withdraw_from(vm, out);
-        self.early_lost(vm);
-        match self.lead {
-            Some(lead) if lead.ready => self.lose_held(now, vm, out),
-            Some(_) => self.gone.push(vm),
+        self.mark_early_lost(vm);
+        match self.leader_state {
+            Some(lead) if lead.ready => self.propose_holder_lost(now, vm, out),
+            Some(_) => self.dead_vms.push(vm),
             None => {}
         }
     }
 
-    pub(super) fn lose_held(&mut self, now: Time, vm: VmId, out: &mut Vec<Effect>) {
+    pub(super) fn propose_holder_lost(&mut self, now: Time, vm: VmId, out: &mut Vec<Effect>) {
         self.propose_lost(now, |attempt| attempt.holder == vm, out);
     }
 
@@ -69,9 +69,9 @@
         out: &mut Vec<Effect>,
     ) {
         let held = self.state.programs.values().any(|p| p.endpoints.contains(&endpoint));
-        if self.lead.is_some() && held {
+        if self.leader_state.is_some() && held {
             let freed = wire::Freed { program: None, endpoint: endpoint.to_string() };
-            self.propose_chore(now, Body::Freed(freed), out);
+            self.propose_maintenance(now, Body::Freed(freed), out);
         }
     }
 
@@ -84,8 +84,8 @@
         out: &mut Vec<Effect>,
     ) {
         self.revision = self.revision.max(revision);
-        self.lifted = lifted;
-        if self.lead.is_some_and(|lead| lead.ready) {
+        self.lifted_digests = lifted;
+        if self.leader_state.is_some_and(|lead| lead.ready) {
             self.propose_lift(now, out);
         }
     }
@@ -93,9 +93,9 @@
     /// Lifts what the revision in force lifts, once for each revision.
     pub(super) fn propose_lift(&mut self, now: Time, out: &mut Vec<Effect>) {
         let revision = self.revision.0;
-        if revision > self.state.lifted && !self.lifted.is_empty() {
-            let entry = wire::Lifted { revision, digests: self.lifted.clone() };
-            self.propose_chore(now, Body::Lifted(entry), out);
+        if revision > self.state.lifted_revision && !self.lifted_digests.is_empty() {
+            let entry = wire::Lifted { revision, digests: self.lifted_digests.clone() };
+            self.propose_maintenance(now, Body::Lifted(entry), out);
         }
     }
 
@@ -106,9 +106,11 @@
         mut scores: Vec<wire::Score>,
         out: &mut Vec<Effect>,
     ) {
-        scores.retain(|score| !self.lifted.contains(&score.digest) && self.state.is_news(score));
-        if self.lead.is_some() && !scores.is_empty() {
-            self.propose_chore(now, Body::Scores(wire::Scores { scores }), out);
+        scores.retain(|score| {
+            !self.lifted_digests.contains(&score.digest) && self.state.raises_score(score)
+        });
+        if self.leader_state.is_some() && !scores.is_empty() {
+            self.propose_maintenance(now, Body::Scores(wire::Scores { scores }), out);
         }
     }
 
@@ -116,17 +118,17 @@
         let now_ms = self.now_ms(now);
         self.propose_lost(now, |attempt| attempt.expires_ms <= now_ms, out);
         for (key, reason) in self.state.due_programs(now_ms, self.settings.idle_ms) {
-            let program = Some(self.state.programs[key].name.to_ref());
+            let program = Some(self.state.programs[key].name.to_wire());
             let end = wire::End { program, reason: reason.into() };
-            self.propose_chore(now, Body::End(end), out);
+            self.propose_maintenance(now, Body::End(end), out);
         }
         let ended_ms = now_ms.saturating_sub(self.settings.retain_ms);
-        let forgettable = self.state.programs.values().any(|p| p.is_forgettable(ended_ms));
+        let removable = self.state.programs.values().any(|p| p.is_removable(ended_ms));
         let stale = now_ms >= self.state.clock_ms().saturating_add(self.settings.clock_ms);
         let alive = self.state.programs.values().any(|p| p.ended.is_none());
-        if forgettable || (stale && alive) {
+        if removable || (stale && alive) {
             let scored_ms = now_ms.saturating_sub(self.settings.suspect_ms);
-            self.propose_chore(now, Body::Sweep(wire::Sweep { ended_ms, scored_ms }), out);
+            self.propose_maintenance(now, Body::Sweep(wire::Sweep { ended_ms, scored_ms }), out);
         }
     }
 
@@ -139,7 +141,7 @@
         let lost = self.state.running_attempts().filter(|(_, attempt)| is_lost(attempt));
         let mut dispatches: Vec<wire::DispatchRef> = lost
             .map(|(call, _)| wire::DispatchRef {
-                program: Some(self.state.programs[call.program].name.to_ref()),
+                program: Some(self.state.programs[call.program].name.to_wire()),
                 dispatch: call.dispatch.to_string(),
             })
             .collect();
@@ -147,7 +149,7 @@
             return;
         }
         dispatches.sort_by(|a, b| a.dispatch.cmp(&b.dispatch));
-        self.propose_chore(now, Body::Lost(wire::Lost { dispatches }), out);
+        self.propose_maintenance(now, Body::Lost(wire::Lost { dispatches }), out);
     }
 
     /// Sends the releases and cancels of ended programs that are due.
@@ -163,10 +165,10 @@
         let mut idle: Vec<ProgramKey> = self.state.releasing.iter().copied().collect();
         idle.retain(|key| self.state.programs[*key].running.is_empty());
         idle.sort();
-        for key in self.cancelled.due(&running, now_ms, &self.settings) {
+        for key in self.cancel_timers.due(&running, now_ms, &self.settings) {
             self.emit_cancels(key, out);
         }
-        for key in self.released.due(&idle, now_ms, &self.settings) {
+        for key in self.release_timers.due(&idle, now_ms, &self.settings) {
             self.state.programs[key].emit_releases(out);
         }
     }
@@ -184,11 +186,11 @@
 
 /// When something was last sent for each program that still needs it.
 #[derive(Debug, Default)]
-pub(super) struct Repeats {
+pub(super) struct ResendTimers {
     sent: HashMap<ProgramKey, u64>,
 }
 
-impl Repeats {
+impl ResendTimers {
     /// Returns the programs among `wanted`, which is sorted, for which it is time to send again.
     fn due(&mut self, wanted: &[ProgramKey], now_ms: u64, settings: &Settings) -> Vec<ProgramKey> {
         self.sent.retain(|key, _| wanted.binary_search(key).is_ok());
@@ -213,7 +215,7 @@
 impl Program {
     fn emit_releases(&self, out: &mut Vec<Effect>) {
         for endpoint in &self.endpoints {
-            let program = Some(self.name.to_ref());
+            let program = Some(self.name.to_wire());
             let release = wire::Release { program, endpoint: endpoint.to_string() };
             out.push(Effect::Release { release });
         }
@@ -250,7 +252,7 @@
     }
 
     /// Tells whether another group's score adds to what is known here.
-    fn is_news(&self, score: &wire::Score) -> bool {
+    fn raises_score(&self, score: &wire::Score) -> bool {
         let Some(digest) = super::quarantine::read_digest(&score.digest) else { return false };
         let known = self.scores.get(&digest);
         score.blame > known.blame
--- a/crates/core/src/program/escrow.rs
+++ b/crates/core/src/program/escrow.rs
@@ -5,11 +5,11 @@
 //! docs/design/budget.md for what becomes of the escrow when the leader changes.
 
 use super::budget::Amounts;
-use super::state::{Applied, Attempt, CallKey, Name, Phase, Program, ProgramKey, State};
+use super::state::{Applied, Attempt, CallKey, Phase, Program, ProgramKey, QualifiedName, State};
 use crate::wire::program as wire;
 
 /// Share of what is left in an account that an escrow may hold: one part in this many.
-const LEFT_SHARE: u64 = 8;
+const ESCROW_DIVISOR: u64 = 8;
 
 /// Budget reserved ahead for one program; it counts as held in every ancestor.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -27,18 +27,18 @@
     /// it would put a second answer into the history. Then it only counts as spent, and its settle
     /// is refused. The leader grants nothing early while that can happen; this makes sure of it.
     pub(super) fn begin_escrowed(&mut self, begin: &wire::Begin) -> Applied {
-        let name = Name::of(begin.program.as_ref());
+        let name = QualifiedName::from_wire(begin.program.as_ref());
         let Some(program) = self.names.get(&name).copied() else { return Applied::Done };
-        let reserved = asked(begin);
+        let reserved = full_reservation(begin);
         let term = self.term;
         match &mut self.programs[program].escrow {
             Some(escrow) if escrow.term == term && escrow.amounts.covers(reserved) => {
                 escrow.amounts.sub(reserved);
             }
-            _ => self.hold(program, reserved),
+            _ => self.add_reserved(program, reserved),
         }
         if self.is_turn_taken(program, begin) {
-            self.spend_held(program, reserved);
+            self.spend_reserved(program, reserved);
             return Applied::Done;
         }
         let call = self.insert_attempt(program, begin, reserved);
@@ -49,7 +49,7 @@
     }
 
     /// Tells whether a lost attempt may yet be settled as the given turn.
-    pub(super) fn has_doubtful_turn(&self, program: ProgramKey, turn: u64) -> bool {
+    pub(super) fn has_turn_in_doubt(&self, program: ProgramKey, turn: u64) -> bool {
         let mut calls = self.programs[program].calls.values().map(|call| &self.calls[*call]);
         calls.any(|call| call.turn == turn && matches!(call.phase, Phase::InDoubt(_)))
     }
@@ -62,17 +62,17 @@
     }
 
     /// Reserves ahead for later turns, as far as every ancestor can spare it.
-    pub(super) fn fill_escrow(&mut self, program: ProgramKey, begin: &wire::Begin) {
+    pub(super) fn open_escrow(&mut self, program: ProgramKey, begin: &wire::Begin) {
         let Some(ahead) = begin.ahead else { return };
-        let mut amounts = Amounts::of_record(ahead);
-        for key in self.charged(program) {
+        let mut amounts = Amounts::from_record(ahead);
+        for key in self.charged_programs(program) {
             let left = self.programs[key].account.left();
-            amounts.limit(left.divided(LEFT_SHARE));
+            amounts.limit(left.divided(ESCROW_DIVISOR));
         }
         if amounts.calls == 0 {
             return;
         }
-        self.hold(program, amounts);
+        self.add_reserved(program, amounts);
         self.programs[program].escrow = Some(Escrow { term: self.term, amounts });
     }
 
@@ -80,15 +80,15 @@
     ///
     /// The leader of an earlier term may have granted a turn out of it whose begin never reached
     /// the log. Given back, the same budget would be granted twice; so it counts as spent.
-    pub(super) fn reopen_escrow(&mut self, program: ProgramKey) {
+    pub(super) fn close_previous_escrow(&mut self, program: ProgramKey) {
         let escrow = self.programs[program].escrow;
         let old = escrow.is_some_and(|escrow| escrow.term != self.term);
-        self.end_escrow(program, old && self.safeguards.spend_escrow);
+        self.remove_escrow(program, old && self.safeguards.spend_escrow);
     }
 
     /// Applies the closing that a leader asks for.
     pub(super) fn close_escrow(&mut self, close: &wire::CloseEscrow) -> Applied {
-        let name = Name::of(close.program.as_ref());
+        let name = QualifiedName::from_wire(close.program.as_ref());
         let Some(program) = self.names.get(&name).copied() else { return Applied::Done };
         let found = &self.programs[program];
         let old = found.escrow.is_some_and(|escrow| escrow.term != self.term);
@@ -96,8 +96,8 @@
         if old && !found.running.is_empty() {
             return Applied::Done;
         }
-        self.end_escrow(program, close.spent || (old && self.safeguards.spend_escrow));
-        self.end_if_spent(program);
+        self.remove_escrow(program, close.spent || (old && self.safeguards.spend_escrow));
+        self.end_if_exhausted(program);
         Applied::Done
     }
 
@@ -115,38 +115,38 @@
             return;
         }
         if escrow.term != self.term {
-            return self.end_escrow(program, false);
+            return self.remove_escrow(program, false);
         }
         if attempt.escrowed {
             let mut unused = attempt.reserved;
             unused.sub(used);
-            self.hold(program, unused);
+            self.add_reserved(program, unused);
             let amounts = &mut self.programs[program].escrow;
             amounts.iter_mut().for_each(|escrow| escrow.amounts.add(unused));
         }
     }
 
     /// Counts amounts as held in the program and its ancestors.
-    pub(super) fn hold(&mut self, program: ProgramKey, amounts: Amounts) {
-        for key in self.charged(program) {
-            self.programs[key].account.held.add(amounts);
+    pub(super) fn add_reserved(&mut self, program: ProgramKey, amounts: Amounts) {
+        for key in self.charged_programs(program) {
+            self.programs[key].account.reserved.add(amounts);
         }
     }
 
-    fn end_escrow(&mut self, program: ProgramKey, spent: bool) {
+    fn remove_escrow(&mut self, program: ProgramKey, spent: bool) {
         let Some(escrow) = self.programs[program].escrow.take() else { return };
         if spent {
-            return self.spend_held(program, escrow.amounts);
+            return self.spend_reserved(program, escrow.amounts);
         }
-        for key in self.charged(program) {
-            self.programs[key].account.held.sub(escrow.amounts);
+        for key in self.charged_programs(program) {
+            self.programs[key].account.reserved.sub(escrow.amounts);
         }
     }
 
-    fn spend_held(&mut self, program: ProgramKey, amounts: Amounts) {
-        for key in self.charged(program) {
+    fn spend_reserved(&mut self, program: ProgramKey, amounts: Amounts) {
+        for key in self.charged_programs(program) {
             let account = &mut self.programs[key].account;
-            account.held.sub(amounts);
+            account.reserved.sub(amounts);
             account.spent.add(amounts);
         }
     }
@@ -155,13 +155,14 @@
 impl Program {
     /// Tells whether the leader of a term may grant the begin out of the escrow.
     pub(super) fn escrow_covers(&self, term: u64, begin: &wire::Begin) -> bool {
-        let covers = |escrow: Escrow| escrow.term == term && escrow.amounts.covers(asked(begin));
+        let covers =
+            |escrow: Escrow| escrow.term == term && escrow.amounts.covers(full_reservation(begin));
         self.escrow.is_some_and(covers)
     }
 }
 
 /// Returns what a begin reserves when nothing of it is cut.
-pub(super) fn asked(begin: &wire::Begin) -> Amounts {
+pub(super) fn full_reservation(begin: &wire::Begin) -> Amounts {
     let tokens = begin.prompt_tokens.saturating_add(begin.max_output);
     Amounts { tokens, calls: 1, micros: begin.max_micros }
 }
--- a/crates/core/src/program/interface.rs
+++ b/crates/core/src/program/interface.rs
@@ -41,7 +41,7 @@
         /// What [`State::snapshot`](super::State::snapshot) gave.
         data: Bytes,
     },
-    /// This replica leads. Repeat [`Input::Gone`] for every VM that is dead by now.
+    /// This replica leads. Repeat [`Input::VmGone`] for every VM that is dead by now.
     Leading {
         /// The leader's term.
         term: u64,
@@ -64,7 +64,7 @@
         lifted: Vec<Bytes>,
     },
     /// Membership declared an entry VM dead, or saw it restart.
-    Gone {
+    VmGone {
         /// The VM.
         vm: VmId,
     },
--- a/crates/core/src/program/journal.rs
+++ b/crates/core/src/program/journal.rs
@@ -6,12 +6,14 @@
 
 use bytes::Bytes;
 
-use super::budget::{Account, Amounts, Shortage};
-use super::escrow::asked;
+use super::budget::{Account, Amounts, BudgetExceeded};
+use super::escrow::full_reservation;
 use super::history::History;
 use super::quarantine::read_digest;
 use super::replies::refused;
-use super::state::{Applied, Attempt, Call, CallKey, Name, Phase, Program, ProgramKey, State};
+use super::state::{
+    Applied, Attempt, Call, CallKey, Phase, Program, ProgramKey, QualifiedName, State,
+};
 use super::{CHILD_SEPARATOR, root_of};
 use crate::prelude::*;
 use crate::wire::program as wire;
@@ -30,18 +32,18 @@
         if let Err(answer) = self.check_begin(program, begin) {
             return answer;
         }
-        self.reopen_escrow(program);
+        self.close_previous_escrow(program);
         let reserved = match self.reserve(program, begin) {
             Ok(reserved) => reserved,
-            Err(shortage) => return Applied::Refused(self.refuse_budget(program, shortage)),
+            Err(exceeded) => return Applied::Refused(self.refuse_budget(program, exceeded)),
         };
-        self.fill_escrow(program, begin);
+        self.open_escrow(program, begin);
         Applied::Granted(self.insert_attempt(program, begin, reserved))
     }
 
     /// Returns the program of a begin, and creates it if this is its first call.
     fn open_program(&mut self, begin: &wire::Begin) -> Result<ProgramKey, wire::Refused> {
-        let name = Name::of(begin.program.as_ref());
+        let name = QualifiedName::from_wire(begin.program.as_ref());
         if let Some(key) = self.names.get(&name) {
             return Ok(*key);
         }
@@ -74,7 +76,11 @@
     /// A child's id must carry its root's, else the two could live in different groups and no
     /// single log would see both reservations; and an id with a separator must have a parent,
     /// else a sub-agent could begin with a budget of its own.
-    fn parent_of(&self, name: &Name, parent: &str) -> Result<Option<ProgramKey>, wire::Refused> {
+    fn parent_of(
+        &self,
+        name: &QualifiedName,
+        parent: &str,
+    ) -> Result<Option<ProgramKey>, wire::Refused> {
         let is_child = name.program.contains(CHILD_SEPARATOR);
         if parent.is_empty() && !is_child {
             return Ok(None);
@@ -86,7 +92,7 @@
             let detail = format!("a child's id must begin with `{}/`", root_of(parent));
             return Err(refused(Refusal::Invalid, detail));
         }
-        let parent = Name { org: name.org.clone(), program: parent.into() };
+        let parent = QualifiedName { org: name.org.clone(), program: parent.into() };
         let Some(key) = self.names.get(&parent).copied() else {
             return Err(refused(Refusal::ProgramNotFound, "no such parent program"));
         };
@@ -136,8 +142,8 @@
         if self.scores.get(&digest).quarantined {
             return Err(Applied::Refused(refused(Refusal::Quarantined, "crashed its endpoints")));
         }
-        let beside = self.flights.get(&digest).is_some_and(|n| *n > 0);
-        if self.safeguards.isolate_suspects && self.scores.is_suspect(&digest) && beside {
+        let duplicate = self.in_flight.get(&digest).is_some_and(|n| *n > 0);
+        if self.safeguards.isolate_suspects && self.scores.is_suspect(&digest) && duplicate {
             return Err(Applied::Retry);
         }
         Ok(())
@@ -146,24 +152,24 @@
     /// Reserves what the call may consume at most, in the program and in every ancestor.
     ///
     /// The output bound is cut to what the tightest of them has left, but never to nothing.
-    fn reserve(&mut self, key: ProgramKey, begin: &wire::Begin) -> Result<Amounts, Shortage> {
-        let line = self.charged(key);
-        let mut asked = asked(begin);
-        let spare = begin.max_output.saturating_sub(1);
-        for ancestor in &line {
-            self.programs[*ancestor].account.check(asked, spare)?;
-        }
-        for ancestor in &line {
-            asked.tokens = asked.tokens.min(self.programs[*ancestor].account.left().tokens);
-        }
-        self.hold(key, asked);
-        Ok(asked)
+    fn reserve(&mut self, key: ProgramKey, begin: &wire::Begin) -> Result<Amounts, BudgetExceeded> {
+        let lineage = self.charged_programs(key);
+        let mut reserved = full_reservation(begin);
+        let reducible = begin.max_output.saturating_sub(1);
+        for ancestor in &lineage {
+            self.programs[*ancestor].account.check(reserved, reducible)?;
+        }
+        for ancestor in &lineage {
+            reserved.tokens = reserved.tokens.min(self.programs[*ancestor].account.left().tokens);
+        }
+        self.add_reserved(key, reserved);
+        Ok(reserved)
     }
 
     /// Refuses for want of budget, and ends the program whose budget is spent for good.
-    fn refuse_budget(&mut self, program: ProgramKey, shortage: Shortage) -> wire::Refused {
-        self.end_if_spent(program);
-        refused(Refusal::BudgetExceeded, shortage)
+    fn refuse_budget(&mut self, program: ProgramKey, exceeded: BudgetExceeded) -> wire::Refused {
+        self.end_if_exhausted(program);
+        refused(Refusal::BudgetExceeded, exceeded)
     }
 
     pub(super) fn insert_attempt(
@@ -190,7 +196,7 @@
         });
         self.isolated += usize::from(isolate);
         if let Some(digest) = digest {
-            *self.flights.entry(digest).or_default() += 1;
+            *self.in_flight.entry(digest).or_default() += 1;
         }
         let call = self.upsert_call(program, begin, attempt);
         self.programs[program].running.push(call);
--- a/crates/core/src/program/leading.rs
+++ b/crates/core/src/program/leadership.rs
@@ -1,8 +1,8 @@
 //! What changes when a replica begins or ceases to lead, and the group's time.
 
 use super::interface::{Effect, RequestToken};
-use super::parking::Queue;
-use super::proposals::Pending;
+use super::parked_requests::QueueKey;
+use super::proposals::PendingProposal;
 use super::replies::{refused, reply};
 use super::sequencer::Sequencer;
 use crate::prelude::*;
@@ -13,7 +13,7 @@
 
 /// The leader's clock and term.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Lead {
+pub(super) struct LeaderState {
     pub(super) term: u64,
     base_ms: u64,
     since: Time,
@@ -21,53 +21,54 @@
 }
 
 impl Sequencer {
-    pub(super) fn start_leading(&mut self, now: Time, term: u64, out: &mut Vec<Effect>) {
-        self.follow(None, out);
+    pub(super) fn become_leader(&mut self, now: Time, term: u64, out: &mut Vec<Effect>) {
+        self.become_follower(None, out);
         let base_ms = self.state.clock_ms();
-        self.lead = Some(Lead { term, base_ms, since: now, ready: false });
+        self.leader_state = Some(LeaderState { term, base_ms, since: now, ready: false });
         self.scanned_ms = 0;
         let barrier = EntryBody::Sweep(wire::Sweep::default());
-        self.propose(now, barrier, Pending::Barrier, out);
+        self.propose(now, barrier, PendingProposal::Barrier, out);
     }
 
     pub(super) fn become_ready(&mut self, now: Time, out: &mut Vec<Effect>) {
-        if let Some(lead) = &mut self.lead {
+        if let Some(lead) = &mut self.leader_state {
             lead.ready = true;
         }
-        for vm in std::mem::take(&mut self.gone) {
-            self.lose_held(now, vm, out);
+        for vm in std::mem::take(&mut self.dead_vms) {
+            self.propose_holder_lost(now, vm, out);
         }
         self.propose_lift(now, out);
-        self.wake(now, &Queue::Ready, out);
+        self.wake(now, &QueueKey::LeaderReady, out);
     }
 
     /// Drops all that a leader alone knows and sends its waiters to the next leader.
-    pub(super) fn follow(&mut self, leader: Option<VmId>, out: &mut Vec<Effect>) {
+    pub(super) fn become_follower(&mut self, leader: Option<VmId>, out: &mut Vec<Effect>) {
         self.leader = leader;
-        self.lead = None;
+        self.leader_state = None;
         let mut tokens: Vec<RequestToken> =
-            self.parking.take_all().into_iter().map(|ticket| ticket.token).collect();
+            self.parked.take_all().into_iter().map(|waiter| waiter.token).collect();
         tokens.extend(self.pending.drain().filter_map(|(_, pending)| pending.token()));
-        tokens.extend(self.drop_early());
+        tokens.extend(self.clear_early_grants());
         tokens.sort();
         let reply = self.not_leader();
         let replies = tokens.into_iter().map(|token| Effect::Reply { token, reply: reply.clone() });
         out.extend(replies);
-        self.chores.clear();
-        self.busy.clear();
-        self.flights.clear();
+        self.maintenance.clear();
+        self.pending_programs.clear();
+        self.crashes.clear();
         self.withdrawn.clear();
-        self.released.clear();
-        self.cancelled.clear();
-        self.gone.clear();
+        self.release_timers.clear();
+        self.cancel_timers.clear();
+        self.dead_vms.clear();
     }
 
     /// Proposes the barrier again if it failed while this replica went on leading.
     pub(super) fn renew_barrier(&mut self, now: Time, out: &mut Vec<Effect>) {
-        let waits = self.pending.values().any(|pending| matches!(pending, Pending::Barrier));
-        if !waits {
+        let waiting =
+            self.pending.values().any(|pending| matches!(pending, PendingProposal::Barrier));
+        if !waiting {
             let barrier = EntryBody::Sweep(wire::Sweep::default());
-            self.propose(now, barrier, Pending::Barrier, out);
+            self.propose(now, barrier, PendingProposal::Barrier, out);
         }
     }
 
@@ -82,8 +83,8 @@
     /// Monotonic clocks of two VMs share no start, so a new leader counts on from the state's
     /// clock. The time for which a group had no leader is not counted against its programs.
     pub(super) fn now_ms(&self, now: Time) -> u64 {
-        let Some(lead) = self.lead else { return self.state.clock_ms() };
-        let gone_by = now.since(lead.since).as_millis() as u64;
-        self.state.clock_ms().max(lead.base_ms.saturating_add(gone_by))
+        let Some(lead) = self.leader_state else { return self.state.clock_ms() };
+        let elapsed = now.since(lead.since).as_millis() as u64;
+        self.state.clock_ms().max(lead.base_ms.saturating_add(elapsed))
     }
 }
--- a/crates/core/src/program/messages.rs
+++ b/crates/core/src/program/messages.rs
@@ -15,7 +15,7 @@
 pub(super) const HASH_LEN: usize = 16;
 
 /// Fields that engines add to an answer and that callers may drop when they send it back.
-const DECORATIONS: [&str; 4] = ["annotations", "reasoning", "reasoning_content", "refusal"];
+const ENGINE_FIELDS: [&str; 4] = ["annotations", "reasoning", "reasoning_content", "refusal"];
 
 /// A request's messages, parsed once.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -48,12 +48,12 @@
 /// Where a whole history that a caller sent parts from the stored one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error(
-    "message {place} differs from the stored history of {stored} messages: send only the new \
+    "message {index} differs from the stored history of {stored} messages: send only the new \
      messages, or begin a new program"
 )]
-pub struct Conflict {
+pub struct HistoryConflict {
     /// Index of the first message that differs.
-    pub place: usize,
+    pub index: usize,
     /// Messages in the stored history.
     pub stored: usize,
 }
@@ -65,9 +65,9 @@
         return Err("messages: expected a JSON array".into());
     };
     let mut prompt = Prompt { texts: vec![], hashes: vec![], roles: vec![] };
-    for (place, item) in items.iter().enumerate() {
+    for (index, item) in items.iter().enumerate() {
         if !item.is_object() {
-            return Err(format!("messages[{place}]: expected an object"));
+            return Err(format!("messages[{index}]: expected an object"));
         }
         prompt.texts.push(canonical(item));
         prompt.hashes.push(message_hash(item));
@@ -81,7 +81,10 @@
 /// A whole history holds every stored answer, so a prompt that neither starts with the stored
 /// messages nor carries an assistant's message is taken as new messages only. A prompt that looks
 /// whole and differs is refused: appending it would mix two conversations.
-pub fn compare_history(stored: &[[u8; HASH_LEN]], prompt: &Prompt) -> Result<usize, Conflict> {
+pub fn compare_history(
+    stored: &[[u8; HASH_LEN]],
+    prompt: &Prompt,
+) -> Result<usize, HistoryConflict> {
     if stored.is_empty() || prompt.hashes.is_empty() {
         return Ok(0);
     }
@@ -93,7 +96,7 @@
     let answered = prompt.roles.contains(&Role::Assistant);
     if answered || (same_start && !lone_user) {
         let equal = prompt.hashes.iter().zip(stored).take_while(|(a, b)| a == b).count();
-        return Err(Conflict { place: equal, stored: stored.len() });
+        return Err(HistoryConflict { index: equal, stored: stored.len() });
     }
     Ok(0)
 }
@@ -122,7 +125,7 @@
     if let Value::Object(fields) = &mut kept {
         fields.retain(|name, value| {
             let empty = value.is_null() || value.as_array().is_some_and(Vec::is_empty);
-            !empty && !DECORATIONS.contains(&name.as_str())
+            !empty && !ENGINE_FIELDS.contains(&name.as_str())
         });
     }
     fingerprint(&[&canonical(&kept)])
--- a/crates/core/src/program/mod.rs
+++ b/crates/core/src/program/mod.rs
@@ -7,19 +7,19 @@
 //! docs/design/programs.md and docs/design/journal.md.
 
 mod admission;
-mod asked;
 mod audit;
 mod budget;
+mod call_request;
 mod crashes;
 mod deadlines;
-mod early;
+mod early_grants;
 mod escrow;
 mod history;
 mod interface;
 mod journal;
-mod leading;
+mod leadership;
 mod messages;
-mod parking;
+mod parked_requests;
 mod proposals;
 mod quarantine;
 mod replies;
@@ -30,14 +30,14 @@
 mod state;
 
 pub use audit::{Leak, find_leaks};
-pub use budget::{Amounts, Shortage};
+pub use budget::{Amounts, BudgetExceeded};
 pub use interface::{Effect, Input, ProposalId, RequestToken};
-pub use messages::{Conflict, Prompt, compare_history, parse_messages};
+pub use messages::{HistoryConflict, Prompt, compare_history, parse_messages};
 pub use replies::refused;
 pub use sequencer::Sequencer;
 pub use settings::{Safeguards, Settings};
 pub use snapshot::RestoreError;
-pub use state::{Applied, Attempt, CallKey, Name, Phase, ProgramKey, State};
+pub use state::{Applied, Attempt, CallKey, Phase, ProgramKey, QualifiedName, State};
 
 /// Separates a child's id from its ancestors' in a program id.
 pub const CHILD_SEPARATOR: char = '/';
--- a/crates/core/src/program/proposals.rs
+++ b/crates/core/src/program/proposals.rs
@@ -5,8 +5,8 @@
 
 use super::interface::{Effect, ProposalId, RequestToken};
 use super::replies::{refusal, reply};
-use super::sequencer::{Sequencer, Ticket};
-use super::state::{Applied, CallKey, Name, Phase};
+use super::sequencer::{CallWaiter, Sequencer};
+use super::state::{Applied, CallKey, Phase, QualifiedName};
 use crate::prelude::*;
 use crate::wire::common::Outcome;
 use crate::wire::program as wire;
@@ -16,63 +16,68 @@
 
 /// What waits for a proposal.
 #[derive(Debug)]
-pub(super) enum Pending {
-    Begin(Box<Ticket>),
+pub(super) enum PendingProposal {
+    Begin(Box<CallWaiter>),
     /// A begin whose caller was told that it is not run, before it was committed.
-    Withdrawn(Name),
+    Withdrawn(QualifiedName),
     /// A begin whose grant is already given.
-    Early(CompactString),
+    EarlyBegin(CompactString),
     /// The closing of a program's escrow.
-    Close(Name),
+    CloseEscrow(QualifiedName),
     Reply(RequestToken),
     /// The first entry of a leader: once it is committed, so is all that came before.
     Barrier,
-    Chore,
+    Maintenance,
 }
 
-impl Pending {
+impl PendingProposal {
     pub(super) fn token(&self) -> Option<RequestToken> {
         match self {
-            Pending::Begin(ticket) => Some(ticket.token),
-            Pending::Reply(token) => Some(*token),
-            Pending::Withdrawn(_)
-            | Pending::Early(_)
-            | Pending::Close(_)
-            | Pending::Barrier
-            | Pending::Chore => None,
+            PendingProposal::Begin(waiter) => Some(waiter.token),
+            PendingProposal::Reply(token) => Some(*token),
+            PendingProposal::Withdrawn(_)
+            | PendingProposal::EarlyBegin(_)
+            | PendingProposal::CloseEscrow(_)
+            | PendingProposal::Barrier
+            | PendingProposal::Maintenance => None,
         }
     }
 }
 
 impl Sequencer {
-    pub(super) fn propose_chore(&mut self, now: Time, body: EntryBody, out: &mut Vec<Effect>) {
-        let proposal = self.propose(now, body, Pending::Chore, out);
-        self.chores.insert(proposal);
+    pub(super) fn propose_maintenance(
+        &mut self,
+        now: Time,
+        body: EntryBody,
+        out: &mut Vec<Effect>,
+    ) {
+        let proposal = self.propose(now, body, PendingProposal::Maintenance, out);
+        self.maintenance.insert(proposal);
     }
 
     pub(super) fn propose_begin(
         &mut self,
         now: Time,
-        ticket: Box<Ticket>,
+        waiter: Box<CallWaiter>,
         begin: wire::Begin,
         out: &mut Vec<Effect>,
     ) {
-        self.busy.insert(ticket.asked.name.clone());
-        self.propose(now, EntryBody::Begin(begin), Pending::Begin(ticket), out);
+        self.pending_programs.insert(waiter.request.name.clone());
+        self.propose(now, EntryBody::Begin(begin), PendingProposal::Begin(waiter), out);
     }
 
     pub(super) fn propose(
         &mut self,
         now: Time,
         body: EntryBody,
-        pending: Pending,
+        pending: PendingProposal,
         out: &mut Vec<Effect>,
     ) -> ProposalId {
-        self.proposals += 1;
-        let proposal = ProposalId(self.proposals);
+        self.last_proposal += 1;
+        let proposal = ProposalId(self.last_proposal);
         let entry = wire::Entry {
             at_ms: self.now_ms(now),
-            term: self.lead.map_or(0, |lead| lead.term),
+            term: self.leader_state.map_or(0, |lead| lead.term),
             proposal: proposal.0,
             body: Some(body),
         };
@@ -90,31 +95,31 @@
         out: &mut Vec<Effect>,
     ) {
         match self.pending.remove(&proposal) {
-            Some(Pending::Begin(ticket)) => {
-                self.busy.remove(&ticket.asked.name);
-                self.complete_begin(now, *ticket, applied, out);
+            Some(PendingProposal::Begin(waiter)) => {
+                self.pending_programs.remove(&waiter.request.name);
+                self.complete_begin(now, *waiter, applied, out);
             }
-            Some(Pending::Withdrawn(name)) => {
-                self.busy.remove(&name);
+            Some(PendingProposal::Withdrawn(name)) => {
+                self.pending_programs.remove(&name);
                 if let Applied::Granted(call) = applied {
                     self.withdraw(now, call, out);
                 }
             }
-            Some(Pending::Reply(token)) => {
+            Some(PendingProposal::Reply(token)) => {
                 let body = match applied {
                     Applied::Refused(refused) => ReplyBody::Refused(refused),
                     _ => ReplyBody::Done(wire::Done {}),
                 };
                 out.push(Effect::Reply { token, reply: reply(body) });
             }
-            Some(Pending::Early(dispatch)) => self.early_applied(now, &dispatch, out),
-            Some(Pending::Close(name)) => {
-                self.busy.remove(&name);
-                self.tainted.remove(&name);
+            Some(PendingProposal::EarlyBegin(dispatch)) => self.early_applied(now, &dispatch, out),
+            Some(PendingProposal::CloseEscrow(name)) => {
+                self.pending_programs.remove(&name);
+                self.invalid_escrows.remove(&name);
             }
-            Some(Pending::Barrier) => self.become_ready(now, out),
-            Some(Pending::Chore) => {
-                self.chores.remove(&proposal);
+            Some(PendingProposal::Barrier) => self.become_ready(now, out),
+            Some(PendingProposal::Maintenance) => {
+                self.maintenance.remove(&proposal);
             }
             None => {}
         }
@@ -123,14 +128,14 @@
     fn complete_begin(
         &mut self,
         now: Time,
-        ticket: Ticket,
+        waiter: CallWaiter,
         applied: Applied,
         out: &mut Vec<Effect>,
     ) {
-        let token = ticket.token;
+        let token = waiter.token;
         match applied {
-            Applied::Granted(call) if ticket.until_ms <= self.now_ms(now) => {
-                out.push(Effect::Reply { token, reply: late_begin() });
+            Applied::Granted(call) if waiter.deadline_ms <= self.now_ms(now) => {
+                out.push(Effect::Reply { token, reply: deadline_passed() });
                 self.withdraw(now, call, out);
             }
             Applied::Granted(call) => {
@@ -141,7 +146,7 @@
             Applied::Refused(refused) => {
                 out.push(Effect::Reply { token, reply: reply(ReplyBody::Refused(refused)) });
             }
-            _ => self.admit(now, ticket, out),
+            _ => self.admit(now, waiter, out),
         }
     }
 
@@ -150,28 +155,34 @@
     /// A leader that lost its quorum without noticing would else keep its callers waiting for as
     /// long as the network is parted. That they are not run is true: the grant is this leader's
     /// to give, and it gives none to a caller that was answered.
-    pub(super) fn withdraw_late(&mut self, now: Time, out: &mut Vec<Effect>) {
+    pub(super) fn withdraw_expired(&mut self, now: Time, out: &mut Vec<Effect>) {
         let now_ms = self.now_ms(now);
-        self.withdraw_pending(|ticket| ticket.until_ms <= now_ms, out);
+        self.withdraw_pending(|waiter| waiter.deadline_ms <= now_ms, out);
     }
 
     /// Answers the begins of a VM that died; it would not use a grant.
     pub(super) fn withdraw_from(&mut self, vm: VmId, out: &mut Vec<Effect>) {
-        self.withdraw_pending(|ticket| ticket.from == vm, out);
+        self.withdraw_pending(|waiter| waiter.from == vm, out);
     }
 
-    fn withdraw_pending(&mut self, is_over: impl Fn(&Ticket) -> bool, out: &mut Vec<Effect>) {
+    fn withdraw_pending(
+        &mut self,
+        is_obsolete: impl Fn(&CallWaiter) -> bool,
+        out: &mut Vec<Effect>,
+    ) {
         let mut tokens = vec![];
         for pending in self.pending.values_mut() {
-            if let Pending::Begin(ticket) = pending
-                && is_over(ticket)
+            if let PendingProposal::Begin(waiter) = pending
+                && is_obsolete(waiter)
             {
-                tokens.push(ticket.token);
-                *pending = Pending::Withdrawn(ticket.asked.name.clone());
+                tokens.push(waiter.token);
+                *pending = PendingProposal::Withdrawn(waiter.request.name.clone());
             }
         }
         tokens.sort();
-        out.extend(tokens.into_iter().map(|token| Effect::Reply { token, reply: late_begin() }));
+        out.extend(
+            tokens.into_iter().map(|token| Effect::Reply { token, reply: deadline_passed() }),
+        );
     }
 
     /// Takes back an intent for which this leader never gave a grant.
@@ -182,28 +193,29 @@
         let call = &self.state.calls[call];
         let Phase::Running(attempt) = &call.phase else { return };
         let settled = wire::Settled {
-            program: Some(self.state.programs[call.program].name.to_ref()),
+            program: Some(self.state.programs[call.program].name.to_wire()),
             dispatch: call.dispatch.to_string(),
             holder: attempt.holder.0,
             outcome: Outcome::NotRun.into(),
             ..wire::Settled::default()
         };
         self.withdrawn.insert(call.dispatch.clone());
-        self.propose_chore(now, EntryBody::Settled(settled), out);
+        self.propose_maintenance(now, EntryBody::Settled(settled), out);
     }
 
     pub(super) fn proposal_failed(&mut self, proposal: ProposalId, out: &mut Vec<Effect>) {
-        self.chores.remove(&proposal);
+        self.maintenance.remove(&proposal);
         let Some(pending) = self.pending.remove(&proposal) else { return };
         match &pending {
-            Pending::Begin(ticket) => {
-                self.busy.remove(&ticket.asked.name);
+            PendingProposal::Begin(waiter) => {
+                self.pending_programs.remove(&waiter.request.name);
+            }
+            PendingProposal::Withdrawn(name) | PendingProposal::CloseEscrow(name) => {
+                self.pending_programs.remove(name);
             }
-            Pending::Withdrawn(name) | Pending::Close(name) => {
-                self.busy.remove(name);
+            PendingProposal::EarlyBegin(dispatch) => self.early_failed(dispatch, out),
+            PendingProposal::Reply(_) | PendingProposal::Barrier | PendingProposal::Maintenance => {
             }
-            Pending::Early(dispatch) => self.early_failed(dispatch, out),
-            Pending::Reply(_) | Pending::Barrier | Pending::Chore => {}
         }
         if let Some(token) = pending.token() {
             out.push(Effect::Reply { token, reply: self.not_leader() });
@@ -211,7 +223,7 @@
     }
 }
 
-fn late_begin() -> Reply {
+fn deadline_passed() -> Reply {
     let detail = "the caller's deadline passed before the group could commit its request";
     refusal(Refusal::DeadlinePassed, detail)
 }
--- a/crates/core/src/program/quarantine.rs
+++ b/crates/core/src/program/quarantine.rs
@@ -11,10 +11,10 @@
 use crate::wire::program as wire;
 
 /// Blame of one death, in thousandths.
-pub(super) const WHOLE_DEATH: u32 = 1_000;
+pub(super) const BLAME_PER_CRASH: u32 = 1_000;
 
 /// Blame from which a request is quarantined: as much as two deaths with nothing else in flight.
-const QUARANTINE_BLAME: u32 = 2 * WHOLE_DEATH;
+const QUARANTINE_THRESHOLD: u32 = 2 * BLAME_PER_CRASH;
 
 /// Digest of a whole request.
 pub(super) type Digest = [u8; 16];
@@ -52,9 +52,9 @@
         let digest = read_digest(&share.digest)?;
         let score = self.by_digest.entry(digest).or_default();
         let proved = share.alone && score.deaths > 0;
-        score.blame = score.blame.saturating_add(share.share.min(WHOLE_DEATH));
+        score.blame = score.blame.saturating_add(share.share.min(BLAME_PER_CRASH));
         score.deaths = score.deaths.saturating_add(1);
-        score.quarantined |= proved || score.blame >= QUARANTINE_BLAME;
+        score.quarantined |= proved || score.blame >= QUARANTINE_THRESHOLD;
         score.at_ms = now_ms;
         Some(record(&digest, score))
     }
@@ -85,7 +85,7 @@
     }
 
     /// Forgets suspects whose last death is older than `before_ms`.
-    pub(super) fn forget(&mut self, before_ms: u64) {
+    pub(super) fn expire(&mut self, before_ms: u64) {
         self.by_digest.retain(|_, score| score.quarantined || score.at_ms >= before_ms);
     }
 
--- a/crates/core/src/program/replies.rs
+++ b/crates/core/src/program/replies.rs
@@ -6,7 +6,7 @@
 
 use super::history::History;
 use super::messages::HASH_LEN;
-use super::state::{Call, CallKey, Name, Phase, State};
+use super::state::{Call, CallKey, Phase, QualifiedName, State};
 use crate::wire::program as wire;
 use crate::wire::program::Refusal;
 use crate::wire::program::reply::Body;
@@ -67,7 +67,7 @@
 
 /// Builds the grant of a begin that is not applied yet.
 pub(super) fn early_grant(state: &State, begin: &wire::Begin) -> wire::Reply {
-    let name = Name::of(begin.program.as_ref());
+    let name = QualifiedName::from_wire(begin.program.as_ref());
     let program = state.find(&name);
     let (history, prior) = match (begin.turn, program) {
         (0, _) => (Bytes::new(), 0),
--- a/crates/core/src/program/sequencer.rs
+++ b/crates/core/src/program/sequencer.rs
@@ -9,18 +9,18 @@
 use prost::Message;
 
 use super::State;
-use super::asked::Asked;
 use super::audit::leaks_reply;
-use super::crashes::Flights;
-use super::deadlines::Repeats;
-use super::early::Early;
+use super::call_request::CallRequest;
+use super::crashes::CrashTracker;
+use super::deadlines::ResendTimers;
+use super::early_grants::EarlyGrant;
 use super::interface::{Effect, Input, ProposalId, RequestToken};
-use super::leading::Lead;
-use super::parking::{Parking, Queue};
-use super::proposals::Pending;
+use super::leadership::LeaderState;
+use super::parked_requests::{ParkedRequests, QueueKey};
+use super::proposals::PendingProposal;
 use super::replies::{refusal, reply};
 use super::settings::Settings;
-use super::state::{Applied, Name};
+use super::state::{Applied, QualifiedName};
 use crate::prelude::*;
 use crate::wire::program as wire;
 use crate::wire::program::Refusal;
@@ -30,12 +30,12 @@
 
 /// A request to run a call, on its way to an answer.
 #[derive(Clone, Debug)]
-pub(super) struct Ticket {
+pub(super) struct CallWaiter {
     pub(super) token: RequestToken,
     pub(super) from: VmId,
     /// Group time at which the caller gives up.
-    pub(super) until_ms: u64,
-    pub(super) asked: Asked,
+    pub(super) deadline_ms: u64,
+    pub(super) request: CallRequest,
     /// The request is a crash suspect and takes an engine to itself.
     pub(super) isolate: bool,
 }
@@ -46,28 +46,28 @@
     pub(super) settings: Settings,
     pub(super) group: GroupId,
     pub(super) state: State,
-    pub(super) lead: Option<Lead>,
+    pub(super) leader_state: Option<LeaderState>,
     pub(super) leader: Option<VmId>,
     applied: u64,
     pub(super) revision: RevisionNumber,
-    pub(super) lifted: Vec<Bytes>,
-    pub(super) proposals: u64,
-    dispatches: u64,
-    pub(super) pending: HashMap<ProposalId, Pending>,
-    pub(super) chores: HashSet<ProposalId>,
-    pub(super) parking: Parking,
+    pub(super) lifted_digests: Vec<Bytes>,
+    pub(super) last_proposal: u64,
+    last_dispatch: u64,
+    pub(super) pending: HashMap<ProposalId, PendingProposal>,
+    pub(super) maintenance: HashSet<ProposalId>,
+    pub(super) parked: ParkedRequests,
     /// Programs with a begin on its way through the log.
-    pub(super) busy: HashSet<Name>,
-    pub(super) flights: Flights,
+    pub(super) pending_programs: HashSet<QualifiedName>,
+    pub(super) crashes: CrashTracker,
     /// Dispatches that this leader takes back; none of them may be granted.
     pub(super) withdrawn: HashSet<CompactString>,
     /// Dispatches granted out of an escrow whose begin is not applied yet.
-    pub(super) early: HashMap<CompactString, Early>,
+    pub(super) early_grants: HashMap<CompactString, EarlyGrant>,
     /// Programs whose escrow says more than is left, since an early begin failed.
-    pub(super) tainted: HashSet<Name>,
-    pub(super) gone: Vec<VmId>,
-    pub(super) released: Repeats,
-    pub(super) cancelled: Repeats,
+    pub(super) invalid_escrows: HashSet<QualifiedName>,
+    pub(super) dead_vms: Vec<VmId>,
+    pub(super) release_timers: ResendTimers,
+    pub(super) cancel_timers: ResendTimers,
     pub(super) scanned_ms: u64,
     halted: bool,
 }
@@ -80,24 +80,24 @@
             settings,
             group,
             state,
-            lead: None,
+            leader_state: None,
             leader: None,
             applied: 0,
             revision: RevisionNumber(0),
-            lifted: vec![],
-            proposals: 0,
-            dispatches: 0,
+            lifted_digests: vec![],
+            last_proposal: 0,
+            last_dispatch: 0,
             pending: HashMap::new(),
-            chores: HashSet::new(),
-            parking: Parking::default(),
-            busy: HashSet::new(),
-            flights: Flights::default(),
+            maintenance: HashSet::new(),
+            parked: ParkedRequests::default(),
+            pending_programs: HashSet::new(),
+            crashes: CrashTracker::default(),
             withdrawn: HashSet::new(),
-            early: HashMap::new(),
-            tainted: HashSet::new(),
-            gone: vec![],
-            released: Repeats::default(),
-            cancelled: Repeats::default(),
+            early_grants: HashMap::new(),
+            invalid_escrows: HashSet::new(),
+            dead_vms: vec![],
+            release_timers: ResendTimers::default(),
+            cancel_timers: ResendTimers::default(),
             scanned_ms: 0,
             halted: false,
         }
@@ -114,8 +114,8 @@
     }
 
     /// Returns how many requests are parked.
-    pub fn parked(&self) -> usize {
-        self.parking.len()
+    pub fn parked_count(&self) -> usize {
+        self.parked.len()
     }
 
     /// Takes one input and appends what is to be done about it.
@@ -124,14 +124,16 @@
             return;
         }
         match input {
-            Input::Request { token, from, request } => self.request(now, token, from, request, out),
+            Input::Request { token, from, request } => {
+                self.handle_request(now, token, from, request, out)
+            }
             Input::Committed { index, data } => self.committed(now, index, data, out),
             Input::Restored { index, data } => self.restored(index, &data, out),
-            Input::Leading { term } => self.start_leading(now, term, out),
-            Input::Following { leader } => self.follow(leader, out),
+            Input::Leading { term } => self.become_leader(now, term, out),
+            Input::Following { leader } => self.become_follower(leader, out),
             Input::ProposalFailed { proposal } => self.proposal_failed(proposal, out),
             Input::Config { revision, lifted } => self.configure(now, revision, lifted, out),
-            Input::Gone { vm } => self.vm_gone(now, vm, out),
+            Input::VmGone { vm } => self.vm_gone(now, vm, out),
             Input::EndpointGone { endpoint } => self.endpoint_gone(now, endpoint, out),
             Input::Scores { scores } => self.import_scores(now, scores, out),
             Input::Tick => self.tick(now, out),
@@ -140,12 +142,12 @@
 
     /// Returns a dispatch id that no other leader, term or group ever gives.
     pub(super) fn next_dispatch(&mut self) -> CompactString {
-        self.dispatches += 1;
-        let term = self.lead.map_or(0, |lead| lead.term);
-        compact_str::format_compact!("{}.t{}.{}", self.group, term, self.dispatches)
+        self.last_dispatch += 1;
+        let term = self.leader_state.map_or(0, |lead| lead.term);
+        compact_str::format_compact!("{}.t{}.{}", self.group, term, self.last_dispatch)
     }
 
-    fn request(
+    fn handle_request(
         &mut self,
         now: Time,
         token: RequestToken,
@@ -153,29 +155,29 @@
         request: wire::Request,
         out: &mut Vec<Effect>,
     ) {
-        if self.lead.is_none() {
+        if self.leader_state.is_none() {
             return out.push(Effect::Reply { token, reply: self.not_leader() });
         }
         match request.body {
             Some(RequestBody::BeginTurn(turn)) => {
-                let asked = Asked::of_turn(&turn, &self.settings);
-                self.begin(now, token, from, asked, out);
+                let request = CallRequest::from_turn(&turn, &self.settings);
+                self.begin(now, token, from, request, out);
             }
             Some(RequestBody::BeginCall(call)) => {
-                self.begin(now, token, from, Asked::of_call(&call), out);
+                self.begin(now, token, from, CallRequest::from_call(&call), out);
             }
             Some(RequestBody::Settle(settle)) => self.settle(now, token, from, settle, out),
-            Some(RequestBody::Started(started)) => self.start(now, token, started, out),
+            Some(RequestBody::Started(started)) => self.record_started(now, token, started, out),
             Some(RequestBody::EndProgram(end)) => {
                 let reason = wire::EndReason::Word.into();
                 let end = wire::End { program: end.program, reason };
-                self.propose(now, EntryBody::End(end), Pending::Reply(token), out);
+                self.propose(now, EntryBody::End(end), PendingProposal::Reply(token), out);
             }
             Some(RequestBody::Released(released)) => {
                 let wire::Released { program, endpoint } = released;
                 let program = Some(program.unwrap_or_default());
                 let freed = wire::Freed { program, endpoint };
-                self.propose(now, EntryBody::Freed(freed), Pending::Reply(token), out);
+                self.propose(now, EntryBody::Freed(freed), PendingProposal::Reply(token), out);
             }
             Some(RequestBody::Audit(audit)) => {
                 out.push(Effect::Reply { token, reply: leaks_reply(&self.state, &audit) });
@@ -189,22 +191,22 @@
         now: Time,
         token: RequestToken,
         from: VmId,
-        asked: Result<Asked, String>,
+        request: Result<CallRequest, String>,
         out: &mut Vec<Effect>,
     ) {
-        let asked = match asked {
-            Ok(asked) => asked,
+        let request = match request {
+            Ok(request) => request,
             Err(detail) => {
                 let reply = refusal(Refusal::Invalid, detail);
                 return out.push(Effect::Reply { token, reply });
             }
         };
-        let wait = match asked.deadline_ms {
+        let wait = match request.timeout_ms {
             0 => self.settings.park_ms,
             millis => millis,
         };
-        let until_ms = self.now_ms(now).saturating_add(wait);
-        self.admit(now, Ticket { token, from, until_ms, asked, isolate: false }, out);
+        let deadline_ms = self.now_ms(now).saturating_add(wait);
+        self.admit(now, CallWaiter { token, from, deadline_ms, request, isolate: false }, out);
     }
 
     pub(super) fn settle(
@@ -215,14 +217,14 @@
         settle: wire::Settle,
         out: &mut Vec<Effect>,
     ) {
-        let Some(settle) = self.hold_settle(token, from, settle) else { return };
+        let Some(settle) = self.defer_settle(token, from, settle) else { return };
         let settled = self.settled_entry(from, settle);
-        self.propose(now, EntryBody::Settled(settled), Pending::Reply(token), out);
+        self.propose(now, EntryBody::Settled(settled), PendingProposal::Reply(token), out);
     }
 
     /// Notes where a dispatch runs. An endpoint that the program never ran on is committed before
     /// the reply: after the first byte, only the group can know whose memory it holds.
-    fn start(
+    fn record_started(
         &mut self,
         now: Time,
         token: RequestToken,
@@ -230,8 +232,8 @@
         out: &mut Vec<Effect>,
     ) {
         let endpoint = EndpointName::from(&started.endpoint);
-        self.flights.start(&started.dispatch, endpoint.clone());
-        let program = self.state.find(&Name::of(started.program.as_ref()));
+        self.crashes.start(&started.dispatch, endpoint.clone());
+        let program = self.state.find(&QualifiedName::from_wire(started.program.as_ref()));
         let known = program.is_none_or(|program| program.endpoints.contains(&endpoint));
         if known {
             let reply = reply(ReplyBody::Done(wire::Done {}));
@@ -239,7 +241,7 @@
         }
         let wire::Started { program, endpoint, .. } = started;
         let touched = wire::Touched { program, endpoint };
-        self.propose(now, EntryBody::Touched(touched), Pending::Reply(token), out);
+        self.propose(now, EntryBody::Touched(touched), PendingProposal::Reply(token), out);
     }
 
     fn committed(&mut self, now: Time, index: u64, data: Bytes, out: &mut Vec<Effect>) {
@@ -249,7 +251,7 @@
         };
         self.applied = index;
         let applied = self.state.apply(&entry);
-        let Some(lead) = self.lead else { return };
+        let Some(lead) = self.leader_state else { return };
         if let Applied::Settled(scores) = &applied {
             let scored = scores.iter().cloned().map(|score| Effect::Scored { score });
             out.extend(scored);
@@ -257,13 +259,13 @@
         if entry.term == lead.term {
             self.complete(now, ProposalId(entry.proposal), applied, out);
         }
-        self.forget_closed(&entry);
-        self.wake_for(now, &entry, out);
+        self.drop_closed(&entry);
+        self.wake_after(now, &entry, out);
         self.release_ended(now, out);
     }
 
     fn restored(&mut self, index: u64, data: &Bytes, out: &mut Vec<Effect>) {
-        self.follow(self.leader, out);
+        self.become_follower(self.leader, out);
         match self.state.restore(data) {
             Ok(()) => {
                 self.applied = index;
@@ -278,18 +280,18 @@
     /// A replica that skipped what it cannot read would part from the others unseen, and answer
     /// from a state that nobody agreed on.
     fn halt(&mut self, reason: String, out: &mut Vec<Effect>) {
-        self.follow(None, out);
+        self.become_follower(None, out);
         self.halted = true;
         out.push(Effect::Halt { reason });
     }
 
     /// Wakes the requests that an entry may have made room for.
-    fn wake_for(&mut self, now: Time, entry: &wire::Entry, out: &mut Vec<Effect>) {
-        match woken_by(&entry.body) {
-            Woken::None => {}
-            Woken::Program(name) => self.wake(now, &Queue::Program(name), out),
-            Woken::All => {
-                for queue in self.parking.program_queues() {
+    fn wake_after(&mut self, now: Time, entry: &wire::Entry, out: &mut Vec<Effect>) {
+        match wake_scope(&entry.body) {
+            WakeScope::None => {}
+            WakeScope::Program(name) => self.wake(now, &QueueKey::Program(name), out),
+            WakeScope::All => {
+                for queue in self.parked.program_queues() {
                     self.wake(now, &queue, out);
                 }
             }
@@ -298,9 +300,9 @@
     }
 
     fn wake_suspects(&mut self, now: Time, out: &mut Vec<Effect>) {
-        for queue in self.parking.suspect_queues() {
+        for queue in self.parked.suspect_queues() {
             let room = match &queue {
-                Queue::Suspect(digest) => !self.state.flights.contains_key(digest),
+                QueueKey::Suspect(digest) => !self.state.in_flight.contains_key(digest),
                 _ => self.isolated() < self.settings.isolated,
             };
             if room {
@@ -310,7 +312,7 @@
     }
 
     /// Forgets what only concerns dispatches that are closed now.
-    fn forget_closed(&mut self, entry: &wire::Entry) {
+    fn drop_closed(&mut self, entry: &wire::Entry) {
         let closed: Vec<&str> = match &entry.body {
             Some(EntryBody::Settled(settled)) => vec![&settled.dispatch],
             Some(EntryBody::Lost(lost)) => {
@@ -319,35 +321,35 @@
             _ => return,
         };
         for dispatch in closed {
-            self.flights.close(dispatch);
+            self.crashes.close(dispatch);
             self.withdrawn.remove(dispatch);
         }
     }
 
-    pub(super) fn wake(&mut self, now: Time, queue: &Queue, out: &mut Vec<Effect>) {
-        for ticket in self.parking.take(queue) {
-            self.admit(now, ticket, out);
+    pub(super) fn wake(&mut self, now: Time, queue: &QueueKey, out: &mut Vec<Effect>) {
+        for waiter in self.parked.take(queue) {
+            self.admit(now, waiter, out);
         }
     }
 }
 
 /// Whose requests an entry may have made room for.
-enum Woken {
+enum WakeScope {
     None,
-    Program(Name),
+    Program(QualifiedName),
     All,
 }
 
-fn woken_by(body: &Option<EntryBody>) -> Woken {
+fn wake_scope(body: &Option<EntryBody>) -> WakeScope {
     let program = match body {
         Some(EntryBody::Begin(begin)) => begin.program.as_ref(),
         Some(EntryBody::Settled(settled)) => settled.program.as_ref(),
         Some(EntryBody::CloseEscrow(close)) => close.program.as_ref(),
         // These may concern whole families.
-        Some(EntryBody::End(_) | EntryBody::Lost(_)) => return Woken::All,
+        Some(EntryBody::End(_) | EntryBody::Lost(_)) => return WakeScope::All,
         // A lift or a new score changes what suspects wait for.
-        Some(EntryBody::Lifted(_) | EntryBody::Scores(_)) => return Woken::All,
-        _ => return Woken::None,
+        Some(EntryBody::Lifted(_) | EntryBody::Scores(_)) => return WakeScope::All,
+        _ => return WakeScope::None,
     };
-    Woken::Program(Name::of(program))
+    WakeScope::Program(QualifiedName::from_wire(program))
 }
--- a/crates/core/src/program/settlement.rs
+++ b/crates/core/src/program/settlement.rs
@@ -8,7 +8,7 @@
 use super::budget::Amounts;
 use super::messages::HASH_LEN;
 use super::replies::refused;
-use super::state::{Applied, Attempt, CallKey, Ended, Name, Phase, ProgramKey, State};
+use super::state::{Applied, Attempt, CallKey, Ended, Phase, ProgramKey, QualifiedName, State};
 use crate::prelude::*;
 use crate::wire::common::Outcome;
 use crate::wire::program as wire;
@@ -17,7 +17,7 @@
 impl State {
     /// Records the outcome of a dispatch. A settle that was applied before is confirmed again.
     pub(super) fn settle(&mut self, settled: &wire::Settled) -> Applied {
-        let name = Name::of(settled.program.as_ref());
+        let name = QualifiedName::from_wire(settled.program.as_ref());
         let Some(call) = self.find_dispatch(&name, &settled.dispatch) else {
             return unknown_dispatch();
         };
@@ -27,27 +27,27 @@
             Phase::Running(attempt) | Phase::InDoubt(attempt) => attempt.clone(),
             Phase::Ran { .. } | Phase::NotRun => return Applied::Settled(vec![]),
         };
-        let proved = self.is_proved_by_service(call, settled);
-        if self.safeguards.holder_only && !proved && attempt.holder != VmId(settled.holder) {
+        let confirmed = self.is_confirmed_by_service(call, settled);
+        if self.safeguards.holder_only && !confirmed && attempt.holder != VmId(settled.holder) {
             let detail = format!("the dispatch was granted to {}", attempt.holder);
             return Applied::Refused(refused(Refusal::NotHolder, detail));
         }
-        if self.is_overtaken(call) {
+        if self.is_superseded(call) {
             return unknown_dispatch();
         }
         let scores = self.score(settled, &attempt);
         self.close(call, settled, *attempt);
         self.mark_active(program);
-        self.end_if_spent(program);
+        self.end_if_exhausted(program);
         Applied::Settled(scores)
     }
 
     /// Takes dispatches for lost: their outcome is in doubt from now on.
-    pub(super) fn lose(&mut self, lost: &wire::Lost) -> Applied {
+    pub(super) fn mark_lost(&mut self, lost: &wire::Lost) -> Applied {
         for lost in &lost.dispatches {
-            let name = Name::of(lost.program.as_ref());
+            let name = QualifiedName::from_wire(lost.program.as_ref());
             if let Some(call) = self.find_dispatch(&name, &lost.dispatch) {
-                self.doubt(call, None);
+                self.mark_in_doubt(call, None);
             }
         }
         Applied::Done
@@ -55,7 +55,7 @@
 
     /// Ends a program by its name.
     pub(super) fn end_named(&mut self, end: &wire::End) -> Applied {
-        let name = Name::of(end.program.as_ref());
+        let name = QualifiedName::from_wire(end.program.as_ref());
         let Some(key) = self.names.get(&name).copied() else {
             return Applied::Refused(refused(Refusal::ProgramNotFound, "no such program"));
         };
@@ -85,13 +85,13 @@
     ///
     /// Its word that it knows nothing of the call proves nothing: the holder may be paused with
     /// the request in its hands.
-    fn is_proved_by_service(&self, call: CallKey, settled: &wire::Settled) -> bool {
+    fn is_confirmed_by_service(&self, call: CallKey, settled: &wire::Settled) -> bool {
         let in_doubt = matches!(self.calls[call].phase, Phase::InDoubt(_));
         in_doubt && settled.inquired && settled.outcome() == Outcome::Done
     }
 
     /// Tells whether a lost turn can no longer be taken over: its place is taken or being filled.
-    fn is_overtaken(&self, call: CallKey) -> bool {
+    fn is_superseded(&self, call: CallKey) -> bool {
         let found = &self.calls[call];
         let program = &self.programs[found.program];
         let in_doubt = matches!(found.phase, Phase::InDoubt(_));
@@ -103,15 +103,15 @@
     fn close(&mut self, call: CallKey, settled: &wire::Settled, attempt: Attempt) {
         match settled.outcome() {
             Outcome::Done => self.close_ran(call, settled, attempt),
-            Outcome::NotRun => self.close_unrun(call),
-            Outcome::Unknown => self.doubt(call, settled.usage.as_ref()),
+            Outcome::NotRun => self.close_not_run(call),
+            Outcome::Unknown => self.mark_in_doubt(call, settled.usage.as_ref()),
         }
     }
 
     fn close_ran(&mut self, call: CallKey, settled: &wire::Settled, attempt: Attempt) {
         let usage = settled.usage.unwrap_or_default();
-        self.release(call, &attempt);
-        let used = Amounts::of_usage(&usage);
+        self.release_reservation(call, &attempt);
+        let used = Amounts::from_usage(&usage);
         self.charge(call, used);
         self.return_unused(call, &attempt, used);
         let found = &mut self.calls[call];
@@ -129,26 +129,26 @@
         self.programs[program].history.append(messages, &hashes);
     }
 
-    fn close_unrun(&mut self, call: CallKey) {
+    fn close_not_run(&mut self, call: CallKey) {
         let attempt = match &self.calls[call].phase {
             Phase::Running(attempt) | Phase::InDoubt(attempt) => attempt.clone(),
             _ => return,
         };
-        self.release(call, &attempt);
+        self.release_reservation(call, &attempt);
         self.return_unused(call, &attempt, Amounts::default());
         self.calls[call].phase = Phase::NotRun;
     }
 
     /// Puts a running call in doubt. Its reservation stays spent, for it may have run, unless the
     /// holder itself tells what was consumed.
-    fn doubt(&mut self, call: CallKey, usage: Option<&wire::Usage>) {
+    fn mark_in_doubt(&mut self, call: CallKey, usage: Option<&wire::Usage>) {
         let Phase::Running(attempt) = self.calls[call].phase.clone() else { return };
-        self.release(call, &attempt);
+        self.release_reservation(call, &attempt);
         self.return_unused(call, &attempt, attempt.reserved);
         let mut kept = *attempt;
         if self.safeguards.keep_doubtful {
-            let told = usage.filter(|usage| usage.prompt_tokens > 0);
-            kept.reserved = told.map_or(kept.reserved, Amounts::of_usage);
+            let reported = usage.filter(|usage| usage.prompt_tokens > 0);
+            kept.reserved = reported.map_or(kept.reserved, Amounts::from_usage);
             self.charge(call, kept.reserved);
         }
         self.calls[call].phase = Phase::InDoubt(Box::new(kept));
@@ -156,12 +156,12 @@
 
     /// Gives back a reservation: out of what is held while the call runs, and out of what is
     /// spent once it was in doubt.
-    fn release(&mut self, call: CallKey, attempt: &Attempt) {
+    fn release_reservation(&mut self, call: CallKey, attempt: &Attempt) {
         let in_doubt = matches!(self.calls[call].phase, Phase::InDoubt(_));
         let program = self.calls[call].program;
-        for key in self.charged(program) {
+        for key in self.charged_programs(program) {
             let account = &mut self.programs[key].account;
-            let side = if in_doubt { &mut account.spent } else { &mut account.held };
+            let side = if in_doubt { &mut account.spent } else { &mut account.reserved };
             side.sub(attempt.reserved);
         }
         if in_doubt {
@@ -174,34 +174,34 @@
             self.cancelling.remove(&program);
         }
         if let Some(digest) = attempt.digest
-            && let Some(flights) = self.flights.get_mut(&digest)
+            && let Some(in_flight) = self.in_flight.get_mut(&digest)
         {
-            *flights -= 1;
-            if *flights == 0 {
-                self.flights.remove(&digest);
+            *in_flight -= 1;
+            if *in_flight == 0 {
+                self.in_flight.remove(&digest);
             }
         }
     }
 
     fn charge(&mut self, call: CallKey, amounts: Amounts) {
-        for key in self.charged(self.calls[call].program) {
+        for key in self.charged_programs(self.calls[call].program) {
             self.programs[key].account.spent.add(amounts);
         }
     }
 
-    pub(super) fn charged(&self, program: ProgramKey) -> Vec<ProgramKey> {
-        let mut line = self.lineage(program);
+    pub(super) fn charged_programs(&self, program: ProgramKey) -> Vec<ProgramKey> {
+        let mut lineage = self.lineage(program);
         if !self.safeguards.charge_ancestors {
-            line.truncate(1);
+            lineage.truncate(1);
         }
-        line
+        lineage
     }
 
     /// Ends every program of the lineage that can never be granted another call.
-    pub(super) fn end_if_spent(&mut self, program: ProgramKey) {
+    pub(super) fn end_if_exhausted(&mut self, program: ProgramKey) {
         for key in self.lineage(program) {
             let found = &self.programs[key];
-            if found.account.is_spent() && found.account.held == Amounts::default() {
+            if found.account.is_exhausted() && found.account.reserved == Amounts::default() {
                 self.end(key, EndReason::Budget);
             }
         }
--- a/crates/core/src/program/snapshot.rs
+++ b/crates/core/src/program/snapshot.rs
@@ -10,7 +10,9 @@
 use super::history::History;
 use super::quarantine::read_digest;
 use super::replies::read_hash;
-use super::state::{Attempt, Call, CallKey, Ended, Name, Phase, Program, ProgramKey, State};
+use super::state::{
+    Attempt, Call, CallKey, Ended, Phase, Program, ProgramKey, QualifiedName, State,
+};
 use crate::prelude::*;
 use crate::wire::program as wire;
 use crate::wire::program::KeyPhase;
@@ -35,7 +37,7 @@
             clock_ms: self.clock_ms,
             programs: keys.into_iter().map(|key| self.program_record(key)).collect(),
             scores: self.scores.records(),
-            lifted: self.lifted,
+            lifted: self.lifted_revision,
         };
         Bytes::from(snapshot.encode_to_vec())
     }
@@ -45,7 +47,7 @@
         let snapshot = wire::Snapshot::decode(bytes.clone())?;
         let mut fresh = State::with_safeguards(self.safeguards);
         fresh.clock_ms = snapshot.clock_ms;
-        fresh.lifted = snapshot.lifted;
+        fresh.lifted_revision = snapshot.lifted;
         snapshot.scores.iter().for_each(|score| fresh.scores.restore(score));
         for record in &snapshot.programs {
             fresh.insert_program(record);
@@ -64,7 +66,7 @@
         let mut calls: Vec<CallKey> = program.calls.values().copied().collect();
         calls.sort_by(|a, b| self.calls[*a].key.cmp(&self.calls[*b].key));
         wire::ProgramRecord {
-            program: Some(program.name.to_ref()),
+            program: Some(program.name.to_wire()),
             parent: parent.unwrap_or_default(),
             budget: Some(program.account.limits),
             spent: Some(program.account.spent.to_record()),
@@ -90,14 +92,14 @@
             history.append(segment.messages.clone(), &segment.hashes);
         }
         let ended = record.ended.then(|| Ended { reason: record.reason(), at_ms: record.ended_ms });
-        let name = Name::of(record.program.as_ref());
+        let name = QualifiedName::from_wire(record.program.as_ref());
         let limits = record.budget.unwrap_or_default();
-        let spent = Amounts::of_record(record.spent.unwrap_or_default());
+        let spent = Amounts::from_record(record.spent.unwrap_or_default());
         let key = self.programs.insert(Program {
             name: name.clone(),
             parent: None,
             children: vec![],
-            account: Account { limits, spent, held: Amounts::default() },
+            account: Account { limits, spent, reserved: Amounts::default() },
             started_ms: record.started_ms,
             active_ms: record.active_ms,
             idle_ms: record.idle_ms,
@@ -108,7 +110,7 @@
             ended,
             escrow: record.escrow.map(|escrow| Escrow {
                 term: escrow.term,
-                amounts: Amounts::of_record(escrow.amounts.unwrap_or_default()),
+                amounts: Amounts::from_record(escrow.amounts.unwrap_or_default()),
             }),
         });
         if ended.is_some() && !record.endpoints.is_empty() {
@@ -119,20 +121,20 @@
 
     fn link_parents(&mut self, records: &[wire::ProgramRecord]) -> Result<(), RestoreError> {
         for record in records.iter().filter(|record| !record.parent.is_empty()) {
-            let name = Name::of(record.program.as_ref());
-            let parent = Name { org: name.org.clone(), program: (&record.parent).into() };
-            let Some(above) = self.names.get(&parent).copied() else {
+            let name = QualifiedName::from_wire(record.program.as_ref());
+            let parent = QualifiedName { org: name.org.clone(), program: (&record.parent).into() };
+            let Some(parent_key) = self.names.get(&parent).copied() else {
                 return Err(RestoreError::Orphan(name.program, parent.program));
             };
             let key = self.names[&name];
-            self.programs[key].parent = Some(above);
-            self.programs[above].children.push(key);
+            self.programs[key].parent = Some(parent_key);
+            self.programs[parent_key].children.push(key);
         }
         Ok(())
     }
 
     fn insert_calls(&mut self, record: &wire::ProgramRecord) {
-        let program = self.names[&Name::of(record.program.as_ref())];
+        let program = self.names[&QualifiedName::from_wire(record.program.as_ref())];
         for key in &record.keys {
             let phase = read_phase(key);
             let call = self.calls.insert(Call {
@@ -151,7 +153,7 @@
             }
         }
         if let Some(escrow) = self.programs[program].escrow {
-            self.hold(program, escrow.amounts);
+            self.add_reserved(program, escrow.amounts);
         }
     }
 
@@ -161,10 +163,10 @@
         if self.programs[program].ended.is_some() {
             self.cancelling.insert(program);
         }
-        self.hold(program, attempt.reserved);
+        self.add_reserved(program, attempt.reserved);
         self.isolated += usize::from(attempt.isolate);
         if let Some(digest) = attempt.digest {
-            *self.flights.entry(digest).or_default() += 1;
+            *self.in_flight.entry(digest).or_default() += 1;
         }
     }
 }
@@ -231,7 +233,7 @@
         nonce: (&record.nonce).into(),
         messages: record.messages.clone(),
         hashes: record.hashes.clone(),
-        reserved: Amounts::of_record(record.reserved.unwrap_or_default()),
+        reserved: Amounts::from_record(record.reserved.unwrap_or_default()),
         max_output: record.max_output,
         expires_ms: record.expires_ms,
         digest: read_digest(&record.digest),
--- a/crates/core/src/program/state.rs
+++ b/crates/core/src/program/state.rs
@@ -24,22 +24,22 @@
 
 /// Names a program. Two organisations' programs never meet, whatever they are called.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Name {
+pub struct QualifiedName {
     /// The organisation that began the program.
     pub org: OrgName,
     /// The program's id within it.
     pub program: ProgramName,
 }
 
-impl Name {
+impl QualifiedName {
     /// Reads a name off the wire; an absent one is empty.
-    pub fn of(reference: Option<&wire::ProgramRef>) -> Name {
-        let Some(reference) = reference else { return Name::default() };
-        Name { org: (&reference.org).into(), program: (&reference.program).into() }
+    pub fn from_wire(reference: Option<&wire::ProgramRef>) -> QualifiedName {
+        let Some(reference) = reference else { return QualifiedName::default() };
+        QualifiedName { org: (&reference.org).into(), program: (&reference.program).into() }
     }
 
     /// Returns the name as messages carry it.
-    pub fn to_ref(&self) -> wire::ProgramRef {
+    pub fn to_wire(&self) -> wire::ProgramRef {
         wire::ProgramRef { org: self.org.to_string(), program: self.program.to_string() }
     }
 }
@@ -112,7 +112,7 @@
 /// A program under way or ended.
 #[derive(Clone, Debug)]
 pub(super) struct Program {
-    pub(super) name: Name,
+    pub(super) name: QualifiedName,
     pub(super) parent: Option<ProgramKey>,
     pub(super) children: Vec<ProgramKey>,
     pub(super) account: Account,
@@ -140,10 +140,10 @@
 pub struct State {
     pub(super) clock_ms: u64,
     pub(super) programs: SlotMap<ProgramKey, Program>,
-    pub(super) names: HashMap<Name, ProgramKey>,
+    pub(super) names: HashMap<QualifiedName, ProgramKey>,
     pub(super) calls: SlotMap<CallKey, Call>,
     /// How many running calls carry a crash digest.
-    pub(super) flights: HashMap<Digest, u32>,
+    pub(super) in_flight: HashMap<Digest, u32>,
     /// How many running calls have an engine to themselves.
     pub(super) isolated: usize,
     pub(super) scores: Scores,
@@ -151,7 +151,7 @@
     pub(super) releasing: HashSet<ProgramKey>,
     /// Programs that ended with a dispatch still under way.
     pub(super) cancelling: HashSet<ProgramKey>,
-    pub(super) lifted: u64,
+    pub(super) lifted_revision: u64,
     /// Term of the entry that is being applied.
     pub(super) term: u64,
     pub(super) safeguards: Safeguards,
@@ -179,8 +179,8 @@
             Some(Body::End(end)) => self.end_named(end),
             Some(Body::Touched(touched)) => self.touch(touched),
             Some(Body::Freed(freed)) => self.free(freed),
-            Some(Body::Lost(lost)) => self.lose(lost),
-            Some(Body::Scores(scores)) => self.take_scores(scores),
+            Some(Body::Lost(lost)) => self.mark_lost(lost),
+            Some(Body::Scores(scores)) => self.merge_scores(scores),
             Some(Body::Lifted(lifted)) => self.lift(lifted),
             Some(Body::Sweep(sweep)) => self.sweep(sweep),
             Some(Body::CloseEscrow(close)) => self.close_escrow(close),
@@ -204,58 +204,58 @@
     }
 
     /// Tells whether the program is known and has not ended.
-    pub fn is_alive(&self, name: &Name) -> bool {
+    pub fn is_alive(&self, name: &QualifiedName) -> bool {
         self.find(name).is_some_and(|p| p.ended.is_none())
     }
 
     /// Returns the time from a live program's first call to its last answer.
-    pub fn latency(&self, name: &Name) -> Option<Duration> {
+    pub fn latency(&self, name: &QualifiedName) -> Option<Duration> {
         let program = self.find(name).filter(|_| self.is_alive(name))?;
         Some(Duration::from_millis(program.active_ms.saturating_sub(program.started_ms)))
     }
 
     /// Tells whether an endpoint may rightly hold memory of the program: it is under way, or it
     /// ended and a dispatch still runs, whose prefix an engine would only file again.
-    pub fn may_hold_memory(&self, name: &Name) -> bool {
+    pub fn may_hold_memory(&self, name: &QualifiedName) -> bool {
         self.find(name).is_some_and(|p| p.ended.is_none() || !p.running.is_empty())
     }
 
     /// Returns what the program and its descendants consumed for good, and what is reserved.
-    pub fn consumed(&self, name: &Name) -> Option<(Amounts, Amounts)> {
-        self.find(name).map(|p| (p.account.spent, p.account.held))
+    pub fn consumed(&self, name: &QualifiedName) -> Option<(Amounts, Amounts)> {
+        self.find(name).map(|p| (p.account.spent, p.account.reserved))
     }
 
     /// Returns the whole history of a program as a JSON array.
-    pub fn history(&self, name: &Name) -> Option<Bytes> {
+    pub fn history(&self, name: &QualifiedName) -> Option<Bytes> {
         self.find(name).map(|p| p.history.assemble(&[]).0)
     }
 
     /// Returns the bytes of memory of the program's history, its index included.
-    pub fn history_memory(&self, name: &Name) -> Option<usize> {
+    pub fn history_memory(&self, name: &QualifiedName) -> Option<usize> {
         self.find(name).map(|p| p.history.memory())
     }
 
     /// Tells whether a dispatch is the latest of some key of the program.
-    pub fn knows_dispatch(&self, name: &Name, dispatch: &str) -> bool {
+    pub fn knows_dispatch(&self, name: &QualifiedName, dispatch: &str) -> bool {
         self.find_dispatch(name, dispatch).is_some()
     }
 
     /// Returns where the call behind a key stands.
-    pub fn phase(&self, name: &Name, key: &str) -> Option<&Phase> {
+    pub fn phase(&self, name: &QualifiedName, key: &str) -> Option<&Phase> {
         let call = self.find(name)?.calls.get(key)?;
         Some(&self.calls[*call].phase)
     }
 
-    pub(super) fn find(&self, name: &Name) -> Option<&Program> {
+    pub(super) fn find(&self, name: &QualifiedName) -> Option<&Program> {
         self.names.get(name).map(|key| &self.programs[*key])
     }
 
-    pub(super) fn find_call(&self, name: &Name, key: &str) -> Option<CallKey> {
+    pub(super) fn find_call(&self, name: &QualifiedName, key: &str) -> Option<CallKey> {
         self.find(name)?.calls.get(key).copied()
     }
 
     /// Returns the call whose latest attempt is `dispatch`.
-    pub(super) fn find_dispatch(&self, name: &Name, dispatch: &str) -> Option<CallKey> {
+    pub(super) fn find_dispatch(&self, name: &QualifiedName, dispatch: &str) -> Option<CallKey> {
         let program = self.find(name)?;
         let is_it = |call: &CallKey| self.calls[*call].dispatch == dispatch;
         program
@@ -286,7 +286,7 @@
     }
 
     fn touch(&mut self, touched: &wire::Touched) -> Applied {
-        let name = Name::of(touched.program.as_ref());
+        let name = QualifiedName::from_wire(touched.program.as_ref());
         if let Some(key) = self.names.get(&name).copied() {
             self.add_endpoint(key, &touched.endpoint);
         }
@@ -312,7 +312,7 @@
             all.into_iter().for_each(|key| self.drop_endpoint(key, &freed.endpoint));
             return Applied::Done;
         }
-        let name = Name::of(freed.program.as_ref());
+        let name = QualifiedName::from_wire(freed.program.as_ref());
         if let Some(key) = self.names.get(&name).copied()
             && self.programs[key].ended.is_some()
         {
@@ -329,7 +329,7 @@
         }
     }
 
-    fn take_scores(&mut self, scores: &wire::Scores) -> Applied {
+    fn merge_scores(&mut self, scores: &wire::Scores) -> Applied {
         for score in &scores.scores {
             self.scores.merge(score, self.clock_ms);
         }
@@ -337,24 +337,24 @@
     }
 
     fn lift(&mut self, lifted: &wire::Lifted) -> Applied {
-        self.lifted = self.lifted.max(lifted.revision);
+        self.lifted_revision = self.lifted_revision.max(lifted.revision);
         lifted.digests.iter().for_each(|digest| self.scores.lift(digest));
         Applied::Done
     }
 
     fn sweep(&mut self, sweep: &wire::Sweep) -> Applied {
-        self.scores.forget(sweep.scored_ms);
+        self.scores.expire(sweep.scored_ms);
         let old: Vec<ProgramKey> = self
             .programs
             .iter()
-            .filter(|(_, p)| p.is_forgettable(sweep.ended_ms))
+            .filter(|(_, p)| p.is_removable(sweep.ended_ms))
             .map(|(key, _)| key)
             .collect();
-        old.into_iter().for_each(|key| self.forget(key));
+        old.into_iter().for_each(|key| self.remove_program(key));
         Applied::Done
     }
 
-    fn forget(&mut self, key: ProgramKey) {
+    fn remove_program(&mut self, key: ProgramKey) {
         let Some(program) = self.programs.remove(key) else { return };
         self.names.remove(&program.name);
         for call in program.calls.values() {
@@ -368,7 +368,7 @@
 
 impl Program {
     /// Tells whether retention allows to forget the program: nothing of it is open any more.
-    pub(super) fn is_forgettable(&self, before_ms: u64) -> bool {
+    pub(super) fn is_removable(&self, before_ms: u64) -> bool {
         let old = self.ended.is_some_and(|ended| ended.at_ms < before_ms);
         let closed = self.running.is_empty() && self.escrow.is_none();
         old && closed && self.endpoints.is_empty() && self.children.is_empty()
--- a/crates/core/tests/border_program.rs
+++ b/crates/core/tests/border_program.rs
@@ -34,7 +34,7 @@
     group.grant(turn("r", "k1", &[user("g")]));
     group.run_turn("s", "k1", "h", "i");
     group.ask(ENTRY, end("s"));
-    group.step(0, Input::Gone { vm: ENTRY });
+    group.step(0, Input::VmGone { vm: ENTRY });
     group
 }
 
--- a/crates/core/tests/budget_escrow.rs
+++ b/crates/core/tests/budget_escrow.rs
@@ -88,7 +88,7 @@
 fn escrow_grant_of_a_dead_vm_is_taken_for_lost() {
     let mut group = after_first_turn(Settings::default(), 100);
     group.send(ENTRY, turn("p", "k2", &[user("c")]));
-    group.step(0, Input::Gone { vm: ENTRY });
+    group.step(0, Input::VmGone { vm: ENTRY });
     group.held = false;
     group.commit();
     assert_eq!(group.grant_to(OTHER, turn("p", "k2", &[user("c")])).attempt, 2);
@@ -104,7 +104,7 @@
     let grant = granted(group.reply(first).unwrap());
     group.commit();
     let resent = group.send(OTHER, turn("p", "k2", &[user("c")]));
-    group.step(0, Input::Gone { vm: ENTRY });
+    group.step(0, Input::VmGone { vm: ENTRY });
     group.send(ENTRY, done("p", &grant.dispatch, &assistant("late")));
     group.commit();
     assert_eq!(recorded(group.reply(resent).unwrap()), assistant("late"));
--- a/crates/core/tests/budget_reserve.rs
+++ b/crates/core/tests/budget_reserve.rs
@@ -57,7 +57,7 @@
     let mut begin = begin_turn("p", "k", &[user("a")]);
     begin.prompt_tokens = 8;
     group.grant(Body::BeginTurn(begin));
-    group.step(0, Input::Gone { vm: ENTRY });
+    group.step(0, Input::VmGone { vm: ENTRY });
     assert_eq!(consumed(&group, "p").0.tokens, 108);
 }
 
@@ -65,7 +65,7 @@
 fn lost_call_settled_late_is_charged_what_it_used() {
     let mut group = Group::new(1);
     let grant = group.grant(limited("p", "k", tokens(1_000)));
-    group.step(0, Input::Gone { vm: ENTRY });
+    group.step(0, Input::VmGone { vm: ENTRY });
     group.ask(ENTRY, done("p", &grant.dispatch, &assistant("b")));
     assert_eq!(consumed(&group, "p").0.tokens, 10);
 }
--- a/crates/core/tests/journal_calls.rs
+++ b/crates/core/tests/journal_calls.rs
@@ -36,7 +36,7 @@
     // and send it yet, so the resend is told `unknown` however often it comes.
     let mut group = Group::new(3);
     group.grant(call("p", "k"));
-    group.step(0, Input::Gone { vm: ENTRY });
+    group.step(0, Input::VmGone { vm: ENTRY });
     assert!(is_unknown(&group.ask(OTHER, call("p", "k"))));
     group.advance(10_000);
     assert!(is_unknown(&group.ask(OTHER, call("p", "k"))));
@@ -60,7 +60,7 @@
     // true, so it is recorded, and later resends get it.
     let mut group = Group::new(1);
     let grant = group.grant(call("p", "k"));
-    group.step(0, Input::Gone { vm: ENTRY });
+    group.step(0, Input::VmGone { vm: ENTRY });
     group.ask(ENTRY, done("p", &grant.dispatch, "booked"));
     assert_eq!(recorded(group.ask(OTHER, call("p", "k"))), "booked");
 }
@@ -92,7 +92,7 @@
     // paused with the request in its hands.
     let mut group = Group::new(1);
     let grant = group.grant(call("p", "k"));
-    group.step(0, Input::Gone { vm: ENTRY });
+    group.step(0, Input::VmGone { vm: ENTRY });
     for (outcome, code) in [(Outcome::NotRun, Some(Refusal::NotHolder)), (Outcome::Done, None)] {
         let mut told = settle("p", &grant.dispatch, outcome);
         told.inquired = true;
@@ -243,7 +243,7 @@
     group.held = true;
     group.send(ENTRY, call("p", "k1"));
     group.send(ENTRY, call("p", "k2"));
-    group.step(0, Input::Gone { vm: ENTRY });
+    group.step(0, Input::VmGone { vm: ENTRY });
     group.held = false;
     group.commit();
     assert_eq!(group.grant_to(OTHER, call("p", "k1")).attempt, 2);
@@ -309,7 +309,7 @@
     // answer arrives after that, it must not enter the history beside the second's.
     let mut group = Group::new(1);
     let first = group.grant(turn("p", "k", &[user("a")]));
-    group.step(0, Input::Gone { vm: ENTRY });
+    group.step(0, Input::VmGone { vm: ENTRY });
     let second = granted(group.ask(OTHER, turn("p", "k", &[user("a")])));
     let late = group.ask(ENTRY, done("p", &first.dispatch, &assistant("first")));
     assert_eq!(refusal(late), Refusal::DispatchUnknown);
@@ -321,7 +321,7 @@
 fn turn_lost_is_taken_from_its_late_answer_if_nothing_replaced_it() {
     let mut group = Group::new(1);
     let grant = group.grant(turn("p", "k", &[user("a")]));
-    group.step(0, Input::Gone { vm: ENTRY });
+    group.step(0, Input::VmGone { vm: ENTRY });
     group.ask(ENTRY, done("p", &grant.dispatch, &assistant("b")));
     assert_eq!(recorded(group.ask(OTHER, turn("p", "k", &[user("a")]))), assistant("b"));
 }
--- a/crates/core/tests/program_ends.rs
+++ b/crates/core/tests/program_ends.rs
@@ -52,7 +52,7 @@
     let mut group = Group::new(1);
     let grant = group.grant(turn("p", "k", &[user("a")]));
     group.ask(ENTRY, started("p", &grant.dispatch, "e7"));
-    group.step(0, Input::Gone { vm: ENTRY });
+    group.step(0, Input::VmGone { vm: ENTRY });
     group.ask(OTHER, end("p"));
     assert_eq!(group.releases(), ["e7"]);
 }
--- a/crates/core/tests/scenario_program.rs
+++ b/crates/core/tests/scenario_program.rs
@@ -284,7 +284,7 @@
         match line {
             Line::Group { replicas } => self.group = Group::new(*replicas),
             Line::Wait { millis } => self.group.advance(*millis),
-            Line::Gone { vm } => self.input(Input::Gone { vm: VmId(*vm) }),
+            Line::Gone { vm } => self.input(Input::VmGone { vm: VmId(*vm) }),
             Line::EndpointGone { endpoint } => {
                 self.input(Input::EndpointGone { endpoint: endpoint.into() });
             }
--- a/crates/core/tests/support/mod.rs
+++ b/crates/core/tests/support/mod.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use gypsumglade_core::prelude::*;
 use gypsumglade_core::program::{
-    Effect, Input, Name, ProposalId, RequestToken, Sequencer, Settings,
+    Effect, Input, ProposalId, QualifiedName, RequestToken, Sequencer, Settings,
 };
 use gypsumglade_core::wire::common::Outcome;
 use gypsumglade_core::wire::program as wire;
@@ -236,12 +236,12 @@
     }
 }
 
-pub fn name(program: &str) -> Name {
-    Name { org: ORG.into(), program: program.into() }
+pub fn name(program: &str) -> QualifiedName {
+    QualifiedName { org: ORG.into(), program: program.into() }
 }
 
 pub fn program_ref(program: &str) -> Option<wire::ProgramRef> {
-    Some(name(program).to_ref())
+    Some(name(program).to_wire())
 }
 
 pub fn user(text: &str) -> String {
--- a/crates/core/tests/support/world.rs
+++ b/crates/core/tests/support/world.rs
@@ -265,7 +265,7 @@
 
     fn declare_dead(&mut self, vm: u32) {
         let leader = self.group.leader.unwrap_or(0);
-        self.group.step(leader, Input::Gone { vm: VmId(vm) });
+        self.group.step(leader, Input::VmGone { vm: VmId(vm) });
     }
 
     /// A turn granted out of an escrow may be lost with its leader: its settle will be refused,
--- a/crates/gypsumglade/src/entry/leak_audit.rs
+++ b/crates/gypsumglade/src/entry/leak_audit.rs
@@ -11,7 +11,7 @@
 use futures::future::join_all;
 use gypsumglade_core::policy::registry::{EndpointKind, home};
 use gypsumglade_core::prelude::*;
-use gypsumglade_core::program::Name;
+use gypsumglade_core::program::QualifiedName;
 use gypsumglade_core::wire::program::reply::Body as ReplyBody;
 use gypsumglade_core::wire::program::request::Body as RequestBody;
 use gypsumglade_core::wire::program::{Audit, Release, Request};
@@ -41,7 +41,7 @@
 }
 
 /// Leaks of each engine in the round before.
-type Suspects = HashMap<EndpointName, HashSet<Name>>;
+type Suspects = HashMap<EndpointName, HashSet<QualifiedName>>;
 
 /// Audits the engines that this VM is the home of, until the process ends.
 pub(super) async fn run(state: Arc<EntryState>, halt: CancellationToken) {
@@ -88,8 +88,8 @@
 }
 
 /// Returns the programs whose memory the engine holds in vain; `None` if it gave no report.
-async fn find_leaks(state: &EntryState, engine: &Audited) -> Option<HashSet<Name>> {
-    let mut groups: HashMap<GroupId, Vec<Name>> = HashMap::new();
+async fn find_leaks(state: &EntryState, engine: &Audited) -> Option<HashSet<QualifiedName>> {
+    let mut groups: HashMap<GroupId, Vec<QualifiedName>> = HashMap::new();
     for name in held(state, engine).await? {
         let group = state.groups.group_of(&name.org, &name.program);
         groups.entry(group).or_default().push(name);
@@ -100,7 +100,7 @@
 
 /// Asks an engine for the programs that it holds memory of. A name without an organisation was
 /// not given by this system and is left alone.
-async fn held(state: &EntryState, engine: &Audited) -> Option<Vec<Name>> {
+async fn held(state: &EntryState, engine: &Audited) -> Option<Vec<QualifiedName>> {
     let patience = state.settings.timeouts.peer();
     let asked = state.endpoints.control(
         http::Method::GET,
@@ -115,28 +115,36 @@
     }
     let reported: Vec<HeldMemory> = serde_json::from_slice(&body).ok()?;
     let names = reported.iter().filter_map(|memory| memory.program.split_once('/'));
-    Some(names.map(|(org, program)| Name { org: org.into(), program: program.into() }).collect())
+    Some(
+        names
+            .map(|(org, program)| QualifiedName { org: org.into(), program: program.into() })
+            .collect(),
+    )
 }
 
 /// Asks the group of these programs which of them need no memory; none while it has no leader.
-async fn ask(state: &EntryState, engine: &Audited, names: Vec<Name>) -> Vec<Name> {
+async fn ask(
+    state: &EntryState,
+    engine: &Audited,
+    names: Vec<QualifiedName>,
+) -> Vec<QualifiedName> {
     let Some(first) = names.first() else { return Vec::new() };
     let audit = Audit {
         endpoint: engine.name.to_string(),
-        programs: names.iter().map(Name::to_ref).collect(),
+        programs: names.iter().map(QualifiedName::to_wire).collect(),
     };
     let request = Request { body: Some(RequestBody::Audit(audit)) };
     match state.groups.ask(&first.org, &first.program, &request, GROUP_PATIENCE).await {
         Ok(ReplyBody::Leaks(leaks)) => {
-            leaks.programs.iter().map(|program| Name::of(Some(program))).collect()
+            leaks.programs.iter().map(|program| QualifiedName::from_wire(Some(program))).collect()
         }
         Ok(_) | Err(_) => Vec::new(),
     }
 }
 
 /// Has an engine free a program's memory; what fails is found again in the next round.
-async fn free(state: &EntryState, engine: &Audited, name: &Name) {
-    let release = Release { program: Some(name.to_ref()), endpoint: engine.name.to_string() };
+async fn free(state: &EntryState, engine: &Audited, name: &QualifiedName) {
+    let release = Release { program: Some(name.to_wire()), endpoint: engine.name.to_string() };
     if state.release_memory(&release).await == ReleaseAnswer::Freed {
         slog::warn!(state.log, "an engine held memory of no program under way; freed";
             "engine" => %engine.name, "org" => %name.org, "program" => %name.program);
--- a/crates/gypsumglade/src/store/program_group.rs
+++ b/crates/gypsumglade/src/store/program_group.rs
@@ -5,7 +5,9 @@
 
 use bytes::Bytes;
 use gypsumglade_core::prelude::*;
-use gypsumglade_core::program::{Effect, Input, Name, ProposalId, RequestToken, Sequencer};
+use gypsumglade_core::program::{
+    Effect, Input, ProposalId, QualifiedName, RequestToken, Sequencer,
+};
 use gypsumglade_core::replication::LogIndex;
 use gypsumglade_core::wire::program::request::Body as RequestBody;
 use gypsumglade_core::wire::program::{Release, Released, Reply, Request, Score};
@@ -141,7 +143,7 @@
             GroupInput::Log(event) => self.log_input(event),
             GroupInput::Failed(proposal) => Some(Input::ProposalFailed { proposal }),
             GroupInput::Config { revision, lifted } => Some(Input::Config { revision, lifted }),
-            GroupInput::Gone(vm) => Some(Input::Gone { vm }),
+            GroupInput::Gone(vm) => Some(Input::VmGone { vm }),
             GroupInput::EndpointGone(endpoint) => Some(Input::EndpointGone { endpoint }),
             GroupInput::Scores(scores) => Some(Input::Scores { scores }),
             GroupInput::Dump(sender) => {
@@ -155,7 +157,7 @@
     /// Records a program's latency when its caller ends it, on the replica that leads.
     fn measure(&self, request: &Request) {
         let Some(RequestBody::EndProgram(end)) = &request.body else { return };
-        let name = Name::of(end.program.as_ref());
+        let name = QualifiedName::from_wire(end.program.as_ref());
         let latency = self.sequencer.state().latency(&name).filter(|_| self.leads);
         if let Some(latency) = latency {
             self.context.metrics.program(latency.as_secs_f64());
@@ -249,7 +251,7 @@
             "waiting_replies": self.replies.len(),
             "programs": self.sequencer.state().program_count(),
             "calls": self.sequencer.state().call_count(),
-            "parked": self.sequencer.parked(),
+            "parked": self.sequencer.parked_count(),
         })
     }
 }
