--- a/crates/core/examples/measure_lease.rs
+++ b/crates/core/examples/measure_lease.rs
@@ -65,7 +65,7 @@
         World {
             now,
             control: Control::new(),
-            grants: ConfigGrants::lead(settings, now),
+            grants: ConfigGrants::for_leader(settings, now),
             keys: OperatorKeys { keys: vec![pair.public()], threshold: 1 },
             pair,
             relays: (1..=size).map(relay).collect(),
@@ -132,7 +132,7 @@
         self.lapses += u64::from(!working && Some(vm) != self.silent);
         let path = &self.paths[&vm];
         let upstream = path[relay.lease().failures() % path.len()];
-        if let Some(request) = relay.ask(self.now) {
+        if let Some(request) = relay.next_request(self.now) {
             let to = match upstream {
                 Upstream::Control => 0,
                 Upstream::Vm(vm) => vm.0,
@@ -157,7 +157,7 @@
             }
             Packet::Reply(reply) => {
                 let relay = self.relays.get_mut(&to).expect("known");
-                relay.reply(reply, &self.keys, self.now).expect("verifies");
+                relay.handle_reply(reply, &self.keys, self.now).expect("verifies");
             }
         }
     }
--- a/crates/core/src/lease/grants.rs
+++ b/crates/core/src/lease/grants.rs
@@ -12,19 +12,19 @@
     settings: LeaseSettings,
     records: BTreeMap<VmId, Record>,
     /// Until then, leases that an earlier leader granted may be running unseen.
-    blind_until: Time,
+    grace_until: Time,
 }
 
 /// What one VM was granted.
 #[derive(Clone, Debug, Default)]
 struct Record {
     confirmed: RevisionNumber,
-    leases: Vec<Outstanding>,
+    leases: Vec<GrantedLease>,
 }
 
 /// The VM, or one it relays to, may act on `revision` or a newer one until `until`.
 #[derive(Clone, Copy, Debug)]
-struct Outstanding {
+struct GrantedLease {
     incarnation: u64,
     revision: RevisionNumber,
     until: Time,
@@ -64,7 +64,7 @@
 impl ConfigGrants {
     /// Starts the granting side of a relay, whose own lease already bounds what it grants.
     pub fn new(settings: LeaseSettings) -> ConfigGrants {
-        ConfigGrants { settings, records: BTreeMap::new(), blind_until: Time::ZERO }
+        ConfigGrants { settings, records: BTreeMap::new(), grace_until: Time::ZERO }
     }
 
     /// Starts the granting side of a new control leader.
@@ -73,10 +73,10 @@
     /// acting on an older revision. Nothing is in force until a whole lease has passed. The
     /// caller grants only while it holds its leadership lease, so no grant of the predecessor is
     /// younger than `now`.
-    pub fn lead(settings: LeaseSettings, now: Time) -> ConfigGrants {
+    pub fn for_leader(settings: LeaseSettings, now: Time) -> ConfigGrants {
         let mut grants = ConfigGrants::new(settings);
-        if settings.mutation != Mutation::NoBlindWait {
-            grants.blind_until = now + settings.wait_out(settings.length());
+        if settings.mutation != Mutation::NoGracePeriod {
+            grants.grace_until = now + settings.expiry_wait(settings.length());
         }
         grants
     }
@@ -93,16 +93,16 @@
         now: Time,
     ) -> Option<LeaseGrant> {
         self.confirm(request, now);
-        let extends = self.settings.mutation == Mutation::RelayExtends;
+        let extends = self.settings.mutation == Mutation::RelayIgnoresLimit;
         let length = self.settings.length();
         let length = if extends { length } else { length.min(limit) };
         if RevisionNumber(request.applied) != current || current.0 == 0 || length.is_zero() {
             return None;
         }
-        let lease = Outstanding {
+        let lease = GrantedLease {
             incarnation: request.incarnation,
             revision: current,
-            until: now + self.settings.wait_out(length),
+            until: now + self.settings.expiry_wait(length),
         };
         self.records.entry(VmId(request.vm)).or_default().add(lease);
         let micros = u64::try_from(length.as_micros()).unwrap_or(u64::MAX);
@@ -121,7 +121,7 @@
         record.leases.retain(|lease| lease.until > now);
         for lease in &mut record.leases {
             let same = lease.incarnation == request.incarnation;
-            if same || self.settings.mutation == Mutation::ForgetLives {
+            if same || self.settings.mutation == Mutation::IgnoreIncarnation {
                 lease.revision = lease.revision.max(floor);
             }
         }
@@ -140,10 +140,10 @@
     /// Tells whether `revision`, which the caller has committed and applied, is in force
     /// everywhere. Once it is, it stays so, whoever leads.
     pub fn in_force(&self, revision: RevisionNumber, now: Time) -> InForce {
-        if self.settings.mutation == Mutation::NoWaitOut {
+        if self.settings.mutation == Mutation::NoExpiryWait {
             return InForce::Yes;
         }
-        let mut waiting = Waiting { vms: Vec::new(), until: self.blind_until };
+        let mut waiting = Waiting { vms: Vec::new(), until: self.grace_until };
         for (vm, record) in &self.records {
             if let Some(until) = record.older_until(revision, now) {
                 waiting.vms.push(*vm);
@@ -171,8 +171,8 @@
 }
 
 impl Record {
-    fn add(&mut self, lease: Outstanding) {
-        let same = |other: &&mut Outstanding| {
+    fn add(&mut self, lease: GrantedLease) {
+        let same = |other: &&mut GrantedLease| {
             other.incarnation == lease.incarnation && other.revision == lease.revision
         };
         match self.leases.iter_mut().find(same) {
@@ -181,7 +181,7 @@
         }
     }
 
-    fn running(&self, now: Time) -> impl Iterator<Item = &Outstanding> {
+    fn running(&self, now: Time) -> impl Iterator<Item = &GrantedLease> {
         self.leases.iter().filter(move |lease| lease.until > now)
     }
 
--- a/crates/core/src/lease/holder.rs
+++ b/crates/core/src/lease/holder.rs
@@ -12,7 +12,7 @@
 
 /// How many times more often a VM asks while nobody serves it: every 0.1 s with the shortest interval
 /// in use. Most such requests go to VMs that can't serve either, and few to the leader.
-const UNSERVED_PART: u32 = 4;
+const RETRY_SPEEDUP: u32 = 4;
 
 /// How many intervals ago a relay may have had its own lease renewed and still count as in touch with
 /// the stores. The last of three relays on a path is two behind the first.
@@ -42,7 +42,7 @@
 
 /// What a reply asks of its receiver.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Reply {
+pub enum ReplyAction {
     /// The lease was renewed.
     Renewed,
     /// This revision must be applied, then the lease is asked for again.
@@ -102,11 +102,11 @@
 
     /// Makes the next request if one is due. `floor` is the lowest revision that VMs behind this
     /// one may act on, or the applied one if there are none.
-    pub fn ask(&mut self, floor: RevisionNumber, now: Time) -> Option<ConfirmRequest> {
+    pub fn next_request(&mut self, floor: RevisionNumber, now: Time) -> Option<ConfirmRequest> {
         if now < self.due {
             return None;
         }
-        self.due = now + self.pause(now);
+        self.due = now + self.request_interval(now);
         self.last_ask += 1;
         if self.pending.len() == MAX_PENDING {
             self.pending.pop_front();
@@ -122,30 +122,30 @@
     }
 
     /// Takes a reply, whenever it comes and in whatever order.
-    pub fn reply(&mut self, reply: ConfirmReply, now: Time) -> Reply {
-        let Some(place) = self.pending.iter().position(|pending| pending.ask == reply.ask) else {
-            return Reply::Ignored;
+    pub fn handle_reply(&mut self, reply: ConfirmReply, now: Time) -> ReplyAction {
+        let Some(index) = self.pending.iter().position(|pending| pending.ask == reply.ask) else {
+            return ReplyAction::Ignored;
         };
-        let Some(pending) = self.pending.remove(place) else { return Reply::Ignored };
+        let Some(pending) = self.pending.remove(index) else { return ReplyAction::Ignored };
         match reply.body {
             Some(Body::Grant(grant)) if grant.revision == self.applied.0 => {
                 self.renew(pending, Duration::from_micros(grant.micros), now);
-                Reply::Renewed
+                ReplyAction::Renewed
             }
             Some(Body::Update(update)) => {
                 self.failures = 0;
-                Reply::Apply(Box::new(update))
+                ReplyAction::Apply(Box::new(update))
             }
             Some(Body::Unavailable(_)) => {
                 self.failures += 1;
-                Reply::Unavailable
+                ReplyAction::Unavailable
             }
-            Some(Body::Grant(_)) | None => Reply::Ignored,
+            Some(Body::Grant(_)) | None => ReplyAction::Ignored,
         }
     }
 
     /// Notes that a request got no reply.
-    pub fn fail(&mut self, ask: u64) {
+    pub fn request_failed(&mut self, ask: u64) {
         let before = self.pending.len();
         self.pending.retain(|pending| pending.ask != ask);
         if self.pending.len() < before {
@@ -159,7 +159,7 @@
     ///
     /// The lease goes on under the newer revision: the granter counts it until its end anyway.
     pub fn apply(&mut self, revision: RevisionNumber, now: Time) -> bool {
-        if revision <= self.applied && self.settings.mutation != Mutation::RevisionFalls {
+        if revision <= self.applied && self.settings.mutation != Mutation::AllowDowngrade {
             return false;
         }
         self.applied = revision;
@@ -170,7 +170,7 @@
     /// Makes the next request due at once if `revision`, heard of from another VM, is newer.
     pub fn hint(&mut self, revision: RevisionNumber, now: Time) {
         if revision > self.applied {
-            self.hurry(now);
+            self.make_due(now);
         }
     }
 
@@ -179,14 +179,14 @@
     /// A VM without a lease serves nobody: after all processes were killed, the VMs asked up to
     /// 0.8 s after the control group had its leader. One whose last request nobody served may lag
     /// behind a new revision.
-    fn pause(&self, now: Time) -> Duration {
+    fn request_interval(&self, now: Time) -> Duration {
         let interval = self.settings.interval();
         let served = now < self.until && self.failures == 0;
-        if served { interval } else { interval / UNSERVED_PART }
+        if served { interval } else { interval / RETRY_SPEEDUP }
     }
 
     /// Makes the next request due at once.
-    pub(super) fn hurry(&mut self, now: Time) {
+    pub(super) fn make_due(&mut self, now: Time) {
         self.due = self.due.min(now);
     }
 
--- a/crates/core/src/lease/mod.rs
+++ b/crates/core/src/lease/mod.rs
@@ -11,7 +11,7 @@
 mod tree;
 
 pub use grants::{ConfigGrants, InForce, VmStatus, Waiting};
-pub use holder::{ConfigLease, Reply};
+pub use holder::{ConfigLease, ReplyAction};
 pub use relay::{Relay, RelayError, serve};
 pub use tree::{FAN_OUT, Upstream, VmRegion, upstreams};
 
@@ -59,7 +59,7 @@
 
     /// Returns how long a granter waits on its own clock until a lease of `length` is surely
     /// over, when the holder's clock may run slow and its own fast, each by the bound.
-    pub fn wait_out(&self, length: Duration) -> Duration {
+    pub fn expiry_wait(&self, length: Duration) -> Duration {
         const WHOLE: u128 = 1_000_000;
         if self.mutation == Mutation::IgnoreDrift {
             return length;
@@ -78,19 +78,19 @@
     #[default]
     None,
     /// A revision counts as in force without waiting for silent VMs.
-    NoWaitOut,
+    NoExpiryWait,
     /// Clock drift isn't allowed for.
     IgnoreDrift,
     /// A new leader doesn't wait for its predecessor's leases.
-    NoBlindWait,
+    NoGracePeriod,
     /// A holder applies an older revision.
-    RevisionFalls,
+    AllowDowngrade,
     /// A relay grants whole leases whatever its own has left.
-    RelayExtends,
+    RelayIgnoresLimit,
     /// A relay confirms for itself only.
     RelayHidesChildren,
     /// A holder counts its lease from the reply, not from its request.
     CountFromReply,
     /// A confirmation of a restarted VM covers what its earlier life granted.
-    ForgetLives,
+    IgnoreIncarnation,
 }
--- a/crates/core/src/lease/relay.rs
+++ b/crates/core/src/lease/relay.rs
@@ -1,6 +1,6 @@
 //! An entry VM's whole part in distribution: it holds a lease and grants from it to others.
 
-use super::{ConfigGrants, ConfigLease, LeaseSettings, Reply};
+use super::{ConfigGrants, ConfigLease, LeaseSettings, ReplyAction};
 use crate::bundle::{Bundle, OperatorKeys};
 use crate::control::{History, Revision, RevisionError};
 use crate::prelude::*;
@@ -8,14 +8,14 @@
 use crate::wire::control::{ConfirmReply, ConfirmRequest, Unavailable};
 
 /// Earlier revisions that a relay keeps to make deltas from.
-const KEPT: usize = 8;
+const KEPT_REVISIONS: usize = 8;
 
 /// Why an update wasn't applied. The lease isn't renewed then, so the VM stops taking work.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RelayError {
     /// The update changes a revision that this VM doesn't have; the whole is fetched next.
     #[error("the update doesn't fit the revision held here; fetching the whole bundle")]
-    Unfit,
+    DeltaMismatch,
     /// The revision doesn't verify with this VM's settings.
     #[error("revision refused: {0}; check this VM's operator keys")]
     Refused(#[from] RevisionError),
@@ -28,9 +28,9 @@
     grants: ConfigGrants,
     history: History,
     /// The last delta didn't fit, so the next request asks for the whole.
-    whole: bool,
+    needs_full: bool,
     /// Floor of the last request.
-    told: RevisionNumber,
+    reported_floor: RevisionNumber,
 }
 
 impl Relay {
@@ -39,9 +39,9 @@
         Relay {
             lease: ConfigLease::new(settings, vm, incarnation, now),
             grants: ConfigGrants::new(settings),
-            history: History::new(KEPT),
-            whole: false,
-            told: RevisionNumber::default(),
+            history: History::new(KEPT_REVISIONS),
+            needs_full: false,
+            reported_floor: RevisionNumber::default(),
         }
     }
 
@@ -61,12 +61,12 @@
     }
 
     /// Makes the next request if one is due.
-    pub fn ask(&mut self, now: Time) -> Option<ConfirmRequest> {
+    pub fn next_request(&mut self, now: Time) -> Option<ConfirmRequest> {
         self.grants.expire(now);
         let floor = self.grants.floor(self.lease.applied(), now);
-        let mut request = self.lease.ask(floor, now)?;
-        self.told = RevisionNumber(request.floor);
-        if self.whole {
+        let mut request = self.lease.next_request(floor, now)?;
+        self.reported_floor = RevisionNumber(request.floor);
+        if self.needs_full {
             request.applied = 0;
         }
         Some(request)
@@ -77,18 +77,20 @@
     /// # Errors
     ///
     /// Returns why an update was not applied.
-    pub fn reply(
+    pub fn handle_reply(
         &mut self,
         reply: ConfirmReply,
         keys: &OperatorKeys,
         now: Time,
     ) -> Result<Option<Bundle>, RelayError> {
-        let Reply::Apply(update) = self.lease.reply(reply, now) else { return Ok(None) };
+        let ReplyAction::Apply(update) = self.lease.handle_reply(reply, now) else {
+            return Ok(None);
+        };
         let Some(revision) = self.history.resolve(*update) else {
-            self.whole = true;
-            return Err(RelayError::Unfit);
+            self.needs_full = true;
+            return Err(RelayError::DeltaMismatch);
         };
-        self.whole = false;
+        self.needs_full = false;
         if revision.number <= self.history.number() {
             return Ok(None);
         }
@@ -99,8 +101,8 @@
     }
 
     /// Notes that a request got no reply.
-    pub fn fail(&mut self, ask: u64) {
-        self.lease.fail(ask);
+    pub fn request_failed(&mut self, ask: u64) {
+        self.lease.request_failed(ask);
     }
 
     /// Asks at once if `revision`, heard of from another VM, is newer.
@@ -113,8 +115,8 @@
     pub fn serve(&mut self, request: &ConfirmRequest, now: Time) -> ConfirmReply {
         let limit = self.lease.remaining(now);
         let reply = serve(&self.history, &mut self.grants, limit, request, now);
-        if self.grants.floor(self.lease.applied(), now) > self.told {
-            self.lease.hurry(now);
+        if self.grants.floor(self.lease.applied(), now) > self.reported_floor {
+            self.lease.make_due(now);
         }
         reply
     }
--- a/crates/core/src/lease/tree.rs
+++ b/crates/core/src/lease/tree.rs
@@ -36,11 +36,11 @@
     region.push(me.vm);
     region.sort_unstable();
     region.dedup();
-    let mut place = region.binary_search(&me.vm).unwrap_or_default();
+    let mut index = region.binary_search(&me.vm).unwrap_or_default();
     let mut path = Vec::new();
-    while place > 0 {
-        place = (place - 1) / FAN_OUT;
-        path.push(Upstream::Vm(region[place]));
+    while index > 0 {
+        index = (index - 1) / FAN_OUT;
+        path.push(Upstream::Vm(region[index]));
     }
     path.push(Upstream::Control);
     path
--- a/crates/core/src/orders/lease.rs
+++ b/crates/core/src/orders/lease.rs
@@ -12,7 +12,7 @@
     pub lease: LeaseSettings,
     /// Longest time from giving an order until it has arrived or surely never will: the sender
     /// gives up its connection by then.
-    pub flight: Duration,
+    pub delivery_timeout: Duration,
     /// Safeguard switched off by a test.
     #[doc(hidden)]
     pub mutation: Mutation,
@@ -22,7 +22,7 @@
     fn default() -> OrderSettings {
         OrderSettings {
             lease: LeaseSettings::default(),
-            flight: Duration::from_secs(10),
+            delivery_timeout: Duration::from_secs(10),
             mutation: Mutation::None,
         }
     }
@@ -37,12 +37,12 @@
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
-pub struct Fence(pub u64);
+pub struct FencingToken(pub u64);
 
-impl Fence {
+impl FencingToken {
     /// Returns the number of one order under a lease.
-    pub fn new(lease: u32, sequence: u32) -> Fence {
-        Fence(u64::from(lease) << 32 | u64::from(sequence))
+    pub fn new(lease: u32, sequence: u32) -> FencingToken {
+        FencingToken(u64::from(lease) << 32 | u64::from(sequence))
     }
 }
 
@@ -56,17 +56,17 @@
 
 impl OrderGrants {
     /// Starts with a new control leader, whose predecessor may just have renewed the lease.
-    pub fn lead(settings: OrderSettings, now: Time) -> OrderGrants {
+    pub fn for_leader(settings: OrderSettings, now: Time) -> OrderGrants {
         let length = settings.lease.length();
-        let blind = settings.mutation == Mutation::NoBlindWait;
-        let until = if blind { now } else { now + settings.lease.wait_out(length) };
+        let skip = settings.mutation == Mutation::NoGracePeriod;
+        let until = if skip { now } else { now + settings.lease.expiry_wait(length) };
         OrderGrants { settings, until }
     }
 
     /// Returns true if the log may give the lease to `taker`: it is free, over, or its own.
     pub fn may_take(&self, held: Option<&OrderLease>, taker: &TakeOrderLease, now: Time) -> bool {
         let own = held.is_none_or(|held| is_holder(held, taker));
-        own || now >= self.until || self.settings.mutation == Mutation::LeaseNotOver
+        own || now >= self.until || self.settings.mutation == Mutation::TakeRunningLease
     }
 
     /// Renews the lease of the VM that the log names; returns how long it runs from the moment
@@ -81,7 +81,7 @@
             return None;
         }
         let length = self.settings.lease.length();
-        self.until = self.until.max(now + self.settings.lease.wait_out(length));
+        self.until = self.until.max(now + self.settings.lease.expiry_wait(length));
         Some(length)
     }
 }
@@ -98,7 +98,7 @@
     sequence: u32,
     until: Time,
     /// From then on, orders may go to endpoints that ignore fencing.
-    quiet: Time,
+    unfenced_from: Time,
 }
 
 impl OrderHolder {
@@ -107,10 +107,10 @@
     /// The log gave it once the earlier lease was over, so an order of the earlier holder was
     /// given before, and is over after the longest flight.
     pub fn new(settings: OrderSettings, lease: u32, now: Time) -> OrderHolder {
-        let wait = settings.lease.wait_out(settings.flight);
-        let skip = settings.mutation == Mutation::NoWaitOut;
-        let quiet = if skip { now } else { now + wait };
-        OrderHolder { settings, lease, sequence: 0, until: Time::ZERO, quiet }
+        let wait = settings.lease.expiry_wait(settings.delivery_timeout);
+        let skip = settings.mutation == Mutation::NoExpiryWait;
+        let unfenced_from = if skip { now } else { now + wait };
+        OrderHolder { settings, lease, sequence: 0, until: Time::ZERO, unfenced_from }
     }
 
     /// Takes a renewal asked for at `asked`.
@@ -120,14 +120,14 @@
 
     /// Returns the number for an order to an endpoint, or `None` if none may be given now. The
     /// order must be sent at once, and given up after the longest flight.
-    pub fn number(&mut self, checks_fencing: bool, now: Time) -> Option<Fence> {
+    pub fn next_token(&mut self, checks_fencing: bool, now: Time) -> Option<FencingToken> {
         let held = now < self.until || self.settings.mutation == Mutation::IgnoreLease;
-        let safe = checks_fencing || now >= self.quiet;
+        let safe = checks_fencing || now >= self.unfenced_from;
         if !held || !safe {
             return None;
         }
         // With every number used up, the VM takes a new lease by restarting its part.
         self.sequence = self.sequence.checked_add(1)?;
-        Some(Fence::new(self.lease, self.sequence))
+        Some(FencingToken::new(self.lease, self.sequence))
     }
 }
--- a/crates/core/src/orders/pace.rs
+++ b/crates/core/src/orders/load_limiter.rs
@@ -7,24 +7,24 @@
 /// The failure: after a change of bundle every engine fetches new weights at the same time, the
 /// store slows all of them down, and for minutes no engine has the new version.
 #[derive(Clone, Debug)]
-pub struct Pace {
-    at_once: usize,
-    pause: Duration,
-    next: Time,
+pub struct LoadLimiter {
+    max_concurrent: usize,
+    min_interval: Duration,
+    next_start: Time,
 }
 
-impl Pace {
+impl LoadLimiter {
     /// Lets at most `at_once` loads run, with `pause` between two starts.
-    pub fn new(at_once: usize, pause: Duration) -> Pace {
-        Pace { at_once, pause, next: Time::ZERO }
+    pub fn new(max_concurrent: usize, min_interval: Duration) -> LoadLimiter {
+        LoadLimiter { max_concurrent, min_interval, next_start: Time::ZERO }
     }
 
     /// Takes leave to start a load while `running` others run; false if it must wait.
-    pub fn start(&mut self, running: usize, now: Time) -> bool {
-        if running >= self.at_once || now < self.next {
+    pub fn try_start(&mut self, running: usize, now: Time) -> bool {
+        if running >= self.max_concurrent || now < self.next_start {
             return false;
         }
-        self.next = now + self.pause;
+        self.next_start = now + self.min_interval;
         true
     }
 }
--- a/crates/core/src/orders/mod.rs
+++ b/crates/core/src/orders/mod.rs
@@ -6,11 +6,11 @@
 //! have surely arrived or been given up. See docs/design/orders.md.
 
 mod lease;
-mod pace;
+mod load_limiter;
 mod plan;
 
-pub use lease::{Fence, OrderGrants, OrderHolder, OrderSettings};
-pub use pace::Pace;
+pub use lease::{FencingToken, OrderGrants, OrderHolder, OrderSettings};
+pub use load_limiter::LoadLimiter;
 pub use plan::{Engine, ModelVersion, Order, Planner};
 
 /// A safeguard switched off, so that a test can prove that it would notice. Never set outside
@@ -21,11 +21,11 @@
     #[default]
     None,
     /// A new holder gives orders to endpoints that ignore fencing at once.
-    NoWaitOut,
+    NoExpiryWait,
     /// The leader gives the lease away while the old holder's still runs.
-    LeaseNotOver,
+    TakeRunningLease,
     /// A new leader gives the lease away without waiting for its predecessor's grants.
-    NoBlindWait,
+    NoGracePeriod,
     /// Orders are given without looking at the lease.
     IgnoreLease,
     /// An old version is dropped before the new one is served.
--- a/crates/core/src/orders/plan.rs
+++ b/crates/core/src/orders/plan.rs
@@ -3,7 +3,7 @@
 //! The plan is worked out anew from what the engines announce, so it needs no memory: an order
 //! that was lost is planned again, and one that was carried out is no longer needed.
 
-use super::{Mutation, Pace};
+use super::{LoadLimiter, Mutation};
 use crate::bundle::{Bundle, Model};
 use crate::prelude::*;
 
@@ -53,20 +53,20 @@
 /// Plans orders, at the pace that the weight store allows.
 #[derive(Clone, Debug)]
 pub struct Planner {
-    pace: Pace,
+    limiter: LoadLimiter,
     mutation: Mutation,
 }
 
 impl Planner {
     /// Starts with the weight store's pace.
-    pub fn new(pace: Pace) -> Planner {
-        Planner::with_mutation(pace, Mutation::None)
+    pub fn new(limiter: LoadLimiter) -> Planner {
+        Planner::with_mutation(limiter, Mutation::None)
     }
 
     /// Starts with one safeguard off.
     #[doc(hidden)]
-    pub fn with_mutation(pace: Pace, mutation: Mutation) -> Planner {
-        Planner { pace, mutation }
+    pub fn with_mutation(limiter: LoadLimiter, mutation: Mutation) -> Planner {
+        Planner { limiter, mutation }
     }
 
     /// Returns the orders to give now, at most one for each engine that has none pending. The
@@ -74,11 +74,11 @@
     pub fn plan(&mut self, bundle: &Bundle, engines: &[Engine], now: Time) -> Vec<Order> {
         let mutation = self.mutation;
         let mut fleet = Fleet { bundle, engines, orders: Vec::new(), mutation };
-        let mut open: Vec<&Engine> =
+        let mut idle: Vec<&Engine> =
             engines.iter().filter(|engine| engine.pending.is_none() && !engine.leaving).collect();
-        open.sort_by(|a, b| a.name.cmp(&b.name));
-        for engine in open {
-            let order = fleet.next_order(engine, &mut self.pace, now);
+        idle.sort_by(|a, b| a.name.cmp(&b.name));
+        for engine in idle {
+            let order = fleet.next_order(engine, &mut self.limiter, now);
             fleet.orders.extend(order);
         }
         fleet.orders
@@ -86,7 +86,7 @@
 }
 
 /// Of the engines of a model, one in this many may be without it while versions change.
-const SWAP_SHARE: usize = 4;
+const SWAP_DIVISOR: usize = 4;
 
 /// All engines, with the orders planned so far as good as given.
 struct Fleet<'a> {
@@ -97,15 +97,15 @@
 }
 
 impl Fleet<'_> {
-    fn next_order(&self, engine: &Engine, pace: &mut Pace, now: Time) -> Option<Order> {
+    fn next_order(&self, engine: &Engine, limiter: &mut LoadLimiter, now: Time) -> Option<Order> {
         let endpoint = engine.name.clone();
         let missing = self.most_needed(engine);
         let free = engine.loaded.len() < engine.slots;
         let drop_first = self.mutation == Mutation::DropFirst && self.droppable(engine).is_some();
         match missing {
-            Some(version) if free && !drop_first => {
-                pace.start(self.loads(), now).then_some(Order::Load { endpoint, version })
-            }
+            Some(version) if free && !drop_first => limiter
+                .try_start(self.running_loads(), now)
+                .then_some(Order::Load { endpoint, version }),
             _ => self.droppable(engine).map(|version| Order::Drop { endpoint, version }),
         }
     }
@@ -144,8 +144,8 @@
         if !covers(model, engine) {
             return self.serving(&current) > 0;
         }
-        let cramped = engine.loaded.len() >= engine.slots;
-        cramped && self.others_serve(engine, &held.model) && self.may_swap(model)
+        let full = engine.loaded.len() >= engine.slots;
+        full && self.others_serve(engine, &held.model) && self.may_swap(model)
     }
 
     fn is_wanted(&self, engine: &Engine, version: &ModelVersion) -> bool {
@@ -153,43 +153,43 @@
         model.is_some_and(|model| model.version == version.version && covers(model, engine))
     }
 
-    fn up(&self) -> impl Iterator<Item = &Engine> {
+    fn active(&self) -> impl Iterator<Item = &Engine> {
         self.engines.iter().filter(|engine| !engine.leaving)
     }
 
-    fn given(&self) -> impl Iterator<Item = &Order> {
+    fn outstanding(&self) -> impl Iterator<Item = &Order> {
         let pending = self.engines.iter().filter_map(|engine| engine.pending.as_ref());
         pending.chain(&self.orders)
     }
 
-    fn loads(&self) -> usize {
-        self.given().filter(|order| matches!(order, Order::Load { .. })).count()
+    fn running_loads(&self) -> usize {
+        self.outstanding().filter(|order| matches!(order, Order::Load { .. })).count()
     }
 
     fn loading(&self, version: &ModelVersion) -> usize {
         let loads =
             |order: &&Order| matches!(order, Order::Load { version: v, .. } if v == version);
-        self.given().filter(loads).count()
+        self.outstanding().filter(loads).count()
     }
 
     /// Counts the engines that serve this version and aren't told to drop it.
     fn serving(&self, version: &ModelVersion) -> usize {
         let serves = |engine: &&Engine| {
-            engine.loaded.contains(version) && !self.drops(&engine.name, version)
+            engine.loaded.contains(version) && !self.is_dropping(&engine.name, version)
         };
-        self.up().filter(serves).count()
+        self.active().filter(serves).count()
     }
 
     fn others_serve(&self, engine: &Engine, model: &str) -> bool {
         let serves = |other: &Engine| {
             let mut held = other.loaded.iter().filter(|version| version.model == model);
-            held.any(|version| !self.drops(&other.name, version))
+            held.any(|version| !self.is_dropping(&other.name, version))
         };
-        self.up().any(|other| other.name != engine.name && serves(other))
+        self.active().any(|other| other.name != engine.name && serves(other))
     }
 
-    fn drops(&self, name: &str, dropped: &ModelVersion) -> bool {
-        self.given().any(|order| match order {
+    fn is_dropping(&self, name: &str, dropped: &ModelVersion) -> bool {
+        self.outstanding().any(|order| match order {
             Order::Drop { endpoint, version } => endpoint == name && version == dropped,
             Order::Load { .. } => false,
         })
@@ -197,14 +197,14 @@
 
     /// Returns true while few enough engines of this model are empty or changing.
     fn may_swap(&self, model: &Model) -> bool {
-        let covering: Vec<&Engine> = self.up().filter(|engine| covers(model, engine)).collect();
+        let covering: Vec<&Engine> = self.active().filter(|engine| covers(model, engine)).collect();
         let changing = covering.iter().filter(|engine| self.is_changing(engine, model)).count();
-        changing < (covering.len() / SWAP_SHARE).max(1)
+        changing < (covering.len() / SWAP_DIVISOR).max(1)
     }
 
     fn is_changing(&self, engine: &Engine, model: &Model) -> bool {
         engine.loaded.is_empty()
-            || self.given().any(|order| {
+            || self.outstanding().any(|order| {
                 let (Order::Load { endpoint, version } | Order::Drop { endpoint, version }) = order;
                 *endpoint == engine.name && version.model == model.name
             })
--- a/crates/core/src/replication/effect.rs
+++ b/crates/core/src/replication/effect.rs
@@ -23,7 +23,7 @@
         /// One entry each.
         commands: Vec<Bytes>,
     },
-    /// A read wants to know which index it must see; answered by [`Effect::Readable`].
+    /// A read wants to know which index it must see; answered by [`Effect::ReadReady`].
     Read {
         /// Given back with the answer.
         token: u64,
@@ -115,14 +115,14 @@
     /// The proposal or change was not appended.
     Refused(Refusal),
     /// The read may be answered by a state machine that has applied `index`.
-    Readable {
+    ReadReady {
         /// From [`Input::Read`].
         token: u64,
         /// What must be applied.
         index: LogIndex,
     },
     /// The read can't be served here.
-    Unreadable {
+    ReadRefused {
         /// From [`Input::Read`].
         token: u64,
         /// The leader, if known.
@@ -166,5 +166,5 @@
     NotCaughtUp,
     /// The change doesn't fit the members.
     #[error("the change does not fit the group's members; check its status")]
-    Unfit,
+    InvalidChange,
 }
--- a/crates/core/src/replication/election.rs
+++ b/crates/core/src/replication/election.rs
@@ -29,7 +29,7 @@
     }
 
     /// Answers a candidate.
-    pub(super) fn vote_request(
+    pub(super) fn handle_vote_request(
         &mut self,
         now: Time,
         from: VmId,
@@ -38,31 +38,31 @@
         out: &mut Vec<Effect>,
     ) {
         if term < self.ballot.term {
-            return self.answer_vote(from, request.pre, false, out);
+            return self.send_vote_reply(from, request.pre, false, out);
         }
         let from_leader = self.leader == Some(from);
-        if !request.transfer && !from_leader && self.is_promised(now) {
+        if !request.transfer && !from_leader && self.is_in_lease(now) {
             return;
         }
         let last = Position { index: LogIndex(request.last_index), term: Term(request.last_term) };
         if request.pre {
-            let granted = term > self.ballot.term && self.is_current(last);
-            return self.answer_pre_vote(from, term, granted, out);
+            let granted = term > self.ballot.term && self.is_up_to_date(last);
+            return self.send_pre_vote_reply(from, term, granted, out);
         }
         if term > self.ballot.term {
-            self.follow(now, term, None, out);
+            self.become_follower(now, term, None, out);
         }
         let free = self.ballot.vote.is_none_or(|vote| vote == from);
-        let granted = free && self.role == Role::Follower && self.is_current(last);
+        let granted = free && self.role == Role::Follower && self.is_up_to_date(last);
         if granted && self.ballot.vote.is_none() {
             self.reset_timeout(now);
             self.save_ballot(Ballot { term, vote: Some(from) }, out);
         }
-        self.answer_vote(from, false, granted, out);
+        self.send_vote_reply(from, false, granted, out);
     }
 
     /// Counts an answer to our own request.
-    pub(super) fn vote_reply(
+    pub(super) fn handle_vote_reply(
         &mut self,
         now: Time,
         from: VmId,
@@ -88,7 +88,7 @@
     }
 
     /// Campaigns because the leader asked for it.
-    pub(super) fn take_over(&mut self, now: Time, from: VmId, out: &mut Vec<Effect>) {
+    pub(super) fn handle_timeout_now(&mut self, now: Time, from: VmId, out: &mut Vec<Effect>) {
         let asked = self.role == Role::Follower && self.leader == Some(from);
         if asked && self.log.members().is_voter(self.id) {
             self.campaign(now, true, out);
@@ -110,7 +110,7 @@
 
     fn campaign(&mut self, now: Time, transfer: bool, out: &mut Vec<Effect>) {
         let term = Term(self.ballot.term.0 + 1);
-        self.follow(now, term, None, out);
+        self.become_follower(now, term, None, out);
         self.role = Role::Candidate;
         self.save_ballot(Ballot { term, vote: Some(self.id) }, out);
         self.request_votes(false, transfer, out);
@@ -126,7 +126,7 @@
                 continue;
             }
             if !pre {
-                self.send_stable(to, Body::VoteRequest(request), out);
+                self.send_after_sync(to, Body::VoteRequest(request), out);
                 continue;
             }
             let mut message = self.envelope(Body::VoteRequest(request));
@@ -136,17 +136,18 @@
     }
 
     /// Tells whether a leader's lease may still rest on this replica's last answer.
-    fn is_promised(&self, now: Time) -> bool {
-        let heard = match &self.lead {
+    fn is_in_lease(&self, now: Time) -> bool {
+        let last_contact = match &self.leader_state {
             Some(_) => Some(self.quorum_contact(now)),
-            None => self.heard,
+            None => self.last_contact,
         };
-        let waits = heard.is_some_and(|heard| now < heard + self.settings.patience());
+        let waits =
+            last_contact.is_some_and(|contact| now < contact + self.settings.election_timeout());
         waits && self.settings.safeguards.lease_wait
     }
 
     /// Tells whether a log that ends at `last` holds all that this one may have acknowledged.
-    fn is_current(&self, last: Position) -> bool {
+    fn is_up_to_date(&self, last: Position) -> bool {
         let own = self.log.last();
         (last.term, last.index) >= (own.term, own.index)
     }
@@ -156,13 +157,13 @@
         self.votes.iter().filter(|vm| voters.contains(vm)).count() >= self.quorum()
     }
 
-    fn answer_vote(&mut self, to: VmId, pre: bool, granted: bool, out: &mut Vec<Effect>) {
-        self.send_stable(to, Body::VoteReply(wire::VoteReply { pre, granted }), out);
+    fn send_vote_reply(&mut self, to: VmId, pre: bool, granted: bool, out: &mut Vec<Effect>) {
+        self.send_after_sync(to, Body::VoteReply(wire::VoteReply { pre, granted }), out);
     }
 
-    fn answer_pre_vote(&mut self, to: VmId, term: Term, granted: bool, out: &mut Vec<Effect>) {
+    fn send_pre_vote_reply(&mut self, to: VmId, term: Term, granted: bool, out: &mut Vec<Effect>) {
         if !granted {
-            return self.answer_vote(to, true, false, out);
+            return self.send_vote_reply(to, true, false, out);
         }
         let mut message =
             self.envelope(Body::VoteReply(wire::VoteReply { pre: true, granted: true }));
--- a/crates/core/src/replication/follower.rs
+++ b/crates/core/src/replication/follower.rs
@@ -10,14 +10,14 @@
 
 /// A snapshot of which some pieces have arrived.
 #[derive(Debug)]
-pub(super) struct Incoming {
+pub(super) struct IncomingSnapshot {
     position: Position,
     offset: u64,
 }
 
 impl Replica {
     /// Takes entries or a heartbeat of this term's leader.
-    pub(super) fn append(
+    pub(super) fn handle_append(
         &mut self,
         now: Time,
         links: &Links,
@@ -25,7 +25,7 @@
         mut append: wire::Append,
         out: &mut Vec<Effect>,
     ) {
-        if !self.note_leader(now, from, out) {
+        if !self.accept_leader(now, from, out) {
             return;
         }
         // A late message of an earlier epoch must not undo what a newer one was answered.
@@ -37,26 +37,26 @@
         let matched = LogIndex(prev.index.0 + append.entries.len() as u64);
         let commit = LogIndex(append.commit).min(matched);
         let entries = std::mem::take(&mut append.entries);
-        let wrote = self.take_entries(entries, out);
+        let wrote = self.append_missing(entries, out);
         if commit > self.commit {
             self.commit = commit;
             out.push(Effect::Commit { index: commit });
         }
-        let mut reply = self.append_answer(links, &append);
+        let mut reply = self.new_append_reply(links, &append);
         reply.ok = true;
         reply.index = matched.0;
         self.acknowledge(from, reply, wrote, out);
     }
 
     /// Takes one piece of a snapshot.
-    pub(super) fn chunk(
+    pub(super) fn handle_chunk(
         &mut self,
         now: Time,
         from: VmId,
         chunk: wire::Chunk,
         out: &mut Vec<Effect>,
     ) {
-        if !self.note_leader(now, from, out) {
+        if !self.accept_leader(now, from, out) {
             return;
         }
         let position = Position { index: LogIndex(chunk.index), term: Term(chunk.term) };
@@ -65,28 +65,28 @@
             out.push(Effect::Commit { index: position.index });
         }
         if position.index <= self.commit {
-            return self.answer_chunk(from, &chunk, chunk.offset, true, out);
+            return self.send_chunk_reply(from, &chunk, chunk.offset, true, out);
         }
         let wanted = match &self.incoming {
             Some(incoming) if incoming.position == position => incoming.offset,
             _ => 0,
         };
         if chunk.offset != wanted {
-            return self.answer_chunk(from, &chunk, wanted, false, out);
+            return self.send_chunk_reply(from, &chunk, wanted, false, out);
         }
         let offset = wanted + chunk.data.len() as u64;
         out.push(Effect::StoreChunk { position, offset: wanted, data: chunk.data.clone() });
-        self.incoming = Some(Incoming { position, offset });
+        self.incoming = Some(IncomingSnapshot { position, offset });
         if chunk.last {
             self.install(position, &chunk, out);
         }
-        self.answer_chunk(from, &chunk, offset, chunk.last, out);
+        self.send_chunk_reply(from, &chunk, offset, chunk.last, out);
     }
 
     fn install(&mut self, position: Position, chunk: &wire::Chunk, out: &mut Vec<Effect>) {
         let members = chunk.members.as_ref().map(Members::from_wire).unwrap_or_default();
         self.incoming = None;
-        self.unsync(self.log.base().next());
+        self.rollback_synced(self.log.base().next());
         self.log.reset(position, members.clone());
         self.commit = position.index;
         self.save_snapshot(position, members, out);
@@ -94,14 +94,14 @@
     }
 
     /// Follows the sender if it can lead this term. Returns whether it does.
-    fn note_leader(&mut self, now: Time, from: VmId, out: &mut Vec<Effect>) -> bool {
+    fn accept_leader(&mut self, now: Time, from: VmId, out: &mut Vec<Effect>) -> bool {
         if self.role == Role::Leader {
             return false;
         }
         if self.role != Role::Follower || self.leader != Some(from) {
-            self.follow(now, self.ballot.term, Some(from), out);
+            self.become_follower(now, self.ballot.term, Some(from), out);
         }
-        self.heard = Some(now);
+        self.last_contact = Some(now);
         self.reset_timeout(now);
         true
     }
@@ -118,7 +118,7 @@
     }
 
     /// Appends what the log lacks, and drops what contradicts it. Returns whether it wrote.
-    fn take_entries(&mut self, mut entries: Vec<wire::Entry>, out: &mut Vec<Effect>) -> bool {
+    fn append_missing(&mut self, mut entries: Vec<wire::Entry>, out: &mut Vec<Effect>) -> bool {
         let known = entries
             .iter()
             .take_while(|e| self.log.term(LogIndex(e.index)) == Some(Term(e.term)))
@@ -128,18 +128,18 @@
             return false;
         };
         if first <= self.log.last().index {
-            self.unsync(first);
+            self.rollback_synced(first);
             self.log.truncate(first);
         }
         for entry in &entries {
-            self.log.push(EntryMeta::of(entry));
+            self.log.push(EntryMeta::from_entry(entry));
         }
         self.save_entries(entries, out);
         true
     }
 
     /// Returns an answer with all that doesn't depend on the entries.
-    fn append_answer(&self, links: &Links, append: &wire::Append) -> wire::AppendReply {
+    fn new_append_reply(&self, links: &Links, append: &wire::Append) -> wire::AppendReply {
         wire::AppendReply {
             sent: append.sent,
             round: append.round,
@@ -158,12 +158,12 @@
         out: &mut Vec<Effect>,
     ) {
         if wrote {
-            return self.send_stable(to, Body::AppendReply(reply), out);
+            return self.send_after_sync(to, Body::AppendReply(reply), out);
         }
         // A heartbeat's answer claims only what is synced, so it need not wait for the disk: a
         // slow sync would otherwise cost the leader its lease.
         reply.index = reply.index.min(self.synced.0);
-        self.answer_ballot(to, reply, out);
+        self.send_after_ballot(to, reply, out);
     }
 
     fn refuse(
@@ -176,22 +176,22 @@
     ) {
         let before = LogIndex(prev.index.0.saturating_sub(1));
         let hint = self.log.agreement(before, prev.term);
-        let mut reply = self.append_answer(links, append);
+        let mut reply = self.new_append_reply(links, append);
         reply.index = prev.index.0;
         reply.hint_index = hint.index.0;
         reply.hint_term = hint.term.0;
-        self.answer_ballot(to, reply, out);
+        self.send_after_ballot(to, reply, out);
     }
 
     /// Sends an answer that depends on no write but the ballot's.
-    fn answer_ballot(&mut self, to: VmId, reply: wire::AppendReply, out: &mut Vec<Effect>) {
+    fn send_after_ballot(&mut self, to: VmId, reply: wire::AppendReply, out: &mut Vec<Effect>) {
         match self.is_ballot_stable() {
             true => self.send(to, Body::AppendReply(reply), out),
-            false => self.send_stable(to, Body::AppendReply(reply), out),
+            false => self.send_after_sync(to, Body::AppendReply(reply), out),
         }
     }
 
-    fn answer_chunk(
+    fn send_chunk_reply(
         &mut self,
         to: VmId,
         chunk: &wire::Chunk,
@@ -206,11 +206,11 @@
             sent: chunk.sent,
             round: chunk.round,
         };
-        self.send_stable(to, Body::ChunkReply(reply), out);
+        self.send_after_sync(to, Body::ChunkReply(reply), out);
     }
 
     fn save_snapshot(&mut self, position: Position, members: Members, out: &mut Vec<Effect>) {
         let sequence = self.persist(Write::Snapshot { position, members }, out);
-        self.note_write(sequence, position.index);
+        self.track_write(sequence, position.index);
     }
 }
--- a/crates/core/src/replication/leader.rs
+++ b/crates/core/src/replication/leader.rs
@@ -16,14 +16,14 @@
 
 /// State that only a leader has.
 #[derive(Debug)]
-pub(super) struct Lead {
+pub(super) struct LeaderState {
     /// When it became leader.
-    pub(super) since: Time,
+    pub(super) elected_at: Time,
     /// Its term's first entry; what came before is committed once this one is.
-    pub(super) first: LogIndex,
+    pub(super) term_start: LogIndex,
     pub(super) progress: BTreeMap<VmId, Progress>,
     /// When the next heartbeat is due.
-    pub(super) heartbeat: Time,
+    pub(super) next_heartbeat: Time,
     /// Counts heartbeats that confirm reads.
     pub(super) round: u64,
     pub(super) reads: VecDeque<PendingRead>,
@@ -32,10 +32,10 @@
     pub(super) announced: bool,
     pub(super) transfer: Option<Transfer>,
     /// True once a hand-over was asked for in this term: voters then don't wait out the lease.
-    pub(super) unleased: bool,
+    pub(super) lease_released: bool,
 }
 
-impl Lead {
+impl LeaderState {
     pub(super) fn is_sending_snapshot(&self) -> bool {
         self.progress.values().any(|progress| matches!(progress.flow, Flow::Snapshot { .. }))
     }
@@ -47,42 +47,42 @@
         self.leader = Some(self.id);
         let next = self.log.last().index.next();
         let peers = self.log.members().all().filter(|&vm| vm != self.id);
-        self.lead = Some(Lead {
-            since: now,
-            first: next,
+        self.leader_state = Some(LeaderState {
+            elected_at: now,
+            term_start: next,
             progress: peers.map(|vm| (vm, Progress::new(next))).collect(),
-            heartbeat: now,
+            next_heartbeat: now,
             round: 0,
             reads: VecDeque::new(),
             backlog: 0,
             announced: false,
             transfer: None,
-            unleased: false,
+            lease_released: false,
         });
-        self.append_own(vec![(wire::EntryKind::Noop, Bytes::new())], out);
+        self.append_as_leader(vec![(wire::EntryKind::Noop, Bytes::new())], out);
     }
 
     /// Appends commands, if this replica leads and isn't overloaded.
     pub(super) fn propose(&mut self, commands: Vec<Bytes>, out: &mut Vec<Effect>) {
-        let Some(lead) = &mut self.lead else {
+        let Some(state) = &mut self.leader_state else {
             return out.push(Effect::Refused(Refusal::NotLeader { leader: self.leader }));
         };
-        if let Some(transfer) = &lead.transfer {
+        if let Some(transfer) = &state.transfer {
             let leader = Some(transfer.to);
             return out.push(Effect::Refused(Refusal::NotLeader { leader }));
         }
         let bytes: usize = commands.iter().map(Bytes::len).sum();
-        if lead.backlog > 0 && lead.backlog + bytes > self.settings.backlog_bytes {
+        if state.backlog > 0 && state.backlog + bytes > self.settings.backlog_bytes {
             return out.push(Effect::Refused(Refusal::Overloaded));
         }
-        lead.backlog += bytes;
+        state.backlog += bytes;
         let commands = commands.into_iter().map(|data| (wire::EntryKind::Command, data));
-        let first = self.append_own(commands.collect(), out);
+        let first = self.append_as_leader(commands.collect(), out);
         out.push(Effect::Accepted { first, term: self.ballot.term });
     }
 
     /// Appends entries of this term and returns the first one's index.
-    pub(super) fn append_own(
+    pub(super) fn append_as_leader(
         &mut self,
         entries: Vec<(wire::EntryKind, Bytes)>,
         out: &mut Vec<Effect>,
@@ -93,7 +93,7 @@
         for (kind, data) in entries {
             let index = self.log.last().index.next().0;
             let entry = wire::Entry { term: term.0, index, kind: kind.into(), data };
-            self.log.push(EntryMeta::of(&entry));
+            self.log.push(EntryMeta::from_entry(&entry));
             written.push(entry);
         }
         self.save_entries(written, out);
@@ -102,7 +102,7 @@
 
     /// Does what the last input made possible: commits, sends, answers reads, hands over.
     pub(super) fn advance(&mut self, now: Time, links: &Links, out: &mut Vec<Effect>) {
-        if self.lead.is_none() {
+        if self.leader_state.is_none() {
             return;
         }
         self.advance_commit(out);
@@ -112,29 +112,30 @@
     }
 
     /// Steps down without a quorum's answers, else sends heartbeats.
-    pub(super) fn lead_tick(&mut self, now: Time, links: &Links, out: &mut Vec<Effect>) {
-        if now >= self.quorum_contact(now) + self.settings.patience() {
+    pub(super) fn leader_tick(&mut self, now: Time, links: &Links, out: &mut Vec<Effect>) {
+        if now >= self.quorum_contact(now) + self.settings.election_timeout() {
             let term = self.ballot.term;
-            return self.follow(now, term, None, out);
+            return self.become_follower(now, term, None, out);
         }
-        let Some(lead) = &mut self.lead else {
+        let Some(state) = &mut self.leader_state else {
             return;
         };
-        if now < lead.heartbeat {
+        if now < state.next_heartbeat {
             return;
         }
-        lead.heartbeat = now + self.settings.heartbeat;
+        state.next_heartbeat = now + self.settings.heartbeat;
         self.expire_transfer(now);
         self.send_heartbeats(now, links, false, out);
     }
 
     /// Takes a follower's answer to entries or a heartbeat.
-    pub(super) fn append_reply(&mut self, from: VmId, reply: &wire::AppendReply) {
-        let Some(progress) = self.lead.as_mut().and_then(|lead| lead.progress.get_mut(&from))
+    pub(super) fn handle_append_reply(&mut self, from: VmId, reply: &wire::AppendReply) {
+        let Some(progress) =
+            self.leader_state.as_mut().and_then(|state| state.progress.get_mut(&from))
         else {
             return;
         };
-        progress.note_answer(Time(reply.sent), reply.round);
+        progress.record_reply(Time(reply.sent), reply.round);
         progress.commit = progress.commit.max(LogIndex(reply.commit));
         progress.epochs = Some((reply.epoch, reply.leader_epoch));
         let index = LogIndex(reply.index);
@@ -151,7 +152,7 @@
             let agreed = self.log.agreement(before, Term(reply.hint_term));
             return progress.probe(agreed.index.next());
         }
-        progress.note_match(index);
+        progress.record_match(index);
         match progress.flow {
             Flow::Probe { .. } => progress.stream(),
             Flow::Snapshot { index, .. } if progress.matched >= index => progress.stream(),
@@ -160,21 +161,21 @@
     }
 
     /// Takes a follower's answer to a piece of a snapshot.
-    pub(super) fn chunk_reply(
+    pub(super) fn handle_chunk_reply(
         &mut self,
         now: Time,
         from: VmId,
         reply: &wire::ChunkReply,
         out: &mut Vec<Effect>,
     ) {
-        let Some(mut lead) = self.lead.take() else {
+        let Some(mut state) = self.leader_state.take() else {
             return;
         };
-        if let Some(progress) = lead.progress.get_mut(&from) {
-            progress.note_answer(Time(reply.sent), reply.round);
-            self.advance_chunk(now, from, reply, lead.round, progress, out);
+        if let Some(progress) = state.progress.get_mut(&from) {
+            progress.record_reply(Time(reply.sent), reply.round);
+            self.advance_chunk(now, from, reply, state.round, progress, out);
         }
-        self.lead = Some(lead);
+        self.leader_state = Some(state);
     }
 
     /// Commits what a quorum has synced.
@@ -183,7 +184,7 @@
     /// was elected without it, so only an entry of this term is counted; it commits all before.
     fn advance_commit(&mut self, out: &mut Vec<Effect>) {
         let index = self.quorum_match();
-        let Some(lead) = &mut self.lead else {
+        let Some(state) = &mut self.leader_state else {
             return;
         };
         let counts =
@@ -192,23 +193,23 @@
             return;
         }
         for number in self.commit.0 + 1..=index.0 {
-            lead.backlog = lead.backlog.saturating_sub(self.log.size(LogIndex(number)));
+            state.backlog = state.backlog.saturating_sub(self.log.size(LogIndex(number)));
         }
         self.commit = index;
         out.push(Effect::Commit { index });
-        if !lead.announced && index >= lead.first {
-            lead.announced = true;
+        if !state.announced && index >= state.term_start {
+            state.announced = true;
             out.push(Effect::Leader { term: self.ballot.term });
         }
     }
 
     fn quorum_match(&self) -> LogIndex {
-        let Some(lead) = &self.lead else {
+        let Some(state) = &self.leader_state else {
             return LogIndex(0);
         };
         let matched = |vm: &VmId| match *vm == self.id {
             true => self.synced,
-            false => lead.progress.get(vm).map_or(LogIndex(0), |progress| progress.matched),
+            false => state.progress.get(vm).map_or(LogIndex(0), |progress| progress.matched),
         };
         let mut all: Vec<LogIndex> = self.log.members().voters.iter().map(matched).collect();
         all.sort_unstable_by(|a, b| b.cmp(a));
--- a/crates/core/src/replication/links.rs
+++ b/crates/core/src/replication/links.rs
@@ -20,16 +20,16 @@
 }
 
 /// How long an epoch's last pulse is remembered; far longer than any follower's patience.
-const EPOCH_MEMORY: Duration = Duration::from_secs(120);
+const EPOCH_RETENTION: Duration = Duration::from_secs(120);
 
 /// A replica's term and the leader it follows: what a pulse vouches for.
-pub(super) type Allegiance = (Term, Option<VmId>);
+pub(super) type TermLeader = (Term, Option<VmId>);
 
 #[derive(Clone, Debug)]
 struct Link {
     vm: VmId,
     /// When the last pulse of each of its latest epochs arrived, the last one last.
-    heard: Vec<(u64, Time)>,
+    last_pulses: Vec<(u64, Time)>,
     /// Its epoch in the pulse that is answered next.
     epoch: u64,
     /// When it was sent, on its clock.
@@ -68,16 +68,22 @@
 
     /// Takes a pulse that arrived from `vm`.
     pub fn receive(&mut self, now: Time, vm: VmId, pulse: &wire::Pulse) {
-        let place = match self.peers.iter().position(|link| link.vm == vm) {
-            Some(place) => place,
+        let index = match self.peers.iter().position(|link| link.vm == vm) {
+            Some(index) => index,
             None => {
-                self.peers.push(Link { vm, heard: Vec::new(), epoch: 0, sent: 0, acked: None });
+                self.peers.push(Link {
+                    vm,
+                    last_pulses: Vec::new(),
+                    epoch: 0,
+                    sent: 0,
+                    acked: None,
+                });
                 self.peers.len() - 1
             }
         };
         let own = self.epoch;
-        let link = &mut self.peers[place];
-        link.note_heard(now, pulse.epoch);
+        let link = &mut self.peers[index];
+        link.record_pulse(now, pulse.epoch);
         if link.epoch != pulse.epoch || link.sent < pulse.sent {
             link.epoch = pulse.epoch;
             link.sent = pulse.sent;
@@ -91,8 +97,8 @@
     }
 
     /// Returns when `vm` was last heard under `epoch`.
-    pub(super) fn heard(&self, vm: VmId, epoch: u64) -> Option<Time> {
-        let found = self.link(vm)?.heard.iter().find(|(known, _)| *known == epoch);
+    pub(super) fn last_pulse(&self, vm: VmId, epoch: u64) -> Option<Time> {
+        let found = self.link(vm)?.last_pulses.iter().find(|(known, _)| *known == epoch);
         found.map(|(_, heard)| *heard)
     }
 
@@ -105,14 +111,14 @@
 
     /// Returns the latest own pulse that `vm` answered in any epoch: what a leader would count
     /// that doesn't care about epochs.
-    pub(super) fn acked_ever(&self, vm: VmId) -> Option<Time> {
+    pub(super) fn acked_any_epoch(&self, vm: VmId) -> Option<Time> {
         self.link(vm)?.acked.map(|(sent, _)| sent)
     }
 
     /// Tells whether `vm` sends pulses but hasn't for longer than `patience`.
-    pub(super) fn is_silent(&self, now: Time, vm: VmId, patience: Duration) -> bool {
-        let last = self.link(vm).and_then(|link| link.heard.last());
-        last.is_some_and(|(_, heard)| now >= *heard + patience)
+    pub(super) fn is_silent(&self, now: Time, vm: VmId, timeout: Duration) -> bool {
+        let last = self.link(vm).and_then(|link| link.last_pulses.last());
+        last.is_some_and(|(_, heard)| now >= *heard + timeout)
     }
 
     fn link(&self, vm: VmId) -> Option<&Link> {
@@ -125,8 +131,8 @@
     ///
     /// A late pulse of an earlier epoch must not wipe out a newer one's: the sender may count on
     /// the answer to that, and a group here would forget that it still owes patience.
-    fn note_heard(&mut self, now: Time, epoch: u64) {
-        self.heard.retain(|(known, heard)| *known != epoch && now < *heard + EPOCH_MEMORY);
-        self.heard.push((epoch, now));
+    fn record_pulse(&mut self, now: Time, epoch: u64) {
+        self.last_pulses.retain(|(known, heard)| *known != epoch && now < *heard + EPOCH_RETENTION);
+        self.last_pulses.push((epoch, now));
     }
 }
--- a/crates/core/src/replication/log.rs
+++ b/crates/core/src/replication/log.rs
@@ -11,13 +11,13 @@
     snapshot: Position,
     /// The entry before the first one kept; at the snapshot or somewhat before it.
     base: Position,
-    entries: VecDeque<Slim>,
+    entries: VecDeque<EntryInfo>,
     /// Members in force from an index on; the first is the base's.
     members: Vec<(LogIndex, Members)>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Slim {
+struct EntryInfo {
     term: Term,
     size: u32,
 }
@@ -52,11 +52,11 @@
         if index == self.base.index {
             return Some(self.base.term);
         }
-        self.at(index).map(|entry| entry.term)
+        self.get(index).map(|entry| entry.term)
     }
 
     pub(super) fn push(&mut self, entry: EntryMeta) {
-        self.entries.push_back(Slim { term: entry.term, size: entry.size });
+        self.entries.push_back(EntryInfo { term: entry.term, size: entry.size });
         if let Some(members) = entry.members {
             self.members.push((self.last().index, members));
         }
@@ -85,7 +85,7 @@
     }
 
     /// Drops all entries that the snapshot covers.
-    pub(super) fn drop_kept(&mut self) {
+    pub(super) fn compact_to_snapshot(&mut self) {
         self.drop_to(self.snapshot.index);
     }
 
@@ -149,7 +149,7 @@
     pub(super) fn batch(&self, first: LogIndex, limit: usize) -> (LogIndex, usize) {
         let mut last = first;
         let mut bytes = self.size(first);
-        while let Some(entry) = self.at(last.next()) {
+        while let Some(entry) = self.get(last.next()) {
             if bytes + entry.size as usize > limit {
                 break;
             }
@@ -161,7 +161,7 @@
 
     /// Returns the bytes of an entry's data; zero when it isn't there.
     pub(super) fn size(&self, index: LogIndex) -> usize {
-        self.at(index).map_or(0, |entry| entry.size as usize)
+        self.get(index).map_or(0, |entry| entry.size as usize)
     }
 
     /// Returns the last index up to `from` whose term is at most `term`.
@@ -176,8 +176,8 @@
         Position { index, term: self.term(index).unwrap_or_default() }
     }
 
-    fn at(&self, index: LogIndex) -> Option<Slim> {
-        let place = index.0.checked_sub(self.base.index.0 + 1)?;
-        self.entries.get(usize::try_from(place).ok()?).copied()
+    fn get(&self, index: LogIndex) -> Option<EntryInfo> {
+        let offset = index.0.checked_sub(self.base.index.0 + 1)?;
+        self.entries.get(usize::try_from(offset).ok()?).copied()
     }
 }
--- a/crates/core/src/replication/progress.rs
+++ b/crates/core/src/replication/progress.rs
@@ -45,7 +45,7 @@
     /// The follower's epoch and the own one that it knew, in its latest answer.
     pub(super) epochs: Option<(u64, u64)>,
     /// When it was last sent a heartbeat.
-    pub(super) beat: Time,
+    pub(super) last_heartbeat: Time,
 }
 
 impl Progress {
@@ -59,17 +59,17 @@
             round: 0,
             commit: LogIndex(0),
             epochs: None,
-            beat: Time::ZERO,
+            last_heartbeat: Time::ZERO,
         }
     }
 
     /// Returns the bytes of entries in flight.
-    pub(super) fn flying_bytes(&self) -> usize {
+    pub(super) fn in_flight_bytes(&self) -> usize {
         self.in_flight.iter().map(|(_, bytes)| bytes).sum()
     }
 
     /// Notes any answer of the current term.
-    pub(super) fn note_answer(&mut self, sent: Time, round: u64) {
+    pub(super) fn record_reply(&mut self, sent: Time, round: u64) {
         self.acked = self.acked.max(Some(sent));
         self.round = self.round.max(round);
     }
@@ -80,7 +80,7 @@
     }
 
     /// Notes that the logs agree up to `index`. Returns whether that is news.
-    pub(super) fn note_match(&mut self, index: LogIndex) -> bool {
+    pub(super) fn record_match(&mut self, index: LogIndex) -> bool {
         while self.in_flight.front().is_some_and(|&(last, _)| last <= index) {
             self.in_flight.pop_front();
         }
--- a/crates/core/src/replication/replica.rs
+++ b/crates/core/src/replication/replica.rs
@@ -6,9 +6,9 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::effect::{Effect, Input, Write};
-use super::follower::Incoming;
-use super::leader::Lead;
-use super::links::{Allegiance, Links};
+use super::follower::IncomingSnapshot;
+use super::leader::LeaderState;
+use super::links::{Links, TermLeader};
 use super::log::Log;
 use super::settings::Settings;
 use super::types::{Ballot, LogIndex, Position, Restored, Sequence, Term, quorum};
@@ -32,7 +32,7 @@
 
 /// A message that waits until the writes it depends on are synced.
 #[derive(Debug)]
-struct Held {
+struct DeferredMessage {
     sequence: Sequence,
     to: VmId,
     message: wire::Message,
@@ -51,14 +51,14 @@
     pub(super) role: Role,
     pub(super) leader: Option<VmId>,
     /// When a leader's last word arrived, of whichever term.
-    pub(super) heard: Option<Time>,
+    pub(super) last_contact: Option<Time>,
     /// The leader's epoch in its last word to this group.
     pub(super) leader_epoch: u64,
     /// When to campaign without a leader's word.
-    pub(super) timeout: Time,
+    pub(super) election_deadline: Time,
     pub(super) votes: Vec<VmId>,
-    pub(super) lead: Option<Lead>,
-    pub(super) incoming: Option<Incoming>,
+    pub(super) leader_state: Option<LeaderState>,
+    pub(super) incoming: Option<IncomingSnapshot>,
     /// Last own index on stable storage.
     pub(super) synced: LogIndex,
     /// Entry writes under way, each with its last index.
@@ -66,7 +66,7 @@
     issued: Sequence,
     stable: Sequence,
     ballot_write: Sequence,
-    held: VecDeque<Held>,
+    deferred: VecDeque<DeferredMessage>,
 }
 
 impl Replica {
@@ -92,15 +92,15 @@
             // A restarted replica may have answered a leader just before it died, and that answer
             // still holds up a lease. Not knowing, it waits as if it had: otherwise it could
             // elect a second leader while the first still answers reads.
-            heard: (ballot.term > Position::START.term).then_some(now),
+            last_contact: (ballot.term > Position::START.term).then_some(now),
             leader_epoch: 0,
             ballot,
             commit: log.snapshot().index,
             role: Role::Follower,
             leader: None,
-            timeout: now,
+            election_deadline: now,
             votes: Vec::new(),
-            lead: None,
+            leader_state: None,
             incoming: None,
             synced: log.last().index,
             log,
@@ -108,7 +108,7 @@
             issued: Sequence(0),
             stable: Sequence(0),
             ballot_write: Sequence(0),
-            held: VecDeque::new(),
+            deferred: VecDeque::new(),
         };
         replica.reset_timeout(now);
         replica
@@ -119,40 +119,40 @@
     /// `links` is what the VM knows of its links to others. Without any pulses (the default
     /// value) the group sends heartbeats of its own.
     pub fn step(&mut self, now: Time, links: &Links, input: Input, out: &mut Vec<Effect>) {
-        let before = self.allegiance();
-        self.note_pulses(links);
+        let before = self.term_leader();
+        self.apply_pulses(links);
         match input {
             Input::Tick => self.tick(now, links, out),
-            Input::Message { from, message } => self.message(now, links, from, message, out),
+            Input::Message { from, message } => self.handle_message(now, links, from, message, out),
             Input::Propose { commands } => self.propose(commands, out),
             Input::Read { token } => self.read(now, links, token, out),
-            Input::ChangeMembers(change) => self.change(now, change, out),
-            Input::Transfer => self.transfer(now),
-            Input::Synced(sequence) => self.note_synced(now, sequence, out),
-            Input::Snapshotted(index) => self.note_snapshot(index),
+            Input::ChangeMembers(change) => self.change_members(now, change, out),
+            Input::Transfer => self.begin_transfer(now),
+            Input::Synced(sequence) => self.handle_synced(now, sequence, out),
+            Input::Snapshotted(index) => self.handle_snapshotted(index),
         }
         self.advance(now, links, out);
-        if self.allegiance() != before {
+        if self.term_leader() != before {
             out.push(Effect::NewEpoch);
         }
     }
 
     /// Returns when the next [`Input::Tick`] is due.
     pub fn deadline(&self) -> Time {
-        match &self.lead {
-            Some(lead) => lead.heartbeat,
+        match &self.leader_state {
+            Some(state) => state.next_heartbeat,
             None if self.is_alone() && self.role == Role::Follower => Time::ZERO,
-            None => self.timeout,
+            None => self.election_deadline,
         }
     }
 
-    fn allegiance(&self) -> Allegiance {
+    fn term_leader(&self) -> TermLeader {
         (self.ballot.term, self.leader)
     }
 
     fn tick(&mut self, now: Time, links: &Links, out: &mut Vec<Effect>) {
-        if self.lead.is_some() {
-            return self.lead_tick(now, links, out);
+        if self.leader_state.is_some() {
+            return self.leader_tick(now, links, out);
         }
         if now < self.deadline() || !self.log.members().is_voter(self.id) {
             return self.reset_timeout_if_due(now);
@@ -161,21 +161,23 @@
     }
 
     /// Takes over what pulses have vouched for since the last step.
-    fn note_pulses(&mut self, links: &Links) {
-        if self.lead.is_some() {
-            return self.note_answers(links);
+    fn apply_pulses(&mut self, links: &Links) {
+        if self.leader_state.is_some() {
+            return self.apply_pulse_acks(links);
         }
         let Some(leader) = self.leader else {
             return;
         };
-        let heard = links.heard(leader, self.leader_epoch);
-        if let Some(heard) = heard.filter(|&heard| self.heard.is_none_or(|known| known < heard)) {
-            self.heard = Some(heard);
-            self.reset_timeout(heard);
+        let pulse = links.last_pulse(leader, self.leader_epoch);
+        if let Some(pulse) =
+            pulse.filter(|&pulse| self.last_contact.is_none_or(|known| known < pulse))
+        {
+            self.last_contact = Some(pulse);
+            self.reset_timeout(pulse);
         }
     }
 
-    fn message(
+    fn handle_message(
         &mut self,
         now: Time,
         links: &Links,
@@ -189,40 +191,40 @@
         };
         let body = match body {
             Body::VoteRequest(request) => {
-                return self.vote_request(now, from, term, &request, out);
+                return self.handle_vote_request(now, from, term, &request, out);
             }
             other => other,
         };
         let leads = matches!(body, Body::Append(_) | Body::Chunk(_));
         let promise = matches!(&body, Body::VoteReply(reply) if reply.pre && reply.granted);
         if term < self.ballot.term {
-            return self.answer_stale(from, leads, out);
+            return self.reply_to_stale(from, leads, out);
         }
         if term > self.ballot.term && !promise {
-            self.follow(now, term, leads.then_some(from), out);
+            self.become_follower(now, term, leads.then_some(from), out);
         }
         match body {
-            Body::VoteReply(reply) => self.vote_reply(now, from, term, &reply, out),
-            Body::Append(append) => self.append(now, links, from, append, out),
-            Body::AppendReply(reply) => self.append_reply(from, &reply),
-            Body::Chunk(chunk) => self.chunk(now, from, chunk, out),
-            Body::ChunkReply(reply) => self.chunk_reply(now, from, &reply, out),
-            Body::TimeoutNow(_) => self.take_over(now, from, out),
+            Body::VoteReply(reply) => self.handle_vote_reply(now, from, term, &reply, out),
+            Body::Append(append) => self.handle_append(now, links, from, append, out),
+            Body::AppendReply(reply) => self.handle_append_reply(from, &reply),
+            Body::Chunk(chunk) => self.handle_chunk(now, from, chunk, out),
+            Body::ChunkReply(reply) => self.handle_chunk_reply(now, from, &reply, out),
+            Body::TimeoutNow(_) => self.handle_timeout_now(now, from, out),
             Body::VoteRequest(_) => {}
         }
     }
 
     /// Tells a leader of an earlier term that it was replaced; without it a leader that missed
     /// an election would try to lead for ever.
-    fn answer_stale(&mut self, from: VmId, leads: bool, out: &mut Vec<Effect>) {
+    fn reply_to_stale(&mut self, from: VmId, leads: bool, out: &mut Vec<Effect>) {
         if leads {
             let reply = wire::AppendReply::default();
-            self.send_stable(from, Body::AppendReply(reply), out);
+            self.send_after_sync(from, Body::AppendReply(reply), out);
         }
     }
 
     /// Becomes a follower, in a later term or in this one.
-    pub(super) fn follow(
+    pub(super) fn become_follower(
         &mut self,
         now: Time,
         term: Term,
@@ -238,8 +240,8 @@
         self.leader_epoch = 0;
         self.votes.clear();
         self.incoming = None;
-        if let Some(lead) = self.lead.take() {
-            lead.refuse_reads(leader, out);
+        if let Some(state) = self.leader_state.take() {
+            state.refuse_reads(leader, out);
         }
         self.reset_timeout(now);
         if changed {
@@ -250,7 +252,7 @@
     pub(super) fn save_ballot(&mut self, ballot: Ballot, out: &mut Vec<Effect>) {
         if ballot.term > self.ballot.term {
             // Answers of an earlier term promise nothing in this one.
-            self.held.clear();
+            self.deferred.clear();
         }
         self.ballot = ballot;
         self.ballot_write = self.persist(Write::Ballot(ballot), out);
@@ -259,11 +261,11 @@
     pub(super) fn save_entries(&mut self, entries: Vec<wire::Entry>, out: &mut Vec<Effect>) {
         let last = self.log.last().index;
         let sequence = self.persist(Write::Entries(entries), out);
-        self.note_write(sequence, last);
+        self.track_write(sequence, last);
     }
 
     /// Notes that the log is stable up to `last` once `sequence` is synced.
-    pub(super) fn note_write(&mut self, sequence: Sequence, last: LogIndex) {
+    pub(super) fn track_write(&mut self, sequence: Sequence, last: LogIndex) {
         self.writes.push_back((sequence, last));
         if !self.settings.safeguards.sync {
             self.synced = last;
@@ -277,7 +279,7 @@
     }
 
     /// Forgets that the entries from `first` on were, or will be, synced.
-    pub(super) fn unsync(&mut self, first: LogIndex) {
+    pub(super) fn rollback_synced(&mut self, first: LogIndex) {
         let keep = LogIndex(first.0 - 1);
         self.synced = self.synced.min(keep);
         for (_, last) in &mut self.writes {
@@ -285,7 +287,7 @@
         }
     }
 
-    fn note_synced(&mut self, now: Time, sequence: Sequence, out: &mut Vec<Effect>) {
+    fn handle_synced(&mut self, now: Time, sequence: Sequence, out: &mut Vec<Effect>) {
         self.stable = self.stable.max(sequence);
         while let Some(&(write, last)) = self.writes.front() {
             if write > self.stable {
@@ -294,15 +296,15 @@
             self.synced = self.synced.max(last);
             self.writes.pop_front();
         }
-        while self.held.front().is_some_and(|held| held.sequence <= self.stable) {
-            if let Some(held) = self.held.pop_front() {
-                out.push(Effect::Send { to: held.to, message: held.message });
+        while self.deferred.front().is_some_and(|message| message.sequence <= self.stable) {
+            if let Some(deferred) = self.deferred.pop_front() {
+                out.push(Effect::Send { to: deferred.to, message: deferred.message });
             }
         }
         self.count_own_vote(now, out);
     }
 
-    fn note_snapshot(&mut self, index: LogIndex) {
+    fn handle_snapshotted(&mut self, index: LogIndex) {
         if index > self.log.snapshot().index && index <= self.commit {
             let settings = &self.settings;
             self.log.compact(index, settings.keep_entries, settings.keep_bytes);
@@ -322,13 +324,13 @@
     ///
     /// An answer that goes out earlier can be lost with the process that gave it: a leader would
     /// count an entry that is on no disk, or a restarted voter would vote twice in a term.
-    pub(super) fn send_stable(&mut self, to: VmId, body: Body, out: &mut Vec<Effect>) {
+    pub(super) fn send_after_sync(&mut self, to: VmId, body: Body, out: &mut Vec<Effect>) {
         let message = self.envelope(body);
         if self.stable >= self.issued || !self.settings.safeguards.sync {
             out.push(Effect::Send { to, message });
             return;
         }
-        self.held.push_back(Held { sequence: self.issued, to, message });
+        self.deferred.push_back(DeferredMessage { sequence: self.issued, to, message });
     }
 
     pub(super) fn envelope(&self, body: Body) -> wire::Message {
@@ -347,13 +349,13 @@
     }
 
     pub(super) fn reset_timeout(&mut self, now: Time) {
-        let patience = self.settings.patience();
+        let timeout = self.settings.election_timeout();
         let spread = self.rng.random::<f64>();
-        self.timeout = now + patience + patience.mul_f64(spread);
+        self.election_deadline = now + timeout + timeout.mul_f64(spread);
     }
 
     fn reset_timeout_if_due(&mut self, now: Time) {
-        if now >= self.timeout {
+        if now >= self.election_deadline {
             self.reset_timeout(now);
         }
     }
--- a/crates/core/src/replication/sender.rs
+++ b/crates/core/src/replication/sender.rs
@@ -18,60 +18,60 @@
         all: bool,
         out: &mut Vec<Effect>,
     ) {
-        let Some(mut lead) = self.lead.take() else {
+        let Some(mut state) = self.leader_state.take() else {
             return;
         };
-        for (&to, progress) in &mut lead.progress {
-            if !all && self.rests(now, links, to, progress) {
+        for (&to, progress) in &mut state.progress {
+            if !all && self.can_skip_heartbeat(now, links, to, progress) {
                 continue;
             }
-            progress.beat = now;
+            progress.last_heartbeat = now;
             self.restart_compacted(progress);
             let prev = self.heartbeat_position(progress);
-            let append = self.append_message(now, links, prev, lead.round);
+            let append = self.append_message(now, links, prev, state.round);
             self.send(to, Body::Append(append), out);
-            self.resend_chunk(now, to, lead.round, progress, out);
+            self.resend_chunk(now, to, state.round, progress, out);
         }
-        self.lead = Some(lead);
+        self.leader_state = Some(state);
     }
 
     /// Takes over the answers to pulses that count for this group.
     ///
     /// When an epoch ends they stop counting until the next heartbeat was answered. What they
     /// proved by then must be kept, or the lease would be lost at every election of any group.
-    pub(super) fn note_answers(&mut self, links: &Links) {
-        let Some(mut lead) = self.lead.take() else {
+    pub(super) fn apply_pulse_acks(&mut self, links: &Links) {
+        let Some(mut state) = self.leader_state.take() else {
             return;
         };
-        for (&vm, progress) in &mut lead.progress {
-            progress.acked = progress.acked.max(self.pulse_answer(links, vm, progress));
+        for (&vm, progress) in &mut state.progress {
+            progress.acked = progress.acked.max(self.pulse_ack(links, vm, progress));
         }
-        self.lead = Some(lead);
+        self.leader_state = Some(state);
     }
 
     /// Tells whether a follower needs no heartbeat now: its VM's pulses stand in for it, or it is
     /// silent and was sent one not long ago.
-    fn rests(&self, now: Time, links: &Links, vm: VmId, progress: &Progress) -> bool {
+    fn can_skip_heartbeat(&self, now: Time, links: &Links, vm: VmId, progress: &Progress) -> bool {
         let half = self.settings.lease / 2;
-        if links.is_silent(now, vm, self.settings.patience()) {
-            return now < progress.beat + half;
+        if links.is_silent(now, vm, self.settings.election_timeout()) {
+            return now < progress.last_heartbeat + half;
         }
-        self.pulse_answer(links, vm, progress).is_some_and(|sent| now < sent + half)
+        self.pulse_ack(links, vm, progress).is_some_and(|sent| now < sent + half)
             && progress.is_idle(self.log.last().index, self.commit)
     }
 
     /// Sends every follower what it lacks, as far as the limits let it.
     pub(super) fn replicate(&mut self, now: Time, links: &Links, out: &mut Vec<Effect>) {
-        let Some(mut lead) = self.lead.take() else {
+        let Some(mut state) = self.leader_state.take() else {
             return;
         };
         let last = self.log.last().index;
-        for (&to, progress) in &mut lead.progress {
+        for (&to, progress) in &mut state.progress {
             while progress.next <= last && self.may_send(progress) {
-                self.send_entries(now, links, to, lead.round, progress, out);
+                self.send_entries(now, links, to, state.round, progress, out);
             }
         }
-        self.lead = Some(lead);
+        self.leader_state = Some(state);
     }
 
     fn may_send(&self, progress: &Progress) -> bool {
@@ -79,7 +79,7 @@
             Flow::Probe { waiting } => !waiting,
             Flow::Stream => {
                 progress.in_flight.len() < self.settings.in_flight
-                    && progress.flying_bytes() < self.settings.in_flight_bytes
+                    && progress.in_flight_bytes() < self.settings.in_flight_bytes
             }
             Flow::Snapshot { .. } => false,
         }
@@ -201,7 +201,7 @@
         out: &mut Vec<Effect>,
     ) {
         if reply.installed {
-            progress.note_match(LogIndex(reply.index));
+            progress.record_match(LogIndex(reply.index));
         }
         let Flow::Snapshot { index, offset, .. } = progress.flow else {
             return;
--- a/crates/core/src/replication/settings.rs
+++ b/crates/core/src/replication/settings.rs
@@ -57,7 +57,7 @@
     ///
     /// The leader's clock may run slow and the follower's fast, each by `drift`. The wait is
     /// longer than the lease by both, so that it can't end before the lease does.
-    pub fn patience(&self) -> Duration {
+    pub fn election_timeout(&self) -> Duration {
         self.lease.mul_f64((1.0 + self.drift) / (1.0 - self.drift))
     }
 }
--- a/crates/core/src/replication/status.rs
+++ b/crates/core/src/replication/status.rs
@@ -1,6 +1,6 @@
 //! What others may ask of a replica.
 
-use super::leader::Lead;
+use super::leader::LeaderState;
 use super::links::Links;
 use super::progress::{Flow, Progress};
 use super::replica::{Replica, Role};
@@ -66,34 +66,34 @@
             members: self.log.members().clone(),
             settled: self.log.members_since() <= self.commit,
             lease: self.holds_lease(now, links),
-            backlog: self.lead.as_ref().map_or(0, |lead| lead.backlog),
+            backlog: self.leader_state.as_ref().map_or(0, |state| state.backlog),
             followers: self.followers(now, links),
         }
     }
 
     fn followers(&self, now: Time, links: &Links) -> Vec<Lag> {
-        let Some(lead) = &self.lead else { return Vec::new() };
+        let Some(state) = &self.leader_state else { return Vec::new() };
         let last = self.log.last().index;
         let matched = |progress: &Progress| progress.matched.max(self.log.base());
         // One walk over what the member that is furthest behind lacks, for all of them.
-        let lowest = lead.progress.values().map(matched).min().unwrap_or(last);
+        let lowest = state.progress.values().map(matched).min().unwrap_or(last);
         let mut missing = vec![0];
         for index in (lowest.0 + 1..=last.0).rev() {
             let before = missing.last().copied().unwrap_or(0);
             missing.push(before + self.log.size(LogIndex(index)) as u64);
         }
         let lag = |(&vm, progress): (&VmId, &Progress)| {
-            let answered = progress.acked.max(self.pulse_answer(links, vm, progress));
+            let answered = progress.acked.max(self.pulse_ack(links, vm, progress));
             let lacks = last.0.saturating_sub(matched(progress).0) as usize;
             Lag {
                 vm,
                 entries: last.0.saturating_sub(progress.matched.0),
                 bytes: missing.get(lacks).copied().unwrap_or(0),
-                silent: now.since(answered.unwrap_or(lead.since).max(lead.since)),
+                silent: now.since(answered.unwrap_or(state.elected_at).max(state.elected_at)),
                 snapshot: matches!(progress.flow, Flow::Snapshot { .. }),
             }
         };
-        lead.progress.iter().map(lag).collect()
+        state.progress.iter().map(lag).collect()
     }
 
     /// Returns the last committed index that this replica knows.
@@ -117,8 +117,8 @@
     }
 
     /// Drops the entries before the snapshot that were kept for followers a little behind.
-    pub fn drop_kept(&mut self) {
-        self.log.drop_kept();
+    pub fn compact_to_snapshot(&mut self) {
+        self.log.compact_to_snapshot();
     }
 
     /// Returns the last entry's place, synced or not.
@@ -144,7 +144,7 @@
 
     /// Tells whether this replica leads and a snapshot of it is on its way to another.
     pub fn is_sending_snapshot(&self) -> bool {
-        self.lead.as_ref().is_some_and(Lead::is_sending_snapshot)
+        self.leader_state.as_ref().is_some_and(LeaderState::is_sending_snapshot)
     }
 
     /// Tells whether this replica is its group's only voter.
@@ -154,7 +154,7 @@
 
     /// Returns the term at `index` and the members as of it, for a snapshot there. Nothing when
     /// the index is not committed or already compacted.
-    pub fn snapshot_mark(&self, index: LogIndex) -> Option<(Position, Members)> {
+    pub fn snapshot_meta(&self, index: LogIndex) -> Option<(Position, Members)> {
         if index > self.commit {
             return None;
         }
--- a/crates/core/src/replication/types.rs
+++ b/crates/core/src/replication/types.rs
@@ -71,7 +71,7 @@
 
 impl Members {
     /// Returns members with these voters and no learner.
-    pub fn of(mut voters: Vec<VmId>) -> Members {
+    pub fn from_voters(mut voters: Vec<VmId>) -> Members {
         voters.sort_unstable();
         voters.dedup();
         Members { voters, learners: Vec::new() }
@@ -156,7 +156,7 @@
 
 impl EntryMeta {
     /// Reads what the replica needs from a whole entry.
-    pub fn of(entry: &wire::Entry) -> EntryMeta {
+    pub fn from_entry(entry: &wire::Entry) -> EntryMeta {
         let members = (entry.kind() == wire::EntryKind::Members)
             .then(|| prost::Message::decode(entry.data.clone()).ok())
             .flatten()
@@ -181,7 +181,7 @@
 
 impl Restored {
     /// Returns the start of a new group with these members.
-    pub fn created(members: Members) -> Restored {
+    pub fn new_group(members: Members) -> Restored {
         Restored { snapshot: Position::START, members, ..Restored::default() }
     }
 }
--- a/crates/core/src/turns/copies.rs
+++ b/crates/core/src/turns/copies.rs
@@ -6,13 +6,13 @@
 use super::state::Turns;
 use super::tree::{Holding, Turn};
 use crate::prelude::*;
-use crate::replication::repair::Candidate;
+use crate::replication::repair::StoreInfo;
 
 /// What the turn group's leader knows of the stores.
 #[derive(Clone, Debug, Default)]
 pub struct CopySurvey {
     /// Stores that can be read from, those that are to be emptied included.
-    pub alive: Vec<Candidate>,
+    pub alive: Vec<StoreInfo>,
     /// Stores that each text should be on.
     pub copies: usize,
     /// Stores that lately took no text: another one of their region is chosen where there is one.
@@ -140,7 +140,7 @@
 }
 
 impl CopySurvey {
-    fn serving(&self) -> impl Iterator<Item = &Candidate> {
+    fn serving(&self) -> impl Iterator<Item = &StoreInfo> {
         self.alive.iter().filter(|store| !store.retiring)
     }
 
@@ -152,7 +152,7 @@
         self.find(vm).is_some()
     }
 
-    fn find(&self, vm: VmId) -> Option<&Candidate> {
+    fn find(&self, vm: VmId) -> Option<&StoreInfo> {
         self.alive.iter().find(|store| store.vm == vm)
     }
 
@@ -168,7 +168,7 @@
 
     /// Returns the store that takes the place of a lost holder: in the region of those that are left, and
     /// in a failure domain of its own where there is one.
-    fn target(&self, left: &BTreeSet<VmId>) -> Option<&Candidate> {
+    fn target(&self, left: &BTreeSet<VmId>) -> Option<&StoreInfo> {
         let region = self.region(left)?;
         let key: String = left.iter().map(|vm| format!("{}/", vm.0)).collect();
         let order = preferred(&key, region, &self.alive);
--- a/crates/core/src/turns/holders.rs
+++ b/crates/core/src/turns/holders.rs
@@ -8,15 +8,15 @@
 use xxhash_rust::xxh3::Xxh3;
 
 use crate::prelude::*;
-use crate::replication::repair::Candidate;
+use crate::replication::repair::StoreInfo;
 
 /// Returns stores in the order in which they should hold the texts that belong to `key`; those that are
 /// to be emptied are left out.
 ///
 /// Those of `region` come first, for the link between regions is narrow and paid by volume. Within a
 /// region one store of each failure domain comes before a second one of any.
-pub fn preferred(key: &str, region: &str, stores: &[Candidate]) -> Vec<VmId> {
-    let mut ranked: Vec<&Candidate> = stores.iter().filter(|store| !store.retiring).collect();
+pub fn preferred(key: &str, region: &str, stores: &[StoreInfo]) -> Vec<VmId> {
+    let mut ranked: Vec<&StoreInfo> = stores.iter().filter(|store| !store.retiring).collect();
     ranked.sort_by_key(|store| (store.region != region, score(key, store.vm), store.vm));
     let mut domains = BTreeSet::new();
     let mut order: Vec<(bool, bool, VmId)> = Vec::with_capacity(ranked.len());
--- a/crates/core/tests/lease_in_force.rs
+++ b/crates/core/tests/lease_in_force.rs
@@ -4,7 +4,7 @@
 mod property;
 
 use gypsumglade_core::lease::{
-    ConfigGrants, ConfigLease, InForce, LeaseSettings, Mutation, Reply, Upstream, VmRegion,
+    ConfigGrants, ConfigLease, InForce, LeaseSettings, Mutation, ReplyAction, Upstream, VmRegion,
     upstreams,
 };
 use gypsumglade_core::prelude::*;
@@ -131,7 +131,7 @@
             }
             Action::Commit => self.committed.0 += 1,
             Action::ChangeLeader => {
-                self.leader = ConfigGrants::lead(self.settings, self.clock(0));
+                self.leader = ConfigGrants::for_leader(self.settings, self.clock(0));
             }
             Action::Restart { node } => self.nodes[node] = self.start(node),
         }
@@ -142,7 +142,7 @@
         let Node { lease, grants } = &mut self.nodes[node];
         lease.hint(RevisionNumber(u64::MAX), now);
         let floor = grants.floor(lease.applied(), now);
-        if let Some(request) = lease.ask(floor, now) {
+        if let Some(request) = lease.next_request(floor, now) {
             self.wire.push(Message::Request { to, from: node, request });
         }
     }
@@ -158,7 +158,7 @@
             Message::Reply { to, reply } => {
                 let now = self.clock(to + 1);
                 let lease = &mut self.nodes[to].lease;
-                if let Reply::Apply(update) = lease.reply(reply, now) {
+                if let ReplyAction::Apply(update) = lease.handle_reply(reply, now) {
                     let number = update.revision.expect("served with a revision").number;
                     lease.apply(RevisionNumber(number), now);
                 }
@@ -235,7 +235,7 @@
 
 #[test]
 fn in_force_without_wait_out_is_caught() {
-    assert_caught(Mutation::NoWaitOut);
+    assert_caught(Mutation::NoExpiryWait);
 }
 
 #[test]
@@ -245,17 +245,17 @@
 
 #[test]
 fn in_force_without_blind_wait_is_caught() {
-    assert_caught(Mutation::NoBlindWait);
+    assert_caught(Mutation::NoGracePeriod);
 }
 
 #[test]
 fn in_force_with_falling_revision_is_caught() {
-    assert_caught(Mutation::RevisionFalls);
+    assert_caught(Mutation::AllowDowngrade);
 }
 
 #[test]
 fn in_force_with_extending_relay_is_caught() {
-    assert_caught(Mutation::RelayExtends);
+    assert_caught(Mutation::RelayIgnoresLimit);
 }
 
 #[test]
@@ -303,7 +303,7 @@
 #[test]
 fn in_force_with_forgotten_lives_is_caught() {
     // The random property meets this order of events too seldom, so it is scripted.
-    let mut world = restarted_relay_world(Mutation::ForgetLives);
+    let mut world = restarted_relay_world(Mutation::IgnoreIncarnation);
     assert!(world.check().is_err(), "vm1 acts on an old revision unnoticed");
 }
 
@@ -314,7 +314,7 @@
     let request = ConfirmRequest { vm: 7, ask: 1, applied: 1, floor: 1, incarnation: 1 };
     let start = Time::from_millis(1_000);
     grants.grant(&request, RevisionNumber(1), settings.length(), start).expect("a lease");
-    let over = start + settings.wait_out(settings.length());
+    let over = start + settings.expiry_wait(settings.length());
     let InForce::Waiting(waiting) = grants.in_force(RevisionNumber(2), start) else {
         panic!("vm7 may act on revision 1");
     };
--- a/crates/core/tests/lease_relay.rs
+++ b/crates/core/tests/lease_relay.rs
@@ -43,7 +43,7 @@
     }
 
     fn answer(&mut self, relay: &mut Relay) -> ConfirmReply {
-        let request = relay.ask(NOW).expect("a request is due");
+        let request = relay.next_request(NOW).expect("a request is due");
         let length = LeaseSettings::default().length();
         serve(&self.history, &mut self.grants, length, &request, NOW)
     }
@@ -57,7 +57,7 @@
 fn settle(leader: &mut Leader, relay: &mut Relay) {
     for _ in 0..2 {
         let reply = leader.answer(relay);
-        relay.reply(reply, &keys(&operator()), NOW).expect("verifies");
+        relay.handle_reply(reply, &keys(&operator()), NOW).expect("verifies");
     }
 }
 
@@ -71,7 +71,7 @@
     let reply = leader.answer(&mut relay);
     let Some(Body::Update(update)) = &reply.body else { panic!("revision 2 is newer") };
     assert!(update.delta.is_some() && update.revision.as_ref().expect("told").content.is_empty());
-    let bundle = relay.reply(reply, &keys(&operator()), NOW).expect("verifies");
+    let bundle = relay.handle_reply(reply, &keys(&operator()), NOW).expect("verifies");
     assert_eq!(bundle.map(|bundle| bundle.version), Some("2".into()));
     assert_eq!(relay.lease().working_revision(NOW), Some(RevisionNumber(2)));
 }
@@ -88,8 +88,8 @@
     let mut reply = leader.answer(&mut relay);
     let Some(Body::Update(update)) = &mut reply.body else { panic!("revision 2 is newer") };
     update.delta = Some(Delta::default());
-    let result = relay.reply(reply, &keys(&operator()), NOW);
-    assert_eq!(result, Err(RelayError::Unfit));
+    let result = relay.handle_reply(reply, &keys(&operator()), NOW);
+    assert_eq!(result, Err(RelayError::DeltaMismatch));
     relay.hint(RevisionNumber(2), NOW);
     settle(&mut leader, &mut relay);
     assert_eq!(relay.lease().working_revision(NOW), Some(RevisionNumber(2)));
@@ -103,7 +103,7 @@
     leader.history.push(revision(1));
     let reply = leader.answer(&mut relay);
     let stranger = KeyPair::from_seed([2; 32]);
-    let result = relay.reply(reply, &keys(&stranger), NOW);
+    let result = relay.handle_reply(reply, &keys(&stranger), NOW);
     assert!(matches!(result, Err(RelayError::Refused(_))));
     assert_eq!(relay.lease().working_revision(NOW), None);
 }
@@ -116,7 +116,7 @@
     settle(&mut leader, &mut relay);
     settle(&mut leader, &mut child);
     let later = NOW + LeaseSettings::default().length();
-    let request = child.ask(later).expect("a request is due");
+    let request = child.next_request(later).expect("a request is due");
     let reply = relay.serve(&request, later);
     assert!(matches!(reply.body, Some(Body::Unavailable(_))));
 }
@@ -127,8 +127,8 @@
 fn ask_sooner_without_lease() {
     let interval = LeaseSettings::default().interval();
     let mut relay = relay(2);
-    relay.ask(NOW).expect("the first is due");
-    assert!(relay.ask(NOW + interval / 2).is_some());
+    relay.next_request(NOW).expect("the first is due");
+    assert!(relay.next_request(NOW + interval / 2).is_some());
 }
 
 #[test]
@@ -138,9 +138,9 @@
     let interval = LeaseSettings::default().interval();
     let mut relay = relay(2);
     settle(&mut leader, &mut relay);
-    relay.ask(NOW + interval / 2).expect("the request before had no lease yet");
-    assert!(relay.ask(NOW + interval).is_none());
-    assert!(relay.ask(NOW + interval * 3 / 2).is_some());
+    relay.next_request(NOW + interval / 2).expect("the request before had no lease yet");
+    assert!(relay.next_request(NOW + interval).is_none());
+    assert!(relay.next_request(NOW + interval * 3 / 2).is_some());
 }
 
 /// A VM takes callers' requests under a bundle that was replaced, for as long as a lease lasts. The VM
@@ -164,19 +164,19 @@
             history.push(revision(2));
         }
         if now < cut
-            && let Some(request) = parent.ask(now)
+            && let Some(request) = parent.next_request(now)
         {
             let reply = serve(&history, &mut grants, settings.length(), &request, now);
-            parent.reply(reply, &keys(&operator()), now).expect("verifies");
+            parent.handle_reply(reply, &keys(&operator()), now).expect("verifies");
         }
         // As entry VMs choose whom to ask: the parent, then the control leader.
         let asks_leader = child.lease().failures() % 2 == 1;
-        if let Some(request) = child.ask(now) {
+        if let Some(request) = child.next_request(now) {
             let reply = match asks_leader {
                 true => serve(&history, &mut grants, settings.length(), &request, now),
                 false => parent.serve(&request, now),
             };
-            child.reply(reply, &keys(&operator()), now).expect("verifies");
+            child.handle_reply(reply, &keys(&operator()), now).expect("verifies");
         }
         learnt = (child.lease().applied() == RevisionNumber(2)).then_some(now);
     }
@@ -195,12 +195,12 @@
     for step in 0..2_000 {
         let now = NOW + Duration::from_millis(step * 10);
         for place in 0..path.len() {
-            let Some(request) = path[place].ask(now) else { continue };
+            let Some(request) = path[place].next_request(now) else { continue };
             let reply = match place.checked_sub(1) {
                 Some(above) => path[above].serve(&request, now),
                 None => serve(&history, &mut grants, settings.length(), &request, now),
             };
-            path[place].reply(reply, &keys(&operator()), now).expect("verifies");
+            path[place].handle_reply(reply, &keys(&operator()), now).expect("verifies");
             let settled = step > 200;
             assert!(!settled || path[place].lease().failures() == 0, "VM {place} at {step}");
         }
--- a/crates/core/tests/orders_fencing.rs
+++ b/crates/core/tests/orders_fencing.rs
@@ -3,7 +3,7 @@
 #[path = "support/property.rs"]
 mod property;
 
-use gypsumglade_core::orders::{Fence, Mutation, OrderGrants, OrderHolder, OrderSettings};
+use gypsumglade_core::orders::{FencingToken, Mutation, OrderGrants, OrderHolder, OrderSettings};
 use gypsumglade_core::prelude::*;
 use gypsumglade_core::wire::control::{OrderLease, TakeOrderLease};
 use property::{cases, fixed};
@@ -50,7 +50,7 @@
 
 /// An order under way to the endpoint.
 struct Flight {
-    fence: Fence,
+    fence: FencingToken,
     sent: u64,
 }
 
@@ -64,8 +64,8 @@
     holders: Vec<Option<OrderHolder>>,
     asked: Vec<(usize, Time)>,
     flights: Vec<Flight>,
-    obeyed: Fence,
-    given: Fence,
+    obeyed: FencingToken,
+    given: FencingToken,
 }
 
 impl World {
@@ -78,12 +78,12 @@
             rates,
             micros: 100_000_000,
             held: None,
-            grants: OrderGrants::lead(settings, Time(100_000_000)),
+            grants: OrderGrants::for_leader(settings, Time(100_000_000)),
             holders: vec![None; HOLDERS],
             asked: Vec::new(),
             flights: Vec::new(),
-            obeyed: Fence(0),
-            given: Fence(0),
+            obeyed: FencingToken(0),
+            given: FencingToken(0),
         }
     }
 
@@ -101,7 +101,7 @@
             Action::Order { holder } => return self.order(holder),
             Action::Arrive { index } if !self.flights.is_empty() => return self.arrive(index),
             Action::ChangeLeader => {
-                self.grants = OrderGrants::lead(self.settings, self.clock(0));
+                self.grants = OrderGrants::for_leader(self.settings, self.clock(0));
             }
             Action::Answer { .. } | Action::Arrive { .. } => {}
         }
@@ -133,7 +133,7 @@
     fn order(&mut self, index: usize) -> Result<(), TestCaseError> {
         let now = self.clock(index + 1);
         let Some(holder) = &mut self.holders[index] else { return Ok(()) };
-        let Some(fence) = holder.number(self.checks_fencing, now) else { return Ok(()) };
+        let Some(fence) = holder.next_token(self.checks_fencing, now) else { return Ok(()) };
         prop_assert!(fence > self.given, "two holders give orders at once");
         self.given = fence;
         self.flights.push(Flight { fence, sent: self.micros });
@@ -142,7 +142,7 @@
 
     fn arrive(&mut self, index: usize) -> Result<(), TestCaseError> {
         let flight = self.flights.remove(index % self.flights.len());
-        let over = self.micros - flight.sent > self.settings.flight.as_micros() as u64;
+        let over = self.micros - flight.sent > self.settings.delivery_timeout.as_micros() as u64;
         if over || (self.checks_fencing && flight.fence < self.obeyed) {
             return Ok(());
         }
@@ -183,7 +183,7 @@
 
 #[test]
 fn number_without_wait_out_is_caught() {
-    assert!(run(Mutation::NoWaitOut, false, 40_000).is_err());
+    assert!(run(Mutation::NoExpiryWait, false, 40_000).is_err());
 }
 
 #[test]
@@ -193,10 +193,10 @@
 
 #[test]
 fn may_take_while_held_is_caught() {
-    assert!(run(Mutation::LeaseNotOver, true, 40_000).is_err());
+    assert!(run(Mutation::TakeRunningLease, true, 40_000).is_err());
 }
 
 #[test]
 fn may_take_without_blind_wait_is_caught() {
-    assert!(run(Mutation::NoBlindWait, true, 40_000).is_err());
+    assert!(run(Mutation::NoGracePeriod, true, 40_000).is_err());
 }
--- a/crates/core/tests/orders_plan.rs
+++ b/crates/core/tests/orders_plan.rs
@@ -1,7 +1,7 @@
 //! Planned orders: a change of version or model without a gap in service.
 
 use gypsumglade_core::bundle::Bundle;
-use gypsumglade_core::orders::{Engine, ModelVersion, Mutation, Order, Pace, Planner};
+use gypsumglade_core::orders::{Engine, LoadLimiter, ModelVersion, Mutation, Order, Planner};
 use gypsumglade_core::prelude::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed, TestRunner};
@@ -55,7 +55,7 @@
     mut fleet: Vec<Engine>,
     events: &[(usize, bool)],
 ) -> (usize, Vec<Engine>) {
-    let pace = Pace::new(2, Duration::from_secs(1));
+    let pace = LoadLimiter::new(2, Duration::from_secs(1));
     let mut planner = Planner::with_mutation(pace, mutation);
     let mut fewest = fleet.len();
     for (second, (index, lost)) in events.iter().enumerate() {
@@ -120,13 +120,13 @@
 
 #[test]
 fn plan_keeps_a_lone_engine_serving() {
-    let mut planner = Planner::new(Pace::new(1, Duration::ZERO));
+    let mut planner = Planner::new(LoadLimiter::new(1, Duration::ZERO));
     assert_eq!(planner.plan(&bundle(2), &engines(1, 1), Time::ZERO), []);
 }
 
 #[test]
 fn plan_drops_a_retired_model() {
-    let mut planner = Planner::new(Pace::new(1, Duration::ZERO));
+    let mut planner = Planner::new(LoadLimiter::new(1, Duration::ZERO));
     let retired = Bundle::parse(b"version: \"2\"\n").expect("a sound bundle");
     let drop = Order::Drop { endpoint: "adv-0".into(), version: advisor(1) };
     assert_eq!(planner.plan(&retired, &engines(1, 1), Time::ZERO), [drop]);
@@ -134,7 +134,7 @@
 
 #[test]
 fn plan_staggers_loads() {
-    let mut planner = Planner::new(Pace::new(9, Duration::from_secs(10)));
+    let mut planner = Planner::new(LoadLimiter::new(9, Duration::from_secs(10)));
     let fleet = engines(9, 2);
     let first = planner.plan(&bundle(2), &fleet, Time::ZERO).len();
     let soon = planner.plan(&bundle(2), &fleet, Time::from_millis(9_999)).len();
--- a/crates/core/tests/replication/net.rs
+++ b/crates/core/tests/replication/net.rs
@@ -92,7 +92,7 @@
 
 impl Net {
     pub fn new(seed: u64, settings: Settings, voters: u32, spares: u32) -> Net {
-        let members = Members::of((1..=voters).map(VmId).collect());
+        let members = Members::from_voters((1..=voters).map(VmId).collect());
         let mut net = Net {
             nodes: Vec::new(),
             weather: Weather { loss: 0.0, doubled: 0.0, delay: 5 },
@@ -118,7 +118,7 @@
         for id in 1..=voters + spares {
             let mut disk = Disk::default();
             if id <= voters {
-                disk.restored = Restored::created(members.clone());
+                disk.restored = Restored::new_group(members.clone());
             }
             let drift = net.settings.drift;
             let rate = net.rng.random_range(-drift..=drift);
@@ -148,7 +148,7 @@
         let mut restored = node.seen.restored.clone();
         let after = restored.snapshot.index.0;
         node.seen.entries.retain(|entry| entry.index > after);
-        restored.entries = node.seen.entries.iter().map(EntryMeta::of).collect();
+        restored.entries = node.seen.entries.iter().map(EntryMeta::from_entry).collect();
         node.applied = restored.snapshot.index;
         let now = node.time(now);
         node.links = Links::new(seed >> 16);
@@ -203,7 +203,7 @@
         let node = self.node(id);
         let index = node.applied;
         let Some(replica) = &node.replica else { return };
-        let Some((position, members)) = replica.snapshot_mark(index) else { return };
+        let Some((position, members)) = replica.snapshot_meta(index) else { return };
         let state = self.state_at(index);
         let node = self.node(id);
         for disk in [&mut node.seen, &mut node.durable] {
@@ -358,7 +358,7 @@
             Effect::NewEpoch => self.node(id).links.next_epoch(),
             Effect::Commit { index } => return self.commit(id, index),
             Effect::Restore { .. } => return self.check_snapshot(id),
-            Effect::Readable { token, index } => {
+            Effect::ReadReady { token, index } => {
                 self.reads_answered += 1;
                 if index.0 < self.reads[&token] + 1 {
                     return Err(format!("{id} answered a read at {index}, which was stale"));
--- a/crates/core/tests/replication_repair.rs
+++ b/crates/core/tests/replication_repair.rs
@@ -2,38 +2,38 @@
 
 use gypsumglade_core::prelude::*;
 use gypsumglade_core::replication::repair::{
-    Candidate, Survey, next_change, next_swap, should_hand_over,
+    ClusterView, StoreInfo, next_change, next_swap, should_transfer_leadership,
 };
 use gypsumglade_core::replication::{MemberChange, Members};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 
-fn candidate(vm: u32, domain: &str, region: &str) -> Candidate {
-    Candidate { vm: VmId(vm), domain: domain.into(), region: region.into(), retiring: false }
+fn candidate(vm: u32, domain: &str, region: &str) -> StoreInfo {
+    StoreInfo { vm: VmId(vm), domain: domain.into(), region: region.into(), retiring: false }
 }
 
 /// Stores 1 and 2 in the south, 3 in the north, each in a domain of its own.
-fn three() -> Vec<Candidate> {
+fn three() -> Vec<StoreInfo> {
     vec![candidate(1, "a", "south"), candidate(2, "b", "south"), candidate(3, "c", "north")]
 }
 
-fn survey(me: u32, alive: Vec<Candidate>) -> Survey {
-    Survey { me: VmId(me), alive, gone: Vec::new(), wanted: 3 }
+fn view(leader: u32, alive: Vec<StoreInfo>) -> ClusterView {
+    ClusterView { leader: VmId(leader), alive, replaced: Vec::new(), target_voters: 3 }
 }
 
 fn voters(vms: &[u32]) -> Members {
-    Members::of(vms.iter().map(|vm| VmId(*vm)).collect())
+    Members::from_voters(vms.iter().map(|vm| VmId(*vm)).collect())
 }
 
 #[test]
 fn next_change_none_when_whole() {
-    assert_eq!(next_change(&voters(&[1, 2, 3]), &survey(1, three())), None);
+    assert_eq!(next_change(&voters(&[1, 2, 3]), &view(1, three())), None);
 }
 
 #[test]
 fn next_change_silent_without_spare() {
     let alive = three().into_iter().filter(|store| store.vm != VmId(3)).collect();
-    let found = next_change(&voters(&[1, 2, 3]), &survey(1, alive));
+    let found = next_change(&voters(&[1, 2, 3]), &view(1, alive));
     assert_eq!(found, None, "a silent member may come back with its disk");
 }
 
@@ -43,7 +43,7 @@
 fn next_change_wiped() {
     let mut alive = three();
     alive[2].vm = VmId(9);
-    let wiped = Survey { gone: vec![VmId(3)], ..survey(1, alive) };
+    let wiped = ClusterView { replaced: vec![VmId(3)], ..view(1, alive) };
     let mut members = voters(&[1, 2, 3]);
     let mut steps = Vec::new();
     while let Some(change) = next_change(&members, &wiped) {
@@ -65,10 +65,10 @@
 fn next_change_replaced_elsewhere() {
     let mut alive = three();
     alive[2].vm = VmId(9);
-    let survey = survey(1, alive);
+    let view = view(1, alive);
     let mut members = voters(&[1, 2, 3]);
     let mut steps = Vec::new();
-    while let Some(change) = next_change(&members, &survey) {
+    while let Some(change) = next_change(&members, &view) {
         members = members.with(change);
         steps.push(change);
         assert!(steps.len() < 10, "repair goes in circles: {steps:?}");
@@ -86,9 +86,9 @@
     let mut alive = three();
     alive[1].retiring = true;
     alive.push(candidate(4, "b", "south"));
-    let survey = survey(1, alive);
+    let view = view(1, alive);
     let mut members = voters(&[1, 2, 3]);
-    while let Some(change) = next_change(&members, &survey) {
+    while let Some(change) = next_change(&members, &view) {
         members = members.with(change);
     }
     assert_eq!(members, voters(&[1, 3, 4]));
@@ -97,7 +97,7 @@
 #[test]
 fn next_change_lost_learner() {
     let members = voters(&[1, 2, 3]).with(MemberChange::AddLearner(VmId(8)));
-    let found = next_change(&members, &survey(1, three()));
+    let found = next_change(&members, &view(1, three()));
     assert_eq!(found, Some(MemberChange::Remove(VmId(8))));
 }
 
@@ -107,7 +107,7 @@
     alive.retain(|store| store.vm != VmId(3));
     alive.push(candidate(5, "a", "south"));
     alive.push(candidate(6, "c", "north"));
-    let found = next_change(&voters(&[1, 2, 3]), &survey(1, alive));
+    let found = next_change(&voters(&[1, 2, 3]), &view(1, alive));
     assert_eq!(found, Some(MemberChange::AddLearner(VmId(6))));
 }
 
@@ -115,7 +115,7 @@
 fn next_change_spare_is_left_out() {
     let mut alive = three();
     alive.push(candidate(4, "a", "south"));
-    assert_eq!(next_change(&voters(&[1, 2, 3]), &survey(1, alive)), None);
+    assert_eq!(next_change(&voters(&[1, 2, 3]), &view(1, alive)), None);
 }
 
 /// A leader in the region with one voter of three sends every commit over the paid link and back.
@@ -123,8 +123,8 @@
 #[test]
 fn should_hand_over_from_minority_region() {
     let members = voters(&[1, 2, 3]);
-    assert!(should_hand_over(&members, &survey(3, three())));
-    assert!(!should_hand_over(&members, &survey(1, three())));
+    assert!(should_transfer_leadership(&members, &view(3, three())));
+    assert!(!should_transfer_leadership(&members, &view(1, three())));
 }
 
 /// A southern store loses its disk, and the northern one is elected. Filled from there, the newcomer
@@ -135,25 +135,25 @@
     let mut alive = three();
     alive[1].vm = VmId(9);
     let members = voters(&[1, 3]);
-    assert!(should_hand_over(&members, &survey(3, alive.clone())));
-    assert!(!should_hand_over(&members, &survey(1, alive)));
+    assert!(should_transfer_leadership(&members, &view(3, alive.clone())));
+    assert!(!should_transfer_leadership(&members, &view(1, alive)));
 }
 
 #[test]
 fn should_hand_over_nobody_there() {
     let alive = vec![candidate(3, "c", "north")];
-    assert!(!should_hand_over(&voters(&[1, 2, 3]), &survey(3, alive)));
+    assert!(!should_transfer_leadership(&voters(&[1, 2, 3]), &view(3, alive)));
 }
 
 #[test]
 fn should_hand_over_retiring() {
     let mut alive = three();
     alive[0].retiring = true;
-    assert!(should_hand_over(&voters(&[1, 2, 3]), &survey(1, alive)));
+    assert!(should_transfer_leadership(&voters(&[1, 2, 3]), &view(1, alive)));
 }
 
 /// Six failure domains in two regions: eleven stores, six of them in the south.
-fn eleven() -> Vec<Candidate> {
+fn eleven() -> Vec<StoreInfo> {
     let south = (0..6).map(|n| candidate(20 + n, ["a", "b", "c"][n as usize % 3], "south"));
     let north = (0..5).map(|n| candidate(10 + n, ["d", "e", "f"][n as usize % 3], "north"));
     south.chain(north).collect()
@@ -161,25 +161,25 @@
 
 /// Repairs a group until nothing is left to be done, and returns its members. The leader hands its
 /// leadership to the voter of the best region where it should.
-fn repaired(mut members: Members, mut survey: Survey) -> Members {
+fn repaired(mut members: Members, mut view: ClusterView) -> Members {
     for _ in 0..100 {
-        if should_hand_over(&members, &survey) {
-            let voters = survey.alive.iter().filter(|store| members.is_voter(store.vm));
+        if should_transfer_leadership(&members, &view) {
+            let voters = view.alive.iter().filter(|store| members.is_voter(store.vm));
             let heirs = voters.filter(|store| !store.retiring).map(|store| store.vm);
-            let heir = heirs
-                .filter(|vm| *vm != survey.me)
-                .find(|vm| !should_hand_over(&members, &Survey { me: *vm, ..survey.clone() }));
-            survey.me = heir.expect("somebody is to lead");
+            let heir = heirs.filter(|vm| *vm != view.leader).find(|vm| {
+                !should_transfer_leadership(&members, &ClusterView { leader: *vm, ..view.clone() })
+            });
+            view.leader = heir.expect("somebody is to lead");
             continue;
         }
-        let change = next_change(&members, &survey).or_else(|| next_swap(&members, &survey));
+        let change = next_change(&members, &view).or_else(|| next_swap(&members, &view));
         let Some(change) = change else { return members };
         members = members.with(change);
     }
     panic!("repair goes in circles: {members:?}");
 }
 
-fn count(members: &Members, alive: &[Candidate], is: impl Fn(&Candidate) -> bool) -> usize {
+fn count(members: &Members, alive: &[StoreInfo], is: impl Fn(&StoreInfo) -> bool) -> usize {
     alive.iter().filter(|store| members.is_voter(store.vm) && is(store)).count()
 }
 
@@ -188,8 +188,8 @@
 #[test]
 fn next_change_majority_in_home_region() {
     let alive = eleven();
-    let survey = Survey { wanted: 5, ..survey(20, alive.clone()) };
-    let members = repaired(voters(&[10, 20, 21]), survey);
+    let view = ClusterView { target_voters: 5, ..view(20, alive.clone()) };
+    let members = repaired(voters(&[10, 20, 21]), view);
     assert_eq!(members.voters.len(), 5);
     assert_eq!(count(&members, &alive, |store| store.region == "south"), 3, "{members:?}");
     for domain in ["a", "b", "c", "d", "e", "f"] {
@@ -202,29 +202,29 @@
 fn next_swap_wrong_region() {
     let alive = eleven();
     let members = voters(&[10, 11, 12, 20, 21]);
-    let survey = Survey { wanted: 5, ..survey(20, alive.clone()) };
-    assert_eq!(next_change(&members, &survey), None);
-    let first = next_swap(&members, &survey);
+    let view = ClusterView { target_voters: 5, ..view(20, alive.clone()) };
+    assert_eq!(next_change(&members, &view), None);
+    let first = next_swap(&members, &view);
     assert_eq!(first, Some(MemberChange::AddLearner(VmId(22))), "before another goes");
-    let members = repaired(members, survey);
+    let members = repaired(members, view);
     assert_eq!(count(&members, &alive, |store| store.region == "south"), 3, "{members:?}");
 }
 
 /// With a voter silent a swap would be the second thing under way.
 #[test]
 fn next_swap_not_whole() {
-    let alive: Vec<Candidate> = eleven().into_iter().filter(|store| store.vm != VmId(12)).collect();
-    let survey = Survey { wanted: 5, ..survey(20, alive) };
-    assert_eq!(next_swap(&voters(&[10, 11, 12, 20, 21]), &survey), None);
+    let alive: Vec<StoreInfo> = eleven().into_iter().filter(|store| store.vm != VmId(12)).collect();
+    let view = ClusterView { target_voters: 5, ..view(20, alive) };
+    assert_eq!(next_swap(&voters(&[10, 11, 12, 20, 21]), &view), None);
 }
 
 /// Most voters in one failure domain would stop the group with it, though that spares the link.
 #[test]
 fn next_change_minority_in_each_domain() {
-    let mut alive: Vec<Candidate> = (0..6).map(|n| candidate(20 + n, "a", "south")).collect();
+    let mut alive: Vec<StoreInfo> = (0..6).map(|n| candidate(20 + n, "a", "south")).collect();
     alive.extend((0..3).map(|n| candidate(10 + n, ["d", "e", "f"][n as usize], "north")));
-    let survey = Survey { wanted: 5, ..survey(20, alive.clone()) };
-    let members = repaired(voters(&[20, 21, 22]), survey);
+    let view = ClusterView { target_voters: 5, ..view(20, alive.clone()) };
+    let members = repaired(voters(&[20, 21, 22]), view);
     assert_eq!(count(&members, &alive, |store| store.domain == "a"), 2, "{members:?}");
 }
 
@@ -244,19 +244,19 @@
         tolerate in 0_usize..3,
     ) {
         const DOMAINS: [&str; 6] = ["a", "b", "c", "d", "e", "f"];
-        let alive: Vec<Candidate> = places.iter().enumerate().map(|(number, (domain, retiring))| {
+        let alive: Vec<StoreInfo> = places.iter().enumerate().map(|(number, (domain, retiring))| {
             let region = if *domain < 3 { "south" } else { "north" };
             let vm = u32::try_from(number).expect("few") + 1;
             // A few of them only.
             let retiring = *retiring && number % 4 == 3;
-            Candidate { retiring, ..candidate(vm, DOMAINS[*domain], region) }
+            StoreInfo { retiring, ..candidate(vm, DOMAINS[*domain], region) }
         }).collect();
         let mut first: Vec<u32> =
             founders.iter().map(|at| u32::try_from(at % alive.len()).expect("few") + 1).collect();
         first.dedup();
         let wanted = 2 * tolerate + 1;
-        let survey = Survey { wanted, ..survey(first[0], alive.clone()) };
-        let members = repaired(voters(&first), survey);
+        let view = ClusterView { target_voters: wanted, ..view(first[0], alive.clone()) };
+        let members = repaired(voters(&first), view);
         let serving = alive.iter().filter(|store| !store.retiring).count();
         let voting = count(&members, &alive, |store| !store.retiring);
         prop_assert!(voting >= wanted.min(serving), "{:?}", members);
--- a/crates/core/tests/turns_copies.rs
+++ b/crates/core/tests/turns_copies.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use gypsumglade_core::prelude::*;
-use gypsumglade_core::replication::repair::Candidate;
+use gypsumglade_core::replication::repair::StoreInfo;
 use gypsumglade_core::turns::{CopySurvey, Limits, Portion, Transfer, Turns};
 use gypsumglade_core::wire::turn::command::Body;
 use gypsumglade_core::wire::turn::reply::Body as Reply;
@@ -57,20 +57,20 @@
     last.holders.iter().copied().map(VmId).collect()
 }
 
-fn store(vm: u32, domain: &str) -> Candidate {
+fn store(vm: u32, domain: &str) -> StoreInfo {
     let (domain, region) = (domain.into(), "south".into());
-    Candidate { vm: VmId(vm), domain, region, retiring: false }
+    StoreInfo { vm: VmId(vm), domain, region, retiring: false }
 }
 
-fn abroad(vm: u32, domain: &str) -> Candidate {
-    Candidate { region: "north".into(), ..store(vm, domain) }
+fn abroad(vm: u32, domain: &str) -> StoreInfo {
+    StoreInfo { region: "north".into(), ..store(vm, domain) }
 }
 
-fn retiring(store: Candidate) -> Candidate {
-    Candidate { retiring: true, ..store }
+fn retiring(store: StoreInfo) -> StoreInfo {
+    StoreInfo { retiring: true, ..store }
 }
 
-fn survey(alive: impl IntoIterator<Item = Candidate>) -> CopySurvey {
+fn survey(alive: impl IntoIterator<Item = StoreInfo>) -> CopySurvey {
     CopySurvey { alive: alive.into_iter().collect(), copies: 2, ..CopySurvey::default() }
 }
 
@@ -371,7 +371,7 @@
 
 fn surveyed(places: &[Place], copies: usize) -> CopySurvey {
     let alive = places.iter().zip(1..).filter(|(place, _)| place.alive);
-    let alive = alive.map(|(place, vm)| Candidate {
+    let alive = alive.map(|(place, vm)| StoreInfo {
         vm: VmId(vm),
         domain: format!("{}{}", place.region, place.domain).into(),
         region: place.region.to_string().into(),
--- a/crates/core/tests/turns_holders.rs
+++ b/crates/core/tests/turns_holders.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeSet;
 
 use gypsumglade_core::prelude::*;
-use gypsumglade_core::replication::repair::Candidate;
+use gypsumglade_core::replication::repair::StoreInfo;
 use gypsumglade_core::turns::preferred;
 use property::{cases, fixed};
 use proptest::prelude::*;
@@ -19,18 +19,18 @@
 /// Programs whose texts are spread over stores.
 const PROGRAMS: usize = 3_000;
 
-fn store(vm: u32, domain: &str, region: &str) -> Candidate {
+fn store(vm: u32, domain: &str, region: &str) -> StoreInfo {
     let (domain, region) = (domain.into(), region.into());
-    Candidate { vm: VmId(vm), domain, region, retiring: false }
+    StoreInfo { vm: VmId(vm), domain, region, retiring: false }
 }
 
-fn any_stores() -> impl Strategy<Value = Vec<Candidate>> {
+fn any_stores() -> impl Strategy<Value = Vec<StoreInfo>> {
     let place = (0..3_u32, 0..2_u32, any::<bool>());
     prop::collection::vec(place, 0..9).prop_map(|places| {
         let stores = places.into_iter().zip(1..);
         let stores = stores.map(|((domain, region, retiring), vm)| {
             let store = store(vm, &format!("{region}{domain}"), &region.to_string());
-            Candidate { retiring, ..store }
+            StoreInfo { retiring, ..store }
         });
         stores.collect()
     })
@@ -41,7 +41,7 @@
 #[test]
 fn preferred_any() {
     let mut runner = TestRunner::new(fixed(SEED, cases(CASES)));
-    let property = |(stores, program): (Vec<Candidate>, u32)| {
+    let property = |(stores, program): (Vec<StoreInfo>, u32)| {
         let order = preferred(&program.to_string(), "0", &stores);
         let find = |vm: &VmId| stores.iter().find(|store| store.vm == *vm).expect("a known store");
         let distinct: BTreeSet<VmId> = order.iter().copied().collect();
@@ -67,7 +67,7 @@
 #[test]
 fn preferred_any_order() {
     let mut runner = TestRunner::new(fixed(SEED, cases(CASES)));
-    let property = |(mut stores, program): (Vec<Candidate>, u32)| {
+    let property = |(mut stores, program): (Vec<StoreInfo>, u32)| {
         let program = program.to_string();
         let before = preferred(&program, "0", &stores);
         stores.reverse();
--- a/crates/gypsumglade/src/discovery.rs
+++ b/crates/gypsumglade/src/discovery.rs
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, RwLock};
 
 use gypsumglade_core::prelude::*;
-use gypsumglade_core::replication::repair::Candidate;
+use gypsumglade_core::replication::repair::StoreInfo;
 use gypsumglade_core::roster::{Roster, digest};
 use gypsumglade_core::wire::discovery::{Hello, Led, Node, Nodes, Role};
 use rand::seq::IteratorRandom as _;
@@ -133,12 +133,12 @@
     }
 
     /// Returns the stores heard of within `age`.
-    pub fn stores_heard(&self, age: Duration) -> Vec<Candidate> {
+    pub fn stores_heard(&self, age: Duration) -> Vec<StoreInfo> {
         let now = self.now();
         let retiring = self.retiring();
         let roster = self.roster();
         let heard = roster.stores().filter(|(_, at)| now.since(*at) < age);
-        let heard = heard.map(|(node, _)| Candidate {
+        let heard = heard.map(|(node, _)| StoreInfo {
             vm: VmId(node.vm),
             domain: node.domain.to_compact_string(),
             region: node.region.to_compact_string(),
--- a/crates/gypsumglade/src/disk/replay.rs
+++ b/crates/gypsumglade/src/disk/replay.rs
@@ -187,7 +187,7 @@
             self.first = entry.index;
         }
         self.entries.truncate((entry.index - self.first) as usize);
-        self.entries.push_back((EntryMeta::of(entry), place));
+        self.entries.push_back((EntryMeta::from_entry(entry), place));
     }
 
     fn mark(&mut self, mark: &wire::SnapshotMark) {
--- a/crates/gypsumglade/src/entry/config.rs
+++ b/crates/gypsumglade/src/entry/config.rs
@@ -104,7 +104,7 @@
     fn take(&self, reply: ConfirmReply, now: Time, log: &slog::Logger) -> bool {
         let updated = matches!(reply.body, Some(Body::Update(_)));
         let mut relay = self.relay();
-        match relay.reply(reply, &self.keys, now) {
+        match relay.handle_reply(reply, &self.keys, now) {
             Ok(Some(bundle)) => {
                 let revision = relay.lease().applied();
                 slog::info!(log, "bundle applied"; "revision" => revision.0,
@@ -142,9 +142,9 @@
 async fn renew_once(view: &ConfigView, renewal: &Renewal, leaders: &mut LeaderHint) {
     let now = renewal.clock.now();
     let failures = view.relay().lease().failures();
-    let Some(request) = view.relay().ask(now) else { return };
+    let Some(request) = view.relay().next_request(now) else { return };
     let Some(Target { store, address }) = target(renewal, leaders, failures) else {
-        view.relay().fail(request.ask);
+        view.relay().request_failed(request.ask);
         return;
     };
     let asking = renewal.peers.ask(address, Method::Lease, &request, ASK_TIMEOUT);
@@ -166,7 +166,7 @@
             if let Some(vm) = store {
                 leaders.lost(vm, Instant::now());
             }
-            view.relay().fail(request.ask);
+            view.relay().request_failed(request.ask);
         }
     }
 }
--- a/crates/gypsumglade/src/entry/order_holder.rs
+++ b/crates/gypsumglade/src/entry/order_holder.rs
@@ -9,7 +9,7 @@
 use gypsumglade_core::bundle::Bundle;
 use gypsumglade_core::lease::LeaseSettings;
 use gypsumglade_core::orders::{
-    Engine, Fence, ModelVersion, Order, OrderHolder, OrderSettings, Pace, Planner,
+    Engine, FencingToken, LoadLimiter, ModelVersion, Order, OrderHolder, OrderSettings, Planner,
 };
 use gypsumglade_core::policy::registry::{Endpoint, EndpointKind, home};
 use gypsumglade_core::prelude::*;
@@ -52,7 +52,7 @@
 /// An order as an engine takes it.
 #[derive(Debug, Serialize)]
 struct OrderBody<'a> {
-    fence: Fence,
+    fence: FencingToken,
     action: Action,
     model: &'a str,
     version: &'a str,
@@ -152,7 +152,7 @@
             settings: OrderSettings { lease, ..OrderSettings::default() },
             take: TakeOrderLease { vm: state.vm.0, incarnation: rand::random() },
             holder: None,
-            planner: Planner::new(Pace::new(LOADS_AT_ONCE, LOAD_PAUSE)),
+            planner: Planner::new(LoadLimiter::new(LOADS_AT_ONCE, LOAD_PAUSE)),
             given: HashMap::new(),
             rooms: HashMap::new(),
             outcomes,
@@ -238,11 +238,12 @@
         let (Order::Load { endpoint, .. } | Order::Drop { endpoint, .. }) = &order;
         let Some((address, announced)) = self.target(endpoint) else { return };
         let checks = announced && !bundle.fencing.is_ignored_by(endpoint);
-        let number = self.holder.as_mut().and_then(|(_, holder)| holder.number(checks, now));
+        let number = self.holder.as_mut().and_then(|(_, holder)| holder.next_token(checks, now));
         let Some(fence) = number else { return };
         slog::info!(self.state.log, "gives an order"; "order" => ?order, "fence" => fence.0);
         let (outcomes, name) = (self.outcomes.clone(), endpoint.clone());
-        let (state, flight, sent) = (Arc::clone(&self.state), self.settings.flight, order.clone());
+        let (state, flight, sent) =
+            (Arc::clone(&self.state), self.settings.delivery_timeout, order.clone());
         self.given.insert(name.clone(), Given { order, until: now + ORDER_PATIENCE, seen: None });
         tokio::spawn(async move {
             // An order without an outcome stays given until the engine shows it or time is over.
@@ -282,7 +283,7 @@
 async fn deliver(
     state: &EntryState,
     address: &str,
-    fence: Fence,
+    fence: FencingToken,
     order: &Order,
     flight: Duration,
 ) -> Option<Outcome> {
--- a/crates/gypsumglade/src/gateway/text_client.rs
+++ b/crates/gypsumglade/src/gateway/text_client.rs
@@ -6,7 +6,7 @@
 use bytes::{Bytes, BytesMut};
 use gypsumglade_core::policy::retry::{RepeatBudget, RetrySettings};
 use gypsumglade_core::prelude::*;
-use gypsumglade_core::replication::repair::Candidate;
+use gypsumglade_core::replication::repair::StoreInfo;
 use gypsumglade_core::turns::{Holding, preferred};
 use gypsumglade_core::wire::turn::{Text, TextPut, TextQuery, TextStored, Texts};
 use tokio::task::JoinSet;
@@ -215,11 +215,11 @@
     }
 
     /// Returns the stores heard of; where the settings list them, all of them.
-    fn known(&self) -> Vec<Candidate> {
+    fn known(&self) -> Vec<StoreInfo> {
         if let Some(discovery) = &self.discovery {
             return discovery.stores_heard(SILENT_AFTER);
         }
-        let stores = self.directory.stores().into_keys().map(|vm| Candidate {
+        let stores = self.directory.stores().into_keys().map(|vm| StoreInfo {
             vm,
             domain: vm.0.to_compact_string(),
             region: self.region.clone(),
--- a/crates/gypsumglade/src/replica/calls.rs
+++ b/crates/gypsumglade/src/replica/calls.rs
@@ -28,7 +28,7 @@
             return;
         }
         self.creating.push((group, reply));
-        self.add(group, Restored::created(Members::of(members)));
+        self.add(group, Restored::new_group(Members::from_voters(members)));
     }
 
     /// Starts a replica that isn't on disk yet.
@@ -180,7 +180,7 @@
     }
 
     pub(super) fn transfer_all(&mut self, reply: oneshot::Sender<()>) {
-        let until = self.now() + self.settings.replication.patience().mul_f64(1.5);
+        let until = self.now() + self.settings.replication.election_timeout().mul_f64(1.5);
         self.transfers.push((until, reply));
         let ids: Vec<_> = self.groups.keys().copied().collect();
         for id in ids {
--- a/crates/gypsumglade/src/replica/effects.rs
+++ b/crates/gypsumglade/src/replica/effects.rs
@@ -35,8 +35,8 @@
             Effect::Restore { position } => self.restored(id, position),
             Effect::Leader { term } => self.events.leader(id, term),
             Effect::Follower { leader } => self.deposed(id, leader),
-            Effect::Readable { token, index } => self.answer_read(id, token, Ok(index)),
-            Effect::Unreadable { token, leader } => {
+            Effect::ReadReady { token, index } => self.answer_read(id, token, Ok(index)),
+            Effect::ReadRefused { token, leader } => {
                 self.answer_read(id, token, Err(ReadError::NotLeader { hint: leader }));
             }
             Effect::NewEpoch => self.links.next_epoch(),
--- a/crates/gypsumglade/src/replica/engine.rs
+++ b/crates/gypsumglade/src/replica/engine.rs
@@ -381,7 +381,7 @@
         let Some(group) = self.groups.get_mut(&id) else {
             return;
         };
-        group.replica.drop_kept();
+        group.replica.compact_to_snapshot();
         let base = group.compact();
         if group.replica.commit() > base {
             self.events.need_snapshot(id);
--- a/crates/gypsumglade/src/replica/group.rs
+++ b/crates/gypsumglade/src/replica/group.rs
@@ -147,7 +147,7 @@
     pub(super) fn new_mark(&self, index: LogIndex) -> Option<(Position, Members)> {
         let known = self.replica.snapshot().index;
         let there = index < known || (index == known && self.length > 0);
-        self.replica.snapshot_mark(index).filter(|_| !there)
+        self.replica.snapshot_meta(index).filter(|_| !there)
     }
 
     /// Keeps a piece of an arriving snapshot.
--- a/crates/gypsumglade/src/store/control_group.rs
+++ b/crates/gypsumglade/src/store/control_group.rs
@@ -247,7 +247,7 @@
     fn lead(&self, term: Term) {
         slog::info!(self.context.log, "leads the control group"; "term" => term.0);
         let now = self.context.clock.now();
-        let grants = ConfigGrants::lead(self.lease, now);
+        let grants = ConfigGrants::for_leader(self.lease, now);
         let mut state = self.state();
         state.role = Role::Leader { term, grants: Box::new(grants) };
         state.orders = None;
--- a/crates/gypsumglade/src/store/control_group/order_lease.rs
+++ b/crates/gypsumglade/src/store/control_group/order_lease.rs
@@ -63,7 +63,7 @@
         }
         let held = state.control.order_lease().copied();
         let settings = self.order_settings();
-        let grants = state.orders.get_or_insert_with(|| OrderGrants::lead(settings, now));
+        let grants = state.orders.get_or_insert_with(|| OrderGrants::for_leader(settings, now));
         if held.is_some_and(|held| grants.renew(&held, take, now).is_some()) {
             return Asked::Renewed;
         }
@@ -73,7 +73,7 @@
         // Two askers could otherwise both be let into the log, and the first renewed before the
         // second's entry is applied: two holders at once. Until this one's entry is surely
         // applied, the leader waits as one that knows nothing of earlier grants.
-        *grants = OrderGrants::lead(settings, now);
+        *grants = OrderGrants::for_leader(settings, now);
         Asked::Free
     }
 
--- a/crates/gypsumglade/src/store/repair.rs
+++ b/crates/gypsumglade/src/store/repair.rs
@@ -5,7 +5,7 @@
 
 use gypsumglade_core::prelude::*;
 use gypsumglade_core::replication::repair::{
-    Candidate, Survey, next_change, next_swap, should_hand_over,
+    ClusterView, StoreInfo, next_change, next_swap, should_transfer_leadership,
 };
 use gypsumglade_core::replication::{MemberChange, Members, Role, Status};
 use gypsumglade_core::wire::discovery::Led;
@@ -50,7 +50,7 @@
     discovery: &Discovery,
     control: &ControlGroup,
     age: Duration,
-) -> Vec<Candidate> {
+) -> Vec<StoreInfo> {
     let mut stores = discovery.stores_heard(age);
     for store in &mut stores {
         store.retiring |= control.is_retiring(store.vm);
@@ -112,7 +112,7 @@
     fn swap(
         &self,
         group: &Status,
-        survey: &Survey,
+        survey: &ClusterView,
         whole: bool,
         memory: &mut Memory,
     ) -> Option<MemberChange> {
@@ -130,12 +130,12 @@
     }
 
     /// Hands a group's leadership over if it belongs elsewhere, and tells whether it does so.
-    fn hand_over(&self, group: &Status, survey: &Survey, memory: &mut Memory) -> bool {
+    fn hand_over(&self, group: &Status, survey: &ClusterView, memory: &mut Memory) -> bool {
         let now = self.context.clock.now();
         let tried = memory.handed.get(&group.group);
         let paused = tried.is_some_and(|at| now.since(*at) < HAND_OVER_PAUSE);
         let unfit = group.group == GroupId::TURNS && self.turns.is_unusable();
-        let misplaced = group.settled && should_hand_over(&group.members, survey);
+        let misplaced = group.settled && should_transfer_leadership(&group.members, survey);
         if paused || !(unfit || misplaced) {
             return false;
         }
@@ -145,7 +145,7 @@
         true
     }
 
-    fn survey(&self, members: &Members, addresses: &BTreeMap<VmId, CompactString>) -> Survey {
+    fn survey(&self, members: &Members, addresses: &BTreeMap<VmId, CompactString>) -> ClusterView {
         let alive = candidates(&self.discovery, &self.control, SILENT_AFTER);
         let roster = self.discovery.roster();
         let replaced = |vm: &VmId| {
@@ -153,7 +153,7 @@
             roster.at_address(address).filter(|now_there| now_there != vm)
         };
         let gone = members.all().filter(|vm| replaced(vm).is_some()).collect();
-        Survey { me: self.context.vm, alive, gone, wanted: self.wanted }
+        ClusterView { leader: self.context.vm, alive, replaced: gone, target_voters: self.wanted }
     }
 
     /// Returns what to tell others of a group that this store leads.
--- a/crates/gypsumglade/tests/disk_failures.rs
+++ b/crates/gypsumglade/tests/disk_failures.rs
@@ -60,7 +60,7 @@
 
 fn snapshot(group: GroupId, index: u64, data: &'static [u8], reset: bool) -> Job {
     let position = Position { index: LogIndex(index), term: Term(if index > 1 { 2 } else { 1 }) };
-    let members = Members::of(vec![VM, VmId(4)]);
+    let members = Members::from_voters(vec![VM, VmId(4)]);
     let data = Bytes::from_static(data);
     job(group, JobWrite::Snapshot(Snapshot { position, members, data, saved: 0, reset }))
 }
--- a/crates/gypsumglade/tests/follower_watch.rs
+++ b/crates/gypsumglade/tests/follower_watch.rs
@@ -23,7 +23,7 @@
         commit: LogIndex(9),
         last: Position::default(),
         snapshot: Position::default(),
-        members: Members::of(vec![VmId(1), FOLLOWER]),
+        members: Members::from_voters(vec![VmId(1), FOLLOWER]),
         settled: true,
         lease: true,
         backlog: 0,
