--- a/crates/core/src/bundle/check.rs
+++ b/crates/core/src/bundle/check.rs
@@ -28,20 +28,20 @@
     if bundle.version.parse::<Version>().is_err() {
         findings.push("version", &bundle.version, "1 to 4 numbers parted by dots, as 2026.12.1");
     }
-    let known = Known::of(bundle);
-    let mut names = Unique::default();
+    let known = DefinedNames::of(bundle);
+    let mut names = UniqueValues::default();
     for (index, model) in bundle.models.iter().enumerate() {
         check_model(&format!("models[{index}]"), model, &mut names, findings);
     }
-    let mut names = Unique::default();
+    let mut names = UniqueValues::default();
     for (index, service) in bundle.services.iter().enumerate() {
         check_service(&format!("services[{index}]"), service, &mut names, findings);
     }
-    let mut names = Unique::default();
+    let mut names = UniqueValues::default();
     for (index, agent) in bundle.agents.iter().enumerate() {
         check_agent(&format!("agents[{index}]"), agent, &known, &mut names, findings);
     }
-    let (mut names, mut keys) = (Unique::default(), Unique::default());
+    let (mut names, mut keys) = (UniqueValues::default(), UniqueValues::default());
     for (index, org) in bundle.organisations.iter().enumerate() {
         let path = format!("organisations[{index}]");
         check_organisation(&path, org, &known, &mut names, findings);
@@ -56,15 +56,15 @@
 }
 
 /// Names that other parts of the bundle may refer to.
-struct Known<'a> {
+struct DefinedNames<'a> {
     models: HashSet<&'a str>,
     services: HashSet<&'a str>,
     agents: HashSet<&'a str>,
 }
 
-impl<'a> Known<'a> {
-    fn of(bundle: &'a Bundle) -> Known<'a> {
-        Known {
+impl<'a> DefinedNames<'a> {
+    fn of(bundle: &'a Bundle) -> DefinedNames<'a> {
+        DefinedNames {
             models: bundle.models.iter().map(|model| model.name.as_str()).collect(),
             services: bundle.services.iter().map(|service| service.name.as_str()).collect(),
             agents: bundle.agents.iter().map(|agent| agent.name.as_str()).collect(),
@@ -74,9 +74,9 @@
 
 /// Values that may stand once in their list.
 #[derive(Default)]
-struct Unique<'a>(HashSet<&'a str>);
+struct UniqueValues<'a>(HashSet<&'a str>);
 
-impl<'a> Unique<'a> {
+impl<'a> UniqueValues<'a> {
     fn add(&mut self, path: &str, value: &'a str, allowed: &str, findings: &mut Findings) {
         if !self.0.insert(value) {
             findings.push(path, value, allowed);
@@ -84,7 +84,12 @@
     }
 }
 
-fn check_model<'a>(path: &str, model: &'a Model, names: &mut Unique<'a>, findings: &mut Findings) {
+fn check_model<'a>(
+    path: &str,
+    model: &'a Model,
+    names: &mut UniqueValues<'a>,
+    findings: &mut Findings,
+) {
     check_name(&format!("{path}.name"), &model.name, findings);
     names.add(&format!("{path}.name"), &model.name, UNIQUE, findings);
     check_name(&format!("{path}.version"), &model.version, findings);
@@ -97,7 +102,7 @@
 fn check_service<'a>(
     path: &str,
     service: &'a Service,
-    names: &mut Unique<'a>,
+    names: &mut UniqueValues<'a>,
     findings: &mut Findings,
 ) {
     check_name(&format!("{path}.name"), &service.name, findings);
@@ -106,7 +111,7 @@
     if service.operations.is_empty() {
         findings.push(&format!("{path}.operations"), "nothing", "at least one operation");
     }
-    let mut operations = Unique::default();
+    let mut operations = UniqueValues::default();
     for (index, operation) in service.operations.iter().enumerate() {
         let path = format!("{path}.operations[{index}]");
         check_name(&format!("{path}.name"), &operation.name, findings);
@@ -119,8 +124,8 @@
 fn check_agent<'a>(
     path: &str,
     agent: &'a Agent,
-    known: &Known<'_>,
-    names: &mut Unique<'a>,
+    known: &DefinedNames<'_>,
+    names: &mut UniqueValues<'a>,
     findings: &mut Findings,
 ) {
     check_name(&format!("{path}.name"), &agent.name, findings);
@@ -139,8 +144,8 @@
 fn check_organisation<'a>(
     path: &str,
     org: &'a Organisation,
-    known: &Known<'_>,
-    names: &mut Unique<'a>,
+    known: &DefinedNames<'_>,
+    names: &mut UniqueValues<'a>,
     findings: &mut Findings,
 ) {
     check_name(&format!("{path}.name"), &org.name, findings);
--- a/crates/core/src/bundle/content.rs
+++ b/crates/core/src/bundle/content.rs
@@ -61,7 +61,7 @@
             findings.push(".", yaml.len(), "at most 16 MiB of text");
             return Err(findings);
         }
-        let depth = nesting(yaml);
+        let depth = nesting_depth(yaml);
         if depth > MAX_NESTING {
             findings.push(".", depth, "at most 64 brackets open at one place");
             return Err(findings);
@@ -99,7 +99,7 @@
 ///
 /// The YAML reader looks at every open bracket again at each token. A bundle of brackets alone
 /// would keep a store's control group busy for days; counting them first costs one pass.
-fn nesting(yaml: &[u8]) -> usize {
+fn nesting_depth(yaml: &[u8]) -> usize {
     let mut depth = 0_usize;
     let mut deepest = 0;
     for byte in yaml {
@@ -317,7 +317,7 @@
 
     /// Reads one to four decimal numbers parted by dots, without leading zeros.
     fn from_str(text: &str) -> Result<Version, VersionError> {
-        let numbers = text.split('.').map(number).collect::<Option<Vec<_>>>();
+        let numbers = text.split('.').map(parse_number).collect::<Option<Vec<_>>>();
         match numbers {
             Some(numbers) if numbers.len() <= MAX_NUMBERS => Ok(Version(numbers)),
             _ => Err(VersionError),
@@ -330,10 +330,10 @@
 /// Most digits of a version's number, so that each fits its type.
 const MAX_DIGITS: usize = 9;
 
-fn number(part: &str) -> Option<u64> {
+fn parse_number(part: &str) -> Option<u64> {
     let digits = part.bytes().all(|byte| byte.is_ascii_digit());
-    let leading = part.len() > 1 && part.starts_with('0');
-    if part.is_empty() || part.len() > MAX_DIGITS || !digits || leading {
+    let leading_zero = part.len() > 1 && part.starts_with('0');
+    if part.is_empty() || part.len() > MAX_DIGITS || !digits || leading_zero {
         return None;
     }
     part.parse().ok()
--- a/crates/core/src/bundle/routes.rs
+++ b/crates/core/src/bundle/routes.rs
@@ -127,11 +127,11 @@
     if names.len() < pools.len() {
         findings.push("pools", "a name twice", "a name used once in its list");
     }
-    let mut places = HashSet::new();
+    let mut seen = HashSet::new();
     for (index, route) in routes.iter().enumerate() {
         let path = format!("routes[{index}]");
         check_route(&path, route, &names, findings);
-        if !places.insert((route.host.as_str(), route.prefix.as_str())) {
+        if !seen.insert((route.host.as_str(), route.prefix.as_str())) {
             let place = format!("{}{} again", route.host, route.prefix);
             findings.push(&path, place, "a host and prefix that no other route has");
         }
@@ -139,8 +139,8 @@
 }
 
 fn check_route(path: &str, route: &Route, pools: &HashSet<&str>, findings: &mut Findings) {
-    let slashes = route.prefix.starts_with('/') && route.prefix.ends_with('/');
-    if !slashes {
+    let valid = route.prefix.starts_with('/') && route.prefix.ends_with('/');
+    if !valid {
         let allowed = "a path that begins and ends with a slash";
         findings.push(&format!("{path}.prefix"), &route.prefix, allowed);
     }
--- a/crates/core/src/control/memory.rs
+++ b/crates/core/src/control/dedup.rs
@@ -7,7 +7,7 @@
 use crate::wire::control as wire;
 
 /// Orders and versions remembered: two days at 10,000 changes a day.
-pub const REMEMBERED: usize = 20_000;
+pub const MAX_DEDUP_RECORDS: usize = 20_000;
 
 /// The answer that an order got.
 #[derive(Clone, Debug, PartialEq)]
@@ -26,7 +26,7 @@
 
 /// Bounded memory of orders and versions, oldest first.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Memory {
+pub(super) struct DedupRecords {
     pub orders: IndexMap<CompactString, OrderRecord>,
     pub versions: IndexMap<CompactString, VersionRecord>,
     /// Highest version whose record was dropped.
@@ -37,11 +37,11 @@
     pub floor: Option<Version>,
 }
 
-impl Memory {
+impl DedupRecords {
     /// Remembers the first answer of an order.
     pub fn add_order(&mut self, id: &str, fingerprint: Digest, answer: wire::Answer) {
         self.orders.insert(id.into(), OrderRecord { fingerprint, answer });
-        if self.orders.len() > REMEMBERED {
+        if self.orders.len() > MAX_DEDUP_RECORDS {
             self.orders.shift_remove_index(0);
         }
     }
@@ -49,7 +49,7 @@
     /// Remembers which content took a version.
     pub fn add_version(&mut self, version: &str, record: VersionRecord) {
         self.versions.insert(version.into(), record);
-        if self.versions.len() <= REMEMBERED {
+        if self.versions.len() <= MAX_DEDUP_RECORDS {
             return;
         }
         let Some((dropped, _)) = self.versions.shift_remove_index(0) else { return };
@@ -58,7 +58,7 @@
     }
 
     /// Returns true when this version is too old to tell whether it was accepted before.
-    pub fn is_forgotten(&self, version: &Version) -> bool {
+    pub fn is_too_old(&self, version: &Version) -> bool {
         self.floor.as_ref().is_some_and(|floor| version <= floor)
     }
 }
--- a/crates/core/src/control/delta.rs
+++ b/crates/core/src/control/delta.rs
@@ -20,14 +20,14 @@
     let mut cursor = 0;
     let mut offset = 0;
     while offset < target.len() {
-        let run = lines.longest_run(&target[offset..], cursor);
-        let length = run.length.max(line_length(&target[offset..]));
-        if run.length >= MIN_COPY {
-            builder.copy(run.start, run.length, offset);
-            cursor = run.start + run.length;
+        let matched = lines.longest_match(&target[offset..], cursor);
+        let length = matched.length.max(line_length(&target[offset..]));
+        if matched.length >= MIN_COPY {
+            builder.copy(matched.start, matched.length, offset);
+            cursor = matched.start + matched.length;
         }
         offset += length;
-        if run.length < MIN_COPY {
+        if matched.length < MIN_COPY {
             builder.inserted.end = offset;
         } else {
             builder.inserted = offset..offset;
@@ -54,41 +54,41 @@
 /// The base's lines and where each one stands.
 struct Lines<'a> {
     base: &'a [u8],
-    places: HashMap<&'a [u8], Vec<usize>>,
+    positions: HashMap<&'a [u8], Vec<usize>>,
 }
 
 /// Bytes of the base that the target repeats.
 #[derive(Default)]
-struct Run {
+struct Match {
     start: usize,
     length: usize,
 }
 
 impl<'a> Lines<'a> {
     fn of(base: &'a [u8]) -> Lines<'a> {
-        let mut places: HashMap<&[u8], Vec<usize>> = HashMap::new();
+        let mut positions: HashMap<&[u8], Vec<usize>> = HashMap::new();
         let mut start = 0;
         while start < base.len() {
             let length = line_length(&base[start..]);
-            places.entry(&base[start..start + length]).or_default().push(start);
+            positions.entry(&base[start..start + length]).or_default().push(start);
             start += length;
         }
-        Lines { base, places }
+        Lines { base, positions }
     }
 
     /// Finds a run of whole lines at the start of `rest`, at `cursor` if one goes on there.
-    fn longest_run(&self, rest: &[u8], cursor: usize) -> Run {
-        let ahead = self.run_at(cursor, rest);
-        if ahead.length >= MIN_COPY {
-            return ahead;
+    fn longest_match(&self, rest: &[u8], cursor: usize) -> Match {
+        let following = self.match_at(cursor, rest);
+        if following.length >= MIN_COPY {
+            return following;
         }
         let line = &rest[..line_length(rest)];
-        let Some(places) = self.places.get(line) else { return Run::default() };
-        let next = places.partition_point(|place| *place < cursor) % places.len();
-        self.run_at(places[next], rest)
+        let Some(positions) = self.positions.get(line) else { return Match::default() };
+        let next = positions.partition_point(|position| *position < cursor) % positions.len();
+        self.match_at(positions[next], rest)
     }
 
-    fn run_at(&self, start: usize, rest: &[u8]) -> Run {
+    fn match_at(&self, start: usize, rest: &[u8]) -> Match {
         let base = &self.base[start.min(self.base.len())..];
         let mut length = 0;
         while length < rest.len() {
@@ -98,7 +98,7 @@
             }
             length += line;
         }
-        Run { start, length }
+        Match { start, length }
     }
 }
 
--- a/crates/core/src/control/endpoints.rs
+++ b/crates/core/src/control/endpoints.rs
@@ -30,12 +30,12 @@
     departed: BTreeMap<CompactString, u64>,
     change: u64,
     /// Names that the latest changes touched, oldest first; none of those before a restart.
-    recent: VecDeque<Touched>,
+    recent: VecDeque<RecentChange>,
 }
 
 /// An endpoint that a change touched.
 #[derive(Clone, Debug)]
-struct Touched {
+struct RecentChange {
     change: u64,
     name: CompactString,
 }
@@ -60,11 +60,11 @@
     ///
     /// While endpoints are replaced one after another, every entry VM asks after each change. Told all
     /// endpoints each time, what they are sent grows with endpoints, changes and VMs together.
-    pub fn news(&self, seen: u64) -> EndpointNews {
+    pub fn changes_since(&self, seen: u64) -> EndpointNews {
         if seen == self.change {
             return EndpointNews { change: self.change, ..EndpointNews::default() };
         }
-        let Some(names) = self.touched_since(seen) else {
+        let Some(names) = self.names_changed_since(seen) else {
             let endpoints = self.iter().cloned().collect();
             return EndpointNews { change: self.change, endpoints, ..EndpointNews::default() };
         };
@@ -81,55 +81,55 @@
 
     /// Returns the endpoints that the changes after `seen` touched; nothing if some of those changes
     /// are no longer remembered.
-    fn touched_since(&self, seen: u64) -> Option<BTreeSet<&CompactString>> {
+    fn names_changed_since(&self, seen: u64) -> Option<BTreeSet<&CompactString>> {
         let oldest = self.recent.front()?.change;
         if seen == 0 || seen + 1 < oldest || seen > self.change {
             return None;
         }
-        let later = self.recent.iter().filter(|touched| touched.change > seen);
-        Some(later.map(|touched| &touched.name).collect())
+        let later = self.recent.iter().filter(|recent| recent.change > seen);
+        Some(later.map(|recent| &recent.name).collect())
     }
 
-    fn touch(&mut self, name: CompactString) {
+    fn record_change(&mut self, name: CompactString) {
         self.change += 1;
-        self.remember(self.change, name);
+        self.push_recent(self.change, name);
     }
 
-    fn remember(&mut self, change: u64, name: CompactString) {
+    fn push_recent(&mut self, change: u64, name: CompactString) {
         if self.recent.len() == MAX_RECENT {
             self.recent.pop_front();
         }
-        self.recent.push_back(Touched { change, name });
+        self.recent.push_back(RecentChange { change, name });
     }
 
     /// Tells whether an announcement says something that the log does not hold yet.
     ///
     /// Most announcements only prolong a lease, which the leader keeps in memory; committing each
     /// would cost a sync per endpoint and second.
-    pub fn is_news(&self, record: &EndpointRecord) -> bool {
+    pub fn is_update(&self, record: &EndpointRecord) -> bool {
         if !self.accepts(record) {
             return false;
         }
         let Some(known) = self.present.get(record.name.as_str()) else { return true };
         let unchanged = EndpointRecord { sequence: record.sequence, ..known.clone() };
-        unchanged != with_sticky_leaving(known, record)
+        unchanged != preserve_leaving(known, record)
     }
 
     /// Takes an announcement in. Late ones of an earlier start, or of an earlier moment of the same
     /// start, change nothing.
     pub fn register(&mut self, record: &EndpointRecord) {
-        if !self.is_news(record) {
+        if !self.is_update(record) {
             return;
         }
         let record = match self.present.get(record.name.as_str()) {
-            Some(known) => with_sticky_leaving(known, record),
+            Some(known) => preserve_leaving(known, record),
             None => record.clone(),
         };
         self.evict_address(&record);
         self.departed.remove(record.name.as_str());
         let name = record.name.to_compact_string();
         self.present.insert(name.clone(), record);
-        self.touch(name);
+        self.record_change(name);
     }
 
     /// Removes an incarnation for good.
@@ -139,9 +139,9 @@
             return;
         }
         if self.present.remove(name).is_some() {
-            self.touch(name.to_compact_string());
+            self.record_change(name.to_compact_string());
         }
-        self.depart(name.to_compact_string(), incarnation);
+        self.mark_departed(name.to_compact_string(), incarnation);
     }
 
     /// Writes the state into a snapshot.
@@ -198,12 +198,12 @@
         for (name, incarnation) in former {
             self.present.remove(&name);
             // Part of the change that the announcement is about to make.
-            self.remember(self.change + 1, name.clone());
-            self.depart(name, incarnation);
+            self.push_recent(self.change + 1, name.clone());
+            self.mark_departed(name, incarnation);
         }
     }
 
-    fn depart(&mut self, name: CompactString, incarnation: u64) {
+    fn mark_departed(&mut self, name: CompactString, incarnation: u64) {
         if self.departed.len() == MAX_DEPARTED {
             self.departed.pop_first();
         }
@@ -217,7 +217,7 @@
 }
 
 /// Returns `record` with the rule that a start that drains never takes work again.
-fn with_sticky_leaving(known: &EndpointRecord, record: &EndpointRecord) -> EndpointRecord {
+fn preserve_leaving(known: &EndpointRecord, record: &EndpointRecord) -> EndpointRecord {
     let same = known.incarnation == record.incarnation;
     EndpointRecord { leaving: record.leaving || (same && known.leaving), ..record.clone() }
 }
--- a/crates/core/src/control/history.rs
+++ b/crates/core/src/control/history.rs
@@ -17,7 +17,7 @@
 const MAX_PAST_BYTES: usize = 32 * 1024 * 1024;
 /// How many revisions back an asker still gets a delta. Working out its base takes a step for
 /// each, and the whole content is cheaper at some point.
-const DELTA_REACH: usize = 16;
+const MAX_DELTA_DISTANCE: usize = 16;
 
 /// An earlier revision.
 #[derive(Clone, Debug, PartialEq)]
@@ -41,15 +41,15 @@
 pub struct History {
     current: Option<Revision>,
     past: VecDeque<Past>,
-    kept: usize,
+    max_past: usize,
     /// Change from the last past revision to the current one: what nearly every asker needs.
     forward: wire::Delta,
 }
 
 impl History {
     /// Starts empty and keeps at most `kept` earlier revisions.
-    pub fn new(kept: usize) -> History {
-        History { current: None, past: VecDeque::new(), kept, forward: wire::Delta::default() }
+    pub fn new(max_past: usize) -> History {
+        History { current: None, past: VecDeque::new(), max_past, forward: wire::Delta::default() }
     }
 
     /// Returns the newest revision.
@@ -79,7 +79,7 @@
             self.past.push_back(Past::new(before, backward));
         }
         self.current = Some(revision);
-        while self.past.len() > self.kept || self.past_bytes() > MAX_PAST_BYTES {
+        while self.past.len() > self.max_past || self.past_bytes() > MAX_PAST_BYTES {
             self.past.pop_front();
         }
     }
@@ -93,8 +93,8 @@
         if self.number() == number {
             return Some(0);
         }
-        let newer = self.past.iter().rev().position(|past| past.revision.number == number)?;
-        Some(newer + 1)
+        let index = self.past.iter().rev().position(|past| past.revision.number == number)?;
+        Some(index + 1)
     }
 
     /// Returns a kept revision with its content.
@@ -126,7 +126,7 @@
         if last.revision.number == since {
             return Some(self.forward.clone());
         }
-        self.distance(since).filter(|distance| *distance <= DELTA_REACH)?;
+        self.distance(since).filter(|distance| *distance <= MAX_DELTA_DISTANCE)?;
         let base = self.find(since)?;
         Some(delta::diff(&base.content, &self.current.as_ref()?.content))
     }
@@ -138,8 +138,8 @@
         if let Some(change) = update.delta {
             revision.content = delta::apply(&self.current.as_ref()?.content, &change)?;
         }
-        let whole = crate::bundle::Digest::of(&revision.content) == revision.digest;
-        whole.then_some(revision)
+        let intact = crate::bundle::Digest::of(&revision.content) == revision.digest;
+        intact.then_some(revision)
     }
 
     /// Returns the current revision and the past ones as a snapshot carries them.
@@ -153,11 +153,11 @@
 
     /// Reads a snapshot's revisions, or `None` if one is malformed.
     pub(super) fn from_wire(
-        kept: usize,
+        max_past: usize,
         current: Option<wire::Revision>,
         past: Vec<wire::Past>,
     ) -> Option<History> {
-        let mut history = History::new(kept);
+        let mut history = History::new(max_past);
         for past in past {
             let revision = Revision::from_wire(past.revision?)?;
             history.past.push_back(Past::new(revision, past.backward?));
--- a/crates/core/src/control/mod.rs
+++ b/crates/core/src/control/mod.rs
@@ -6,18 +6,18 @@
 //! [`Control::check`], and again by each entry VM with [`Revision::verify`]. See
 //! docs/design/bundles.md.
 
+mod dedup;
 pub mod delta;
 mod endpoints;
 mod history;
-mod memory;
 mod placement;
 pub mod plan;
 mod revision;
 mod snapshot;
 
+pub use dedup::MAX_DEDUP_RECORDS;
 pub use endpoints::Endpoints;
 pub use history::History;
-pub use memory::REMEMBERED;
 pub use placement::group_of;
 pub use revision::{Revision, RevisionError};
 pub use snapshot::RestoreError;
@@ -32,7 +32,7 @@
 use crate::wire::control::Fault;
 use crate::wire::control::answer::Body as AnswerBody;
 use crate::wire::control::command::Body as CommandBody;
-use memory::{Memory, VersionRecord};
+use dedup::{DedupRecords, VersionRecord};
 
 /// Earlier revisions that can be rolled back to.
 pub const KEPT_REVISIONS: usize = 1024;
@@ -56,7 +56,7 @@
     /// The content's digest isn't compared.
     TrustDigest,
     /// A roll back takes the old revision's number.
-    RollBackFalls,
+    ReuseNumber,
     /// Records of versions are dropped without raising the floor.
     NoVersionFloor,
     /// A placement step is applied whatever change it was planned on.
@@ -67,7 +67,7 @@
 #[derive(Clone, Debug)]
 pub struct Control {
     history: History,
-    memory: Memory,
+    dedup: DedupRecords,
     order_lease: Option<wire::OrderLease>,
     groups: Vec<wire::GroupPlacement>,
     endpoints: Endpoints,
@@ -92,7 +92,7 @@
     pub fn with_mutation(mutation: Mutation) -> Control {
         Control {
             history: History::new(KEPT_REVISIONS),
-            memory: Memory::default(),
+            dedup: DedupRecords::default(),
             order_lease: None,
             groups: Vec::new(),
             endpoints: Endpoints::default(),
@@ -169,17 +169,17 @@
 
     fn accept(&mut self, accept: &wire::Accept) -> AnswerBody {
         let fingerprint = accept_fingerprint(accept);
-        if let Err(answer) = self.recall_order(&accept.order_id, fingerprint) {
+        if let Err(answer) = self.check_order_id(&accept.order_id, fingerprint) {
             return answer;
         }
         let answer = self.accept_new(accept).unwrap_or_else(|refusal| refusal);
-        self.remember(&accept.order_id, fingerprint, &answer);
+        self.record_answer(&accept.order_id, fingerprint, &answer);
         answer
     }
 
     fn accept_new(&mut self, accept: &wire::Accept) -> Result<AnswerBody, AnswerBody> {
-        let digest = wire_digest(&accept.digest)?;
-        self.recall_version(&accept.version, digest)?;
+        let digest = parse_digest(&accept.digest)?;
+        self.check_version(&accept.version, digest)?;
         self.check_base(accept.base_revision)?;
         let content = self.content(accept)?;
         if Digest::of(&content) != digest && self.mutation != Mutation::TrustDigest {
@@ -190,35 +190,35 @@
             version: accept.version.to_compact_string(),
             digest,
             content,
-            signatures: wire_signatures(&accept.signatures)?,
+            signatures: parse_signatures(&accept.signatures)?,
             origin: None,
             base: RevisionNumber(accept.base_revision),
         };
         let record = VersionRecord { digest, revision: revision.number };
-        self.memory.add_version(&accept.version, record);
+        self.dedup.add_version(&accept.version, record);
         if self.mutation == Mutation::NoVersionFloor {
-            self.memory.floor = None;
+            self.dedup.floor = None;
         }
         Ok(self.push(revision))
     }
 
     fn roll_back(&mut self, order: &wire::RollBack) -> AnswerBody {
         let fingerprint = roll_back_fingerprint(order);
-        if let Err(answer) = self.recall_order(&order.order_id, fingerprint) {
+        if let Err(answer) = self.check_order_id(&order.order_id, fingerprint) {
             return answer;
         }
         let answer = self.roll_back_new(order).unwrap_or_else(|refusal| refusal);
-        self.remember(&order.order_id, fingerprint, &answer);
+        self.record_answer(&order.order_id, fingerprint, &answer);
         answer
     }
 
     fn roll_back_new(&mut self, order: &wire::RollBack) -> Result<AnswerBody, AnswerBody> {
         self.check_base(order.base_revision)?;
         let target = self.roll_back_target(order)?;
-        let falls = self.mutation == Mutation::RollBackFalls;
+        let reuse = self.mutation == Mutation::ReuseNumber;
         let revision = Revision {
-            number: if falls { target.number } else { self.next_number() },
-            signatures: wire_signatures(&order.signatures)?,
+            number: if reuse { target.number } else { self.next_number() },
+            signatures: parse_signatures(&order.signatures)?,
             origin: Some(target.number),
             base: RevisionNumber(order.base_revision),
             ..target
@@ -279,16 +279,16 @@
     }
 
     fn check_accept(&self, accept: &wire::Accept, keys: &OperatorKeys) -> Result<(), AnswerBody> {
-        self.recall_order(&accept.order_id, accept_fingerprint(accept))?;
-        let digest = wire_digest(&accept.digest)?;
-        self.recall_version(&accept.version, digest)?;
+        self.check_order_id(&accept.order_id, accept_fingerprint(accept))?;
+        let digest = parse_digest(&accept.digest)?;
+        self.check_version(&accept.version, digest)?;
         self.check_base(accept.base_revision)?;
         let revision = Revision {
             number: self.next_number(),
             version: accept.version.to_compact_string(),
             digest,
             content: self.content(accept)?,
-            signatures: wire_signatures(&accept.signatures)?,
+            signatures: parse_signatures(&accept.signatures)?,
             origin: None,
             base: RevisionNumber(accept.base_revision),
         };
@@ -300,7 +300,7 @@
         order: &wire::RollBack,
         keys: &OperatorKeys,
     ) -> Result<(), AnswerBody> {
-        self.recall_order(&order.order_id, roll_back_fingerprint(order))?;
+        self.check_order_id(&order.order_id, roll_back_fingerprint(order))?;
         self.check_base(order.base_revision)?;
         let target = self.roll_back_target(order)?;
         let signed = RollBackOrder {
@@ -308,18 +308,18 @@
             target: target.number,
             digest: target.digest,
         };
-        let signatures = wire_signatures(&order.signatures)?;
+        let signatures = parse_signatures(&order.signatures)?;
         keys.check_roll_back(&signed, &signatures)
             .map_err(|error| rejected(Fault::NotSigned, &error.to_string()))
     }
 
     /// Gives a resent order its first answer. The failure it is for: the answer is lost, the
     /// operator sends again, and the bundle would be accepted twice or be refused as stale.
-    fn recall_order(&self, id: &str, fingerprint: Digest) -> Result<(), AnswerBody> {
+    fn check_order_id(&self, id: &str, fingerprint: Digest) -> Result<(), AnswerBody> {
         if id.is_empty() || id.len() > MAX_ORDER_ID {
             return Err(rejected(Fault::Malformed, "an order id has 1 to 64 bytes"));
         }
-        let Some(record) = self.memory.orders.get(id) else { return Ok(()) };
+        let Some(record) = self.dedup.orders.get(id) else { return Ok(()) };
         if record.fingerprint != fingerprint {
             return Err(rejected(Fault::OrderIdReused, "use a new order id for another order"));
         }
@@ -328,14 +328,14 @@
 
     /// Gives content that was accepted before its first answer, and other content under a taken
     /// version a conflict. Operators who race under one version number so learn who won.
-    fn recall_version(&self, version: &str, digest: Digest) -> Result<(), AnswerBody> {
+    fn check_version(&self, version: &str, digest: Digest) -> Result<(), AnswerBody> {
         let Ok(parsed) = version.parse::<Version>() else {
             return Err(rejected(Fault::Malformed, "the version isn't dotted decimal numbers"));
         };
-        let Some(record) = self.memory.versions.get(version) else {
-            let forgotten = self.memory.is_forgotten(&parsed);
+        let Some(record) = self.dedup.versions.get(version) else {
+            let too_old = self.dedup.is_too_old(&parsed);
             let detail = "use a higher version than any accepted so far";
-            return if forgotten { Err(rejected(Fault::VersionTooOld, detail)) } else { Ok(()) };
+            return if too_old { Err(rejected(Fault::VersionTooOld, detail)) } else { Ok(()) };
         };
         if self.mutation == Mutation::ForgetVersions {
             return Ok(());
@@ -385,10 +385,10 @@
         RevisionNumber(self.history.number().0 + 1)
     }
 
-    fn remember(&mut self, id: &str, fingerprint: Digest, answer: &AnswerBody) {
+    fn record_answer(&mut self, id: &str, fingerprint: Digest, answer: &AnswerBody) {
         if self.mutation != Mutation::ForgetOrders {
             let answer = wire::Answer { body: Some(answer.clone()) };
-            self.memory.add_order(id, fingerprint, answer);
+            self.dedup.add_order(id, fingerprint, answer);
         }
     }
 }
@@ -408,26 +408,26 @@
     AnswerBody::Rejected(wire::Rejected { fault: fault.into(), detail: detail.to_string() })
 }
 
-fn wire_digest(bytes: &[u8]) -> Result<Digest, AnswerBody> {
+fn parse_digest(bytes: &[u8]) -> Result<Digest, AnswerBody> {
     Digest::from_wire(bytes).ok_or_else(|| rejected(Fault::Malformed, "a digest has 32 bytes"))
 }
 
-fn wire_signatures(signatures: &[wire::Signature]) -> Result<Vec<Signature>, AnswerBody> {
+fn parse_signatures(signatures: &[wire::Signature]) -> Result<Vec<Signature>, AnswerBody> {
     let parsed: Option<Vec<Signature>> = signatures.iter().map(Signature::from_wire).collect();
     parsed.ok_or_else(|| rejected(Fault::Malformed, "a public key has 32 bytes"))
 }
 
 fn accept_fingerprint(accept: &wire::Accept) -> Digest {
-    let mut meaning = b"accept".to_vec();
-    meaning.extend_from_slice(&accept.base_revision.to_be_bytes());
-    meaning.extend_from_slice(&accept.digest);
-    meaning.extend_from_slice(accept.version.as_bytes());
-    Digest::of(&meaning)
+    let mut input = b"accept".to_vec();
+    input.extend_from_slice(&accept.base_revision.to_be_bytes());
+    input.extend_from_slice(&accept.digest);
+    input.extend_from_slice(accept.version.as_bytes());
+    Digest::of(&input)
 }
 
 fn roll_back_fingerprint(order: &wire::RollBack) -> Digest {
-    let mut meaning = b"roll back".to_vec();
-    meaning.extend_from_slice(&order.base_revision.to_be_bytes());
-    meaning.extend_from_slice(&order.to_revision.to_be_bytes());
-    Digest::of(&meaning)
+    let mut input = b"roll back".to_vec();
+    input.extend_from_slice(&order.base_revision.to_be_bytes());
+    input.extend_from_slice(&order.to_revision.to_be_bytes());
+    Digest::of(&input)
 }
--- a/crates/core/src/control/placement.rs
+++ b/crates/core/src/control/placement.rs
@@ -36,7 +36,7 @@
             return Err(refused("the groups exist already"));
         }
         let numbered = create.groups.iter().zip(1..).all(|(group, number)| group.group == number);
-        if create.groups.is_empty() || !numbered || !create.groups.iter().all(is_fresh) {
+        if create.groups.is_empty() || !numbered || !create.groups.iter().all(is_initial) {
             return Err(refused("groups are numbered from 1, with voters on different VMs"));
         }
         self.groups = create.groups.clone();
@@ -100,7 +100,7 @@
     group.replicas.iter().position(|replica| replica.role() == ReplicaRole::Learner)
 }
 
-fn is_fresh(group: &GroupPlacement) -> bool {
+fn is_initial(group: &GroupPlacement) -> bool {
     let mut vms: Vec<u32> = group.replicas.iter().map(|replica| replica.vm).collect();
     vms.sort_unstable();
     vms.dedup();
--- a/crates/core/src/control/plan.rs
+++ b/crates/core/src/control/plan.rs
@@ -16,11 +16,11 @@
 
 /// Whether a store VM is there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Presence {
+pub enum Availability {
     /// It is up.
     Up,
     /// It is away, and may come back with its data folder.
-    Away,
+    Unreachable,
     /// It is away for so long that its data counts as gone.
     Lost,
 }
@@ -35,7 +35,7 @@
     /// Its region.
     pub region: RegionId,
     /// Whether it is there.
-    pub presence: Presence,
+    pub availability: Availability,
 }
 
 /// What a group's leader reports of its own replicated log.
@@ -81,7 +81,7 @@
     /// Replacements ignore failure domains.
     IgnoreDomains,
     /// A VM that is only away is replaced.
-    ReplaceAway,
+    ReplaceUnreachable,
 }
 
 /// Plans the groups of a new deployment, or returns `None` if no store VM is up.
@@ -90,7 +90,9 @@
     for group in 1..=count {
         let mut placement = GroupPlacement { group, ..GroupPlacement::default() };
         for _ in 0..settings.replicas {
-            let Some(store) = choose(&placement, None, &groups, stores, settings) else { break };
+            let Some(store) = choose(&placement, None, &groups, stores, settings) else {
+                break;
+            };
             placement.replicas.push(replica(store, ReplicaRole::Voter));
         }
         groups.push(placement);
@@ -147,7 +149,7 @@
         return Some(Step::Remove(RemoveReplica { group: number, change }));
     };
     let vm = group.replicas[learner].vm;
-    if presence(vm, stores) == Presence::Lost {
+    if availability(vm, stores) == Availability::Lost {
         return Some(Step::Drop(DropLearner { group: number, change }));
     }
     // A learner that votes before it caught up leaves the group unable to commit when a second
@@ -162,12 +164,12 @@
     stores: &[StoreVm],
     settings: &PlanSettings,
 ) -> Option<Step> {
-    let gone = |replica: &&Replica| match presence(replica.vm, stores) {
-        Presence::Lost => true,
-        Presence::Away => settings.mutation == PlanMutation::ReplaceAway,
-        Presence::Up => false,
+    let needs_replacing = |replica: &&Replica| match availability(replica.vm, stores) {
+        Availability::Lost => true,
+        Availability::Unreachable => settings.mutation == PlanMutation::ReplaceUnreachable,
+        Availability::Up => false,
     };
-    let retiring = group.replicas.iter().find(gone)?;
+    let retiring = group.replicas.iter().find(needs_replacing)?;
     let store = choose(group, Some(retiring.vm), groups, stores, settings)?;
     Some(Step::Add(AddLearner {
         group: group.group,
@@ -178,9 +180,9 @@
 }
 
 /// A VM that nobody tells of has been gone for long.
-fn presence(vm: u32, stores: &[StoreVm]) -> Presence {
+fn availability(vm: u32, stores: &[StoreVm]) -> Availability {
     let store = stores.iter().find(|store| store.vm.0 == vm);
-    store.map_or(Presence::Lost, |store| store.presence)
+    store.map_or(Availability::Lost, |store| store.availability)
 }
 
 /// Chooses the VM for another replica: in a domain of its own, in the region of the replica it
@@ -202,14 +204,14 @@
     let old = stores.iter().find(|store| Some(store.vm.0) == retiring);
     let free = stores.iter().filter(|store| {
         let holds = group.replicas.iter().any(|replica| replica.vm == store.vm.0);
-        store.presence == Presence::Up && !holds
+        store.availability == Availability::Up && !holds
     });
     let any_domain =
         domains(stores) < settings.replicas || settings.mutation == PlanMutation::IgnoreDomains;
     free.filter(|store| any_domain || !shared(store)).min_by_key(|store| {
-        let far = old.is_some_and(|old| old.region != store.region);
+        let other_region = old.is_some_and(|old| old.region != store.region);
         let sharing = shared(store) && settings.mutation != PlanMutation::IgnoreDomains;
-        (sharing, far, load(store.vm, groups), store.vm)
+        (sharing, other_region, load(store.vm, groups), store.vm)
     })
 }
 
--- a/crates/core/src/control/snapshot.rs
+++ b/crates/core/src/control/snapshot.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use prost::Message;
 
-use super::memory::{Memory, OrderRecord, VersionRecord};
+use super::dedup::{DedupRecords, OrderRecord, VersionRecord};
 use super::{Control, Endpoints, History, KEPT_REVISIONS, Mutation};
 use crate::bundle::Digest;
 use crate::prelude::*;
@@ -31,9 +31,9 @@
             format: FORMAT,
             current,
             past,
-            versions: self.memory.versions.iter().map(version_to_wire).collect(),
-            orders: self.memory.orders.iter().map(order_to_wire).collect(),
-            floor: self.memory.floor.as_ref().map(ToString::to_string).unwrap_or_default(),
+            versions: self.dedup.versions.iter().map(version_to_wire).collect(),
+            orders: self.dedup.orders.iter().map(order_to_wire).collect(),
+            floor: self.dedup.floor.as_ref().map(ToString::to_string).unwrap_or_default(),
             order_lease: self.order_lease,
             groups: self.groups.clone(),
             retiring: self.retiring.iter().map(|vm| vm.0).collect(),
@@ -54,7 +54,7 @@
         if snapshot.format > FORMAT {
             return Err(RestoreError::Format(snapshot.format));
         }
-        let memory = restore_memory(&snapshot).ok_or_else(|| damaged("orders or versions"))?;
+        let dedup = restore_dedup(&snapshot).ok_or_else(|| damaged("orders or versions"))?;
         let endpoints = Endpoints::load(&snapshot);
         let history = History::from_wire(KEPT_REVISIONS, snapshot.current, snapshot.past)
             .ok_or_else(|| damaged("revisions"))?;
@@ -64,7 +64,7 @@
         }
         Ok(Control {
             history,
-            memory,
+            dedup,
             order_lease: snapshot.order_lease,
             groups: snapshot.groups,
             endpoints,
@@ -94,20 +94,20 @@
     }
 }
 
-fn restore_memory(snapshot: &wire::Snapshot) -> Option<Memory> {
-    let mut memory = Memory::default();
+fn restore_dedup(snapshot: &wire::Snapshot) -> Option<DedupRecords> {
+    let mut dedup = DedupRecords::default();
     for record in &snapshot.versions {
         let digest = Digest::from_wire(&record.digest)?;
         let revision = RevisionNumber(record.revision);
-        memory.versions.insert((&record.version).into(), VersionRecord { digest, revision });
+        dedup.versions.insert((&record.version).into(), VersionRecord { digest, revision });
     }
     for record in &snapshot.orders {
         let fingerprint = Digest::from_wire(&record.fingerprint)?;
         let answer = record.answer.clone()?;
-        memory.orders.insert((&record.order_id).into(), OrderRecord { fingerprint, answer });
+        dedup.orders.insert((&record.order_id).into(), OrderRecord { fingerprint, answer });
     }
     if !snapshot.floor.is_empty() {
-        memory.floor = Some(snapshot.floor.parse().ok()?);
+        dedup.floor = Some(snapshot.floor.parse().ok()?);
     }
-    Some(memory)
+    Some(dedup)
 }
--- a/crates/core/src/membership/gossip.rs
+++ b/crates/core/src/membership/gossip.rs
@@ -9,21 +9,21 @@
 use crate::wire::membership as wire;
 
 /// How often a piece of news is passed on, for each power of ten of the members.
-const REPEATS: f64 = 4.0;
+const RETRANSMIT_FACTOR: f64 = 4.0;
 /// Bytes of a datagram that changed profiles may fill; news of liveness goes before them.
 ///
 /// Profiles carry load and change all the time, so they get a bounded share: without one, a
 /// fleet whose load moves would fill each datagram to its limit.
-const PROFILE_BYTES: usize = 400;
+const MAX_PROFILE_BYTES: usize = 400;
 
 /// News about VMs, one piece for each; the newest state is read when it is sent.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Gossip {
-    queue: BTreeMap<VmId, News>,
+    queue: BTreeMap<VmId, PendingUpdate>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct News {
+struct PendingUpdate {
     sent: u32,
     /// News of liveness, which goes before changed profiles.
     urgent: bool,
@@ -35,22 +35,22 @@
 impl Gossip {
     /// Passes this on from now.
     pub fn add(&mut self, vm: VmId, merged: Merged) {
-        if merged == Merged::Old {
+        if merged == Merged::Stale {
             return;
         }
         let before = self.queue.get(&vm);
         let urgent = merged != Merged::Profile;
-        if !urgent && before.is_some_and(|news| news.urgent) {
+        if !urgent && before.is_some_and(|update| update.urgent) {
             return;
         }
-        let unsent = before.is_some_and(|news| news.profile);
+        let unsent = before.is_some_and(|update| update.profile);
         let profile = unsent || merged != Merged::Liveness;
-        self.queue.insert(vm, News { sent: 0, urgent, profile });
+        self.queue.insert(vm, PendingUpdate { sent: 0, urgent, profile });
     }
 
     /// Returns true when there is news of liveness to spread.
-    pub fn is_urgent(&self) -> bool {
-        self.queue.values().any(|news| news.urgent)
+    pub fn has_urgent(&self) -> bool {
+        self.queue.values().any(|update| update.urgent)
     }
 
     /// Fills a datagram up to `room` bytes with the news passed on least often so far.
@@ -58,37 +58,38 @@
         &mut self,
         datagram: &mut wire::Datagram,
         records: &BTreeMap<VmId, Record>,
-        room: usize,
+        max_bytes: usize,
     ) {
-        let limit = (REPEATS * ((records.len() + 1).max(10) as f64).log10()).ceil() as u32;
-        let mut order: Vec<(VmId, News)> =
-            self.queue.iter().map(|(vm, news)| (*vm, *news)).collect();
-        order.sort_unstable_by_key(|(vm, news)| (!news.urgent, news.sent, *vm));
+        let limit =
+            (RETRANSMIT_FACTOR * ((records.len() + 1).max(10) as f64).log10()).ceil() as u32;
+        let mut order: Vec<(VmId, PendingUpdate)> =
+            self.queue.iter().map(|(vm, update)| (*vm, *update)).collect();
+        order.sort_unstable_by_key(|(vm, update)| (!update.urgent, update.sent, *vm));
         let mut size = datagram.encoded_len();
         let mut profiles = 0;
-        for (vm, news) in order {
+        for (vm, update) in order {
             let Some(record) = records.get(&vm) else {
                 self.queue.remove(&vm);
                 continue;
             };
             let alive = record.member.liveness == wire::Liveness::Alive;
-            let rumour = record.rumour(alive && news.profile);
+            let rumour = record.rumour(alive && update.profile);
             let bytes = rumour_bytes(&rumour);
-            let full = !news.urgent && profiles + bytes > PROFILE_BYTES;
-            if size + bytes > room || full {
+            let full = !update.urgent && profiles + bytes > MAX_PROFILE_BYTES;
+            if size + bytes > max_bytes || full {
                 break;
             }
             size += bytes;
-            profiles += if news.urgent { 0 } else { bytes };
+            profiles += if update.urgent { 0 } else { bytes };
             datagram.rumours.push(rumour);
-            self.count(vm, limit);
+            self.count_sent(vm, limit);
         }
     }
 
-    fn count(&mut self, vm: VmId, limit: u32) {
-        let Some(news) = self.queue.get_mut(&vm) else { return };
-        news.sent += 1;
-        if news.sent >= limit {
+    fn count_sent(&mut self, vm: VmId, limit: u32) {
+        let Some(update) = self.queue.get_mut(&vm) else { return };
+        update.sent += 1;
+        if update.sent >= limit {
             self.queue.remove(&vm);
         }
     }
--- a/crates/core/src/membership/member.rs
+++ b/crates/core/src/membership/member.rs
@@ -51,7 +51,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Merged {
     /// Nothing new.
-    Old,
+    Stale,
     /// Another profile, same liveness.
     Profile,
     /// Another liveness or incarnation.
@@ -80,12 +80,12 @@
 
     /// Takes news about this VM if it is newer than what is held.
     pub fn merge(&mut self, rumour: &wire::Rumour, now: Time, ignore_order: bool) -> Merged {
-        let profile = self.merge_profile(rumour);
-        let held = (self.member.incarnation, rank(self.member.liveness));
-        let told = (rumour.incarnation, rank(rumour.liveness()));
-        let newer = told > held || (ignore_order && told != held);
+        let profile_changed = self.merge_profile(rumour);
+        let current = (self.member.incarnation, rank(self.member.liveness));
+        let received = (rumour.incarnation, rank(rumour.liveness()));
+        let newer = received > current || (ignore_order && received != current);
         if !newer {
-            return if profile { Merged::Profile } else { Merged::Old };
+            return if profile_changed { Merged::Profile } else { Merged::Stale };
         }
         self.member.incarnation = rumour.incarnation;
         self.member.liveness = rumour.liveness();
@@ -98,12 +98,12 @@
 
     fn merge_profile(&mut self, rumour: &wire::Rumour) -> bool {
         let Some(profile) = &rumour.profile else { return false };
-        let told = (profile.incarnation, profile.version);
+        let received = (profile.incarnation, profile.version);
         let Some(address) = decode_address(&profile.address) else { return false };
-        if told <= self.profile {
+        if received <= self.profile {
             return false;
         }
-        self.profile = told;
+        self.profile = received;
         self.member.address = address;
         self.member.domain = domain(profile);
         self.member.region = region(profile);
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -7,12 +7,12 @@
 //! grow with their number. See docs/design/membership.md.
 
 mod gossip;
-mod learn;
 mod member;
 mod probe;
 mod settings;
 mod suspicion;
 mod sync;
+mod updates;
 
 pub use crate::wire::membership::Liveness;
 pub use member::Member;
@@ -31,19 +31,19 @@
 use crate::wire::membership as wire;
 use crate::wire::membership::datagram::Body;
 use gossip::Gossip;
-use learn::{Origin, doubted};
 use member::Record;
-use probe::{Probe, Relayed};
+use probe::{Probe, RelayedPing};
 use suspicion::Suspicion;
+use updates::{Origin, as_suspicion};
 
 /// Worst health of this VM's own view; each point stretches its probes by a period.
-const MAX_DISTRUST: u64 = 4;
+const MAX_HEALTH_PENALTY: u64 = 4;
 /// Rounds in which a leaving VM tells others.
 const LEAVE_ROUNDS: u32 = 3;
 /// VMs told in each of them.
 const LEAVE_FAN_OUT: usize = 8;
 /// Rounds of gossip in which a VM objects to being called suspect or dead.
-const OBJECTION_ROUNDS: u32 = 4;
+const REFUTATION_ROUNDS: u32 = 4;
 /// Most bytes of a datagram that only gossips. These are sent several times a second while there
 /// is news, and with full ones a lossy network alone would use up the allowance for control.
 const MAX_GOSSIP: usize = 400;
@@ -107,18 +107,18 @@
     gossip: Gossip,
     order: Vec<VmId>,
     probe: Option<Probe>,
-    relayed: Vec<Relayed>,
+    relayed: Vec<RelayedPing>,
     sequence: u32,
     /// How far this VM distrusts its own probes.
-    distrust: u64,
+    health_penalty: u64,
     due: Due,
     pull_start: u32,
     joined: bool,
     /// A VM was heard of for the first time in this round of pages.
-    found: bool,
+    found_new: bool,
     leaving: Option<u32>,
     /// Rounds of gossip in which this VM still objects to news of itself.
-    objections: u32,
+    refutation_rounds: u32,
     counts: Counts,
 }
 
@@ -128,7 +128,7 @@
     probe: Time,
     gossip: Time,
     pull: Time,
-    contact: Time,
+    reconnect: Time,
 }
 
 impl Membership {
@@ -159,13 +159,13 @@
             probe: None,
             relayed: Vec::new(),
             sequence: 0,
-            distrust: 0,
-            due: Due { probe: later, gossip: later, pull: later, contact: now },
+            health_penalty: 0,
+            due: Due { probe: later, gossip: later, pull: later, reconnect: now },
             pull_start: 0,
             joined: false,
-            found: false,
+            found_new: false,
             leaving: None,
-            objections: 0,
+            refutation_rounds: 0,
             counts: Counts::default(),
         }
     }
@@ -191,16 +191,17 @@
     }
 
     /// Returns when the next [`Input::Tick`] is due.
-    pub fn wake(&self) -> Time {
+    pub fn next_tick(&self) -> Time {
         let due = self.due;
         if self.leaving.is_some() {
             return due.gossip;
         }
-        let probe = self.probe.as_ref().map_or(Time::MAX, Probe::wake);
-        let relayed = self.relayed.iter().map(|relayed| relayed.nack).min().unwrap_or(Time::MAX);
+        let probe = self.probe.as_ref().map_or(Time::MAX, Probe::next_tick);
+        let relayed =
+            self.relayed.iter().map(|relayed| relayed.deadline).min().unwrap_or(Time::MAX);
         let suspicions = self.records.values().filter_map(|record| record.suspicion.as_ref());
         let suspicion = suspicions.map(Suspicion::deadline).min().unwrap_or(Time::MAX);
-        let regular = due.probe.min(due.gossip).min(due.pull).min(due.contact);
+        let regular = due.probe.min(due.gossip).min(due.pull).min(due.reconnect);
         regular.min(probe).min(relayed).min(suspicion)
     }
 
@@ -225,19 +226,19 @@
         self.expire_relayed(now, effects);
         if now >= self.due.gossip {
             self.due.gossip = now + self.millis(self.settings.times.gossip_ms);
-            self.spread(effects);
+            self.send_gossip(effects);
         }
         if self.leaving.is_some() {
             return;
         }
-        self.drive_probe(now, effects);
+        self.advance_probe(now, effects);
         if now >= self.due.pull {
             let pull_ms = if self.joined { self.settings.times.pull_ms } else { JOIN_PULL_MS };
             self.due.pull = now + self.millis(pull_ms);
             self.pull(effects);
         }
-        if now >= self.due.contact {
-            self.contact(now, effects);
+        if now >= self.due.reconnect {
+            self.reconnect(now, effects);
         }
     }
 
@@ -271,26 +272,28 @@
         let origin = Origin { sender, pulled };
         for rumour in &datagram.rumours {
             match pulled && rumour.liveness() == Liveness::Dead {
-                true => self.learn(&doubted(rumour, sender), origin, now, effects),
-                false => self.learn(rumour, origin, now, effects),
+                true => self.apply_rumour(&as_suspicion(rumour, sender), origin, now, effects),
+                false => self.apply_rumour(rumour, origin, now, effects),
             }
         }
         if self.leaving.is_some() {
             return;
         }
         match datagram.body {
-            Some(Body::Ping(ping)) => self.answer_ping(sender, from, ping, effects),
-            Some(Body::Ack(ack)) => self.take_ack(ack, effects),
-            Some(Body::PingRequest(request)) => self.relay(now, from, request, effects),
-            Some(Body::Nack(nack)) => self.take_nack(nack),
-            Some(Body::PullRequest(pull)) => self.serve_pull(sender, from, pull, effects),
-            Some(Body::PullReply(reply)) => self.take_page(reply),
+            Some(Body::Ping(ping)) => self.handle_ping(sender, from, ping, effects),
+            Some(Body::Ack(ack)) => self.handle_ack(ack, effects),
+            Some(Body::PingRequest(request)) => {
+                self.handle_ping_request(now, from, request, effects)
+            }
+            Some(Body::Nack(nack)) => self.handle_nack(nack),
+            Some(Body::PullRequest(pull)) => self.handle_pull_request(sender, from, pull, effects),
+            Some(Body::PullReply(reply)) => self.handle_pull_reply(reply),
             None => {}
         }
     }
 
     /// Passes news on beyond the probes while there is any, and tells others when leaving.
-    fn spread(&mut self, effects: &mut Vec<Effect>) {
+    fn send_gossip(&mut self, effects: &mut Vec<Effect>) {
         let fan_out = match &mut self.leaving {
             Some(LEAVE_ROUNDS) => return,
             Some(round) => {
@@ -300,22 +303,22 @@
                 }
                 LEAVE_FAN_OUT
             }
-            None if self.objections > 0 || self.gossip.is_urgent() => {
+            None if self.refutation_rounds > 0 || self.gossip.has_urgent() => {
                 self.settings.times.gossip_fan_out
             }
             None => return,
         };
-        self.objections = self.objections.saturating_sub(1);
-        let mut told = self.sample(fan_out, |member| member.is_up());
-        told.extend(self.accused());
-        for vm in told {
+        self.refutation_rounds = self.refutation_rounds.saturating_sub(1);
+        let mut targets = self.sample(fan_out, |member| member.is_up());
+        targets.extend(self.own_suspects());
+        for vm in targets {
             self.send_to(vm, None, effects);
         }
     }
 
     /// Returns the VMs that this one accuses. Each is told in every round, since with lost
     /// datagrams the news could reach everyone but the one who can object.
-    fn accused(&self) -> Vec<VmId> {
+    fn own_suspects(&self) -> Vec<VmId> {
         let mine = |record: &&Record| {
             let accuser = record.suspicion.as_ref().map(Suspicion::accuser);
             accuser == Some(self.settings.vm)
@@ -324,10 +327,10 @@
     }
 
     /// Draws distinct VMs among those that `wanted` picks.
-    fn sample(&mut self, count: usize, wanted: impl Fn(&Member) -> bool) -> Vec<VmId> {
+    fn sample(&mut self, count: usize, filter: impl Fn(&Member) -> bool) -> Vec<VmId> {
         let members = self.records.values().map(|record| &record.member);
         let picked: Vec<VmId> =
-            members.filter(|member| wanted(member)).map(|member| member.vm).collect();
+            members.filter(|member| filter(member)).map(|member| member.vm).collect();
         picked.sample(&mut self.random, count).copied().collect()
     }
 
@@ -344,9 +347,9 @@
 
     /// Makes a datagram with as much news as fits.
     fn datagram(&mut self, to: Option<VmId>, body: Option<Body>) -> Bytes {
-        let room = if body.is_some() { MAX_DATAGRAM } else { MAX_GOSSIP };
+        let max_bytes = if body.is_some() { MAX_DATAGRAM } else { MAX_GOSSIP };
         let mut datagram = self.header(to, body);
-        self.gossip.fill(&mut datagram, &self.records, room);
+        self.gossip.fill(&mut datagram, &self.records, max_bytes);
         datagram.encode_to_vec().into()
     }
 
@@ -360,7 +363,7 @@
     }
 
     /// Returns a fresh random order of the VMs that are up.
-    fn shuffled(&mut self) -> Vec<VmId> {
+    fn shuffled_targets(&mut self) -> Vec<VmId> {
         let up = self.records.values().filter(|record| record.member.is_up());
         let mut order: Vec<VmId> = up.map(|record| record.member.vm).collect();
         order.shuffle(&mut self.random);
--- a/crates/core/src/membership/probe.rs
+++ b/crates/core/src/membership/probe.rs
@@ -4,7 +4,7 @@
 
 use rand::seq::SliceRandom;
 
-use super::{Effect, MAX_DISTRUST, Membership, Mutation};
+use super::{Effect, MAX_HEALTH_PENALTY, Membership, Mutation};
 use crate::prelude::*;
 use crate::wire::membership as wire;
 use crate::wire::membership::datagram::Body;
@@ -15,7 +15,7 @@
     target: VmId,
     sequence: u32,
     /// When other VMs are asked; `None` once they were.
-    indirect: Option<Time>,
+    indirect_at: Option<Time>,
     deadline: Time,
     /// A VM that was asked answered that it couldn't reach the target either.
     nacked: bool,
@@ -23,28 +23,28 @@
 
 impl Probe {
     /// Returns when the probe next needs a tick.
-    pub fn wake(&self) -> Time {
-        self.indirect.unwrap_or(self.deadline)
+    pub fn next_tick(&self) -> Time {
+        self.indirect_at.unwrap_or(self.deadline)
     }
 }
 
 /// A ping sent in another VM's name.
 #[derive(Clone, Debug)]
-pub(super) struct Relayed {
+pub(super) struct RelayedPing {
     sequence: u32,
-    asker: SocketAddr,
-    asked: u32,
+    requester: SocketAddr,
+    request_sequence: u32,
     /// When the asker is told that there was no answer.
-    pub nack: Time,
+    pub deadline: Time,
 }
 
 impl Membership {
     /// Goes on with the probe under way, or begins the next one when its period starts.
-    pub(super) fn drive_probe(&mut self, now: Time, effects: &mut Vec<Effect>) {
+    pub(super) fn advance_probe(&mut self, now: Time, effects: &mut Vec<Effect>) {
         if let Some(probe) = &mut self.probe
-            && probe.indirect.is_some_and(|indirect| now >= indirect)
+            && probe.indirect_at.is_some_and(|at| now >= at)
         {
-            probe.indirect = None;
+            probe.indirect_at = None;
             let (target, sequence) = (probe.target, probe.sequence);
             self.probe_indirectly(target, sequence, effects);
         }
@@ -60,8 +60,8 @@
     /// starved or half cut off would otherwise suspect everyone else.
     fn begin_probe(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let times = self.settings.times;
-        let stretch = 1 + self.distrust;
-        let period = self.millis(times.period_ms * stretch);
+        let multiplier = 1 + self.health_penalty;
+        let period = self.millis(times.period_ms * multiplier);
         self.due.probe = now + period;
         let Some(target) = self.next_target() else { return };
         let sequence = self.next_sequence();
@@ -69,7 +69,7 @@
         self.probe = Some(Probe {
             target,
             sequence,
-            indirect: Some(now + self.millis(times.direct_ms * stretch)),
+            indirect_at: Some(now + self.millis(times.direct_ms * multiplier)),
             deadline: now + period,
             nacked: false,
         });
@@ -82,7 +82,7 @@
     fn next_target(&mut self) -> Option<VmId> {
         loop {
             if self.order.is_empty() {
-                self.order = self.shuffled();
+                self.order = self.shuffled_targets();
             }
             let vm = self.order.pop()?;
             if self.member(vm).is_some_and(|member| member.is_up()) {
@@ -122,12 +122,12 @@
         let Some(probe) = self.probe.take() else { return };
         if !probe.nacked && self.settings.times.indirect > 0 {
             // Nobody answered at all: the fault may be this VM's own.
-            self.distrust = (self.distrust + 1).min(MAX_DISTRUST);
+            self.health_penalty = (self.health_penalty + 1).min(MAX_HEALTH_PENALTY);
         }
         self.suspect(probe.target, now, effects);
     }
 
-    pub(super) fn answer_ping(
+    pub(super) fn handle_ping(
         &mut self,
         sender: VmId,
         from: SocketAddr,
@@ -143,21 +143,21 @@
     }
 
     /// An ack settles this VM's own probe, or is passed to the VM in whose name it was asked.
-    pub(super) fn take_ack(&mut self, ack: wire::Ack, effects: &mut Vec<Effect>) {
+    pub(super) fn handle_ack(&mut self, ack: wire::Ack, effects: &mut Vec<Effect>) {
         if self.probe.as_ref().is_some_and(|probe| probe.sequence == ack.sequence) {
             self.probe = None;
-            self.distrust = self.distrust.saturating_sub(1);
+            self.health_penalty = self.health_penalty.saturating_sub(1);
             return;
         }
-        let place = self.relayed.iter().position(|relayed| relayed.sequence == ack.sequence);
-        let Some(place) = place else { return };
-        let relayed = self.relayed.swap_remove(place);
-        let body = Body::Ack(wire::Ack { sequence: relayed.asked });
+        let index = self.relayed.iter().position(|relayed| relayed.sequence == ack.sequence);
+        let Some(index) = index else { return };
+        let relayed = self.relayed.swap_remove(index);
+        let body = Body::Ack(wire::Ack { sequence: relayed.request_sequence });
         let bytes = self.datagram(None, Some(body));
-        effects.push(Effect::Send { to: relayed.asker, bytes });
+        effects.push(Effect::Send { to: relayed.requester, bytes });
     }
 
-    pub(super) fn take_nack(&mut self, nack: wire::Nack) {
+    pub(super) fn handle_nack(&mut self, nack: wire::Nack) {
         if let Some(probe) = &mut self.probe
             && probe.sequence == nack.sequence
         {
@@ -165,28 +165,33 @@
         }
     }
 
-    pub(super) fn relay(
+    pub(super) fn handle_ping_request(
         &mut self,
         now: Time,
-        asker: SocketAddr,
+        requester: SocketAddr,
         request: wire::PingRequest,
         effects: &mut Vec<Effect>,
     ) {
         let sequence = self.next_sequence();
-        let nack = now + self.millis(self.settings.times.direct_ms);
-        self.relayed.push(Relayed { sequence, asker, asked: request.sequence, nack });
+        let deadline = now + self.millis(self.settings.times.direct_ms);
+        self.relayed.push(RelayedPing {
+            sequence,
+            requester,
+            request_sequence: request.sequence,
+            deadline,
+        });
         let ping = wire::Ping { sequence, target: Some(request.target) };
         self.send_to(VmId(request.target), Some(Body::Ping(ping)), effects);
     }
 
     pub(super) fn expire_relayed(&mut self, now: Time, effects: &mut Vec<Effect>) {
-        let (over, running): (Vec<Relayed>, Vec<Relayed>) =
-            self.relayed.drain(..).partition(|relayed| now >= relayed.nack);
-        self.relayed = running;
-        for relayed in over {
-            let nack = Body::Nack(wire::Nack { sequence: relayed.asked });
+        let (expired, pending): (Vec<RelayedPing>, Vec<RelayedPing>) =
+            self.relayed.drain(..).partition(|relayed| now >= relayed.deadline);
+        self.relayed = pending;
+        for relayed in expired {
+            let nack = Body::Nack(wire::Nack { sequence: relayed.request_sequence });
             let bytes = self.datagram(None, Some(nack));
-            effects.push(Effect::Send { to: relayed.asker, bytes });
+            effects.push(Effect::Send { to: relayed.requester, bytes });
         }
     }
 }
@@ -208,7 +213,7 @@
     let mut ranked: Vec<(u8, (VmId, DomainId))> =
         ranks.into_iter().zip(candidates.iter().copied()).collect();
     ranked.sort_by_key(|(rank, _)| *rank);
-    for (place, (_, candidate)) in candidates.iter_mut().zip(ranked) {
-        *place = candidate;
+    for (slot, (_, candidate)) in candidates.iter_mut().zip(ranked) {
+        *slot = candidate;
     }
 }
--- a/crates/core/src/membership/suspicion.rs
+++ b/crates/core/src/membership/suspicion.rs
@@ -24,8 +24,8 @@
 impl Suspicion {
     /// Starts a suspicion among `members` VMs.
     pub fn new(times: &Times, members: usize, accuser: VmId, now: Time) -> Suspicion {
-        let powers = (members.max(10) as f64).log10();
-        let shortest = times.period_ms as f64 * times.suspicion as f64 * powers;
+        let scale = (members.max(10) as f64).log10();
+        let shortest = times.period_ms as f64 * times.suspicion as f64 * scale;
         let shortest = Duration::from_millis(shortest as u64);
         let needed = if members < CONFIRMATIONS + 3 { 0 } else { CONFIRMATIONS };
         Suspicion {
--- a/crates/core/src/membership/sync.rs
+++ b/crates/core/src/membership/sync.rs
@@ -17,12 +17,12 @@
     /// The failure: a partition lasts until each side holds the other for dead, and heals. With
     /// nobody probing the dead, two halves would run on side by side for good. One contact by
     /// any VM is enough, since the news it brings spreads.
-    pub(super) fn contact(&mut self, now: Time, effects: &mut Vec<Effect>) {
+    pub(super) fn reconnect(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let alone = self.records.values().all(|record| !record.member.is_up());
         let times = self.settings.times;
         let pause = if alone { times.period_ms } else { times.contact_dead_ms };
         let jitter = self.random.random_range(0..=pause / 4);
-        self.due.contact = now + Duration::from_millis(pause + jitter);
+        self.due.reconnect = now + Duration::from_millis(pause + jitter);
         if self.settings.mutation == Mutation::NoContactDead && self.joined {
             return;
         }
@@ -31,9 +31,10 @@
             let ping = wire::Ping { sequence, target: Some(vm.0) };
             self.send_to(vm, Some(Body::Ping(ping)), effects);
         }
-        let silent = self.silent_seeds();
-        let count = if alone { silent.len() } else { 1 };
-        let chosen: Vec<SocketAddr> = silent.sample(&mut self.random, count).copied().collect();
+        let unreachable = self.unreachable_seeds();
+        let count = if alone { unreachable.len() } else { 1 };
+        let chosen: Vec<SocketAddr> =
+            unreachable.sample(&mut self.random, count).copied().collect();
         for seed in chosen {
             let ping = wire::Ping { sequence: self.next_sequence(), target: None };
             let datagram = self.datagram(None, Some(Body::Ping(ping)));
@@ -41,7 +42,7 @@
         }
     }
 
-    fn silent_seeds(&self) -> Vec<SocketAddr> {
+    fn unreachable_seeds(&self) -> Vec<SocketAddr> {
         let up = |seed: &SocketAddr| {
             let mut members = self.records.values().map(|record| &record.member);
             members.any(|member| member.is_up() && member.address == *seed)
@@ -61,7 +62,7 @@
         }
     }
 
-    pub(super) fn serve_pull(
+    pub(super) fn handle_pull_request(
         &mut self,
         sender: VmId,
         from: SocketAddr,
@@ -87,11 +88,11 @@
 
     /// Goes on to the next page. A VM has joined once a round of all pages told it of no new
     /// VM: when many start at once, the first rounds come from VMs that know little themselves.
-    pub(super) fn take_page(&mut self, reply: wire::PullReply) {
+    pub(super) fn handle_pull_reply(&mut self, reply: wire::PullReply) {
         self.pull_start = reply.next;
         if reply.next == 0 {
-            self.joined |= !self.found;
-            self.found = false;
+            self.joined |= !self.found_new;
+            self.found_new = false;
         }
     }
 }
--- a/crates/core/src/membership/learn.rs
+++ b/crates/core/src/membership/updates.rs
@@ -2,7 +2,7 @@
 
 use super::member::{Merged, Record};
 use super::suspicion::Suspicion;
-use super::{Effect, Liveness, MAX_DISTRUST, Membership, Mutation, OBJECTION_ROUNDS};
+use super::{Effect, Liveness, MAX_HEALTH_PENALTY, Membership, Mutation, REFUTATION_ROUNDS};
 use crate::prelude::*;
 use crate::wire::membership as wire;
 
@@ -18,9 +18,9 @@
     /// Returns true for what must be passed on: news of liveness, a VM that joins, and the
     /// profile that a VM tells of itself. Other profiles, and VMs that a page told of, reach all
     /// by pages; passing them on would fill the datagrams of a cold start with what is known.
-    fn is_news(self, vm: VmId, merged: Merged) -> bool {
+    fn should_gossip(self, vm: VmId, merged: Merged) -> bool {
         match merged {
-            Merged::Old => false,
+            Merged::Stale => false,
             Merged::Liveness => true,
             Merged::New => !self.pulled,
             Merged::Profile => self.sender == vm,
@@ -31,14 +31,14 @@
 /// Turns a pulled death into a suspicion. After a partition each side holds the other for dead;
 /// taking that over page by page would make VMs that are up count as dead on their own side
 /// until they object, while a suspicion gives them the time to.
-pub(super) fn doubted(rumour: &wire::Rumour, sender: VmId) -> wire::Rumour {
+pub(super) fn as_suspicion(rumour: &wire::Rumour, sender: VmId) -> wire::Rumour {
     let liveness = Liveness::Suspect.into();
     wire::Rumour { liveness, accuser: sender.0, ..rumour.clone() }
 }
 
 impl Membership {
     /// Takes one piece of news.
-    pub(super) fn learn(
+    pub(super) fn apply_rumour(
         &mut self,
         rumour: &wire::Rumour,
         origin: Origin,
@@ -56,23 +56,23 @@
             None => {
                 let Some(record) = Record::first(rumour, now) else { return };
                 self.records.insert(vm, record);
-                self.found = true;
+                self.found_new = true;
                 Merged::New
             }
         };
-        if origin.is_news(vm, merged) {
+        if origin.should_gossip(vm, merged) {
             self.gossip.add(vm, merged);
         }
-        if merged != Merged::Old {
+        if merged != Merged::Stale {
             effects.push(Effect::Changed(vm));
         }
         if rumour.liveness() == Liveness::Suspect {
-            self.count_accuser(vm, rumour, now);
+            self.record_accuser(vm, rumour, now);
         }
     }
 
     /// Starts or confirms the suspicion that a rumour tells of.
-    fn count_accuser(&mut self, vm: VmId, rumour: &wire::Rumour, now: Time) {
+    fn record_accuser(&mut self, vm: VmId, rumour: &wire::Rumour, now: Time) {
         let size = self.size();
         let Some(record) = self.records.get_mut(&vm) else { return };
         let current = record.member.liveness == Liveness::Suspect
@@ -100,9 +100,9 @@
         let me = &mut self.me;
         let older = rumour.incarnation < me.member.incarnation;
         let same = rumour.incarnation == me.member.incarnation;
-        let agreed = same && rumour.liveness() == me.member.liveness;
-        let off = self.settings.mutation == Mutation::NoRefute;
-        if older || agreed || off || self.leaving.is_some() {
+        let matches = same && rumour.liveness() == me.member.liveness;
+        let disabled = self.settings.mutation == Mutation::NoRefute;
+        if older || matches || disabled || self.leaving.is_some() {
             return;
         }
         me.member.incarnation = rumour.incarnation.saturating_add(1);
@@ -110,9 +110,9 @@
         me.profile.0 = me.member.incarnation;
         self.counts.refutations += 1;
         if rumour.liveness() == Liveness::Suspect {
-            self.distrust = (self.distrust + 1).min(MAX_DISTRUST);
+            self.health_penalty = (self.health_penalty + 1).min(MAX_HEALTH_PENALTY);
         }
-        self.objections = OBJECTION_ROUNDS;
+        self.refutation_rounds = REFUTATION_ROUNDS;
     }
 
     pub(super) fn suspect(&mut self, vm: VmId, now: Time, effects: &mut Vec<Effect>) {
@@ -129,7 +129,7 @@
             profile: None,
         };
         let origin = Origin { sender: self.settings.vm, pulled: false };
-        self.learn(&rumour, origin, now, effects);
+        self.apply_rumour(&rumour, origin, now, effects);
     }
 
     pub(super) fn expire_suspicions(&mut self, now: Time, effects: &mut Vec<Effect>) {
@@ -137,8 +137,8 @@
         self.records
             .retain(|_, record| record.member.is_up() || now.since(record.changed) < forget);
         for (vm, record) in &mut self.records {
-            let over = record.suspicion.as_ref().is_some_and(|held| now >= held.deadline());
-            if !over {
+            let expired = record.suspicion.as_ref().is_some_and(|held| now >= held.deadline());
+            if !expired {
                 continue;
             }
             record.suspicion = None;
--- a/crates/core/src/stream.rs
+++ b/crates/core/src/stream.rs
@@ -51,7 +51,7 @@
     }
 
     /// Tells whether an event has begun and not ended.
-    pub fn is_inside(&self) -> bool {
+    pub fn has_partial(&self) -> bool {
         self.pending.has_remaining()
     }
 
@@ -70,12 +70,11 @@
         let from = start.max(self.scanned.min(self.pending.len()));
         let from = from.saturating_sub(2).max(start);
         let bytes = &self.pending[from..];
-        let plain = bytes.windows(2).position(|pair| pair == b"\n\n").map(|at| from + at + 2);
-        let carriage =
-            bytes.windows(3).position(|three| three == b"\n\r\n").map(|at| from + at + 3);
-        match (plain, carriage) {
-            (Some(plain), Some(carriage)) => Some(plain.min(carriage)),
-            (plain, carriage) => plain.or(carriage),
+        let lf = bytes.windows(2).position(|pair| pair == b"\n\n").map(|at| from + at + 2);
+        let crlf = bytes.windows(3).position(|three| three == b"\n\r\n").map(|at| from + at + 3);
+        match (lf, crlf) {
+            (Some(lf), Some(crlf)) => Some(lf.min(crlf)),
+            (lf, crlf) => lf.or(crlf),
         }
     }
 
--- a/crates/core/src/turns/budget.rs
+++ b/crates/core/src/turns/budget.rs
@@ -10,18 +10,18 @@
 ///
 /// A program that was stopped may come back for as long as its turns are kept, a minute today.
 /// Ten times that costs some hundred bytes a program.
-const MEMORY_MS: u64 = 600_000;
+const PROGRAM_RETENTION_MS: u64 = 600_000;
 
 /// A program whose budget holds no further turn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Spent {
+pub struct BudgetExhausted {
     /// Tokens spent, and set aside for turns that have not been settled.
     pub tokens: u64,
 }
 
 /// Silence after which it is forgotten where a program's prompts were read, in milliseconds: engines have
 /// dropped them by then, and they are most of what is remembered of a program.
-const RUNS_MEMORY_MS: u64 = 30_000;
+const RUN_RETENTION_MS: u64 = 30_000;
 
 /// One program's use of its budget.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -60,24 +60,24 @@
         now: u64,
         program: &str,
         turn: &str,
-        most: u64,
+        max_tokens: u64,
         budget: Option<u64>,
-    ) -> Result<(), Spent> {
+    ) -> Result<(), BudgetExhausted> {
         let usage = self.programs.entry(program.into()).or_default();
         usage.last_ms = now;
         if usage.reserved.contains_key(turn) {
             return Ok(());
         }
         let tokens = usage.total();
-        if budget.is_some_and(|budget| tokens.saturating_add(most) > budget) {
-            return Err(Spent { tokens });
+        if budget.is_some_and(|budget| tokens.saturating_add(max_tokens) > budget) {
+            return Err(BudgetExhausted { tokens });
         }
-        usage.reserved.insert(turn.into(), most);
+        usage.reserved.insert(turn.into(), max_tokens);
         Ok(())
     }
 
     /// Tells whether a program had a turn other than this one.
-    pub(super) fn is_under_way(&self, program: &str, turn: &str) -> bool {
+    pub(super) fn has_other_turn(&self, program: &str, turn: &str) -> bool {
         let Some(usage) = self.programs.get(program) else { return false };
         usage.spent > 0 || usage.reserved.keys().any(|other| other != turn)
     }
@@ -96,9 +96,9 @@
     }
 
     /// Remembers where a program's prompt was read.
-    pub(super) fn note_run(&mut self, program: &str, run: &PromptRun) {
+    pub(super) fn record_run(&mut self, program: &str, run: &PromptRun) {
         if let Some(usage) = self.programs.get_mut(program) {
-            usage.runs.note(run);
+            usage.runs.record(run);
         }
     }
 
@@ -111,10 +111,10 @@
     pub(super) fn expire(&mut self, now: u64) {
         self.programs.retain(|_, usage| {
             let silence = now.saturating_sub(usage.last_ms);
-            if silence >= RUNS_MEMORY_MS {
+            if silence >= RUN_RETENTION_MS {
                 usage.runs = Runs::default();
             }
-            silence < MEMORY_MS
+            silence < PROGRAM_RETENTION_MS
         });
     }
 }
--- a/crates/core/src/turns/lead.rs
+++ b/crates/core/src/turns/clock.rs
@@ -8,17 +8,17 @@
 /// forgotten too early, and the group's time stand still until the others' clocks had come that far. The
 /// time without a leader isn't counted, so turns are kept a little longer and never shorter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct LeadClock {
+pub struct LeaderClock {
     /// The group's time at the start, in milliseconds.
     group: u64,
     start: Time,
 }
 
-impl LeadClock {
+impl LeaderClock {
     /// Starts a lead. `group` is the group's time once all that earlier leaders committed is applied; the
     /// first leader of all has none and takes its wall clock.
-    pub fn start(group: Option<u64>, wall: u64, now: Time) -> LeadClock {
-        LeadClock { group: group.unwrap_or(wall), start: now }
+    pub fn start(group: Option<u64>, wall: u64, now: Time) -> LeaderClock {
+        LeaderClock { group: group.unwrap_or(wall), start: now }
     }
 
     /// Returns the group's time, in milliseconds. `now` must count the time that the VM is suspended.
--- a/crates/core/src/turns/holders.rs
+++ b/crates/core/src/turns/holders.rs
@@ -15,17 +15,17 @@
 ///
 /// Those of `region` come first, for the link between regions is narrow and paid by volume. Within a
 /// region one store of each failure domain comes before a second one of any.
-pub fn preferred(key: &str, region: &str, stores: &[Candidate]) -> Vec<VmId> {
+pub fn preferred_stores(key: &str, region: &str, stores: &[Candidate]) -> Vec<VmId> {
     let mut ranked: Vec<&Candidate> = stores.iter().filter(|store| !store.retiring).collect();
     ranked.sort_by_key(|store| (store.region != region, score(key, store.vm), store.vm));
     let mut domains = BTreeSet::new();
     let mut order: Vec<(bool, bool, VmId)> = Vec::with_capacity(ranked.len());
     for store in ranked {
-        let second = !domains.insert(&store.domain);
-        order.push((store.region != region, second, store.vm));
+        let repeats_domain = !domains.insert(&store.domain);
+        order.push((store.region != region, repeats_domain, store.vm));
     }
     // Stable, so the order by score stays within each part.
-    order.sort_by_key(|(abroad, second, _)| (*abroad, *second));
+    order.sort_by_key(|(cross_region, repeats_domain, _)| (*cross_region, *repeats_domain));
     order.into_iter().map(|(_, _, vm)| vm).collect()
 }
 
--- a/crates/core/src/turns/mod.rs
+++ b/crates/core/src/turns/mod.rs
@@ -7,18 +7,18 @@
 //! commands in the same order; see docs/design/provider.md.
 
 mod budget;
+mod clock;
 mod copies;
 mod holders;
-mod lead;
 mod runs;
 mod snapshot;
 mod state;
 mod tree;
 
-pub use budget::Spent;
-pub use copies::{CopySurvey, Limits, Portion, Transfer};
-pub use holders::preferred;
-pub use lead::LeadClock;
+pub use budget::BudgetExhausted;
+pub use clock::LeaderClock;
+pub use copies::{BatchSize, CopySurvey, Limits, Transfer};
+pub use holders::preferred_stores;
 pub use snapshot::RestoreError;
 pub use state::Turns;
 pub use tree::{Holding, TurnTree};
--- a/crates/core/src/turns/runs.rs
+++ b/crates/core/src/turns/runs.rs
@@ -4,7 +4,7 @@
 
 /// Prompts remembered for each program: its line of turns, and the sub-agents of some turns. A
 /// program that starts sub-agents without end keeps no more than this.
-const MOST_RUNS: usize = 16;
+const MAX_RUNS: usize = 16;
 
 /// Engines that read a program's prompts, oldest first.
 ///
@@ -16,9 +16,9 @@
 
 impl Runs {
     /// Remembers where a prompt was read, in the place of what was known of it.
-    pub(super) fn note(&mut self, run: &PromptRun) {
+    pub(super) fn record(&mut self, run: &PromptRun) {
         self.0.retain(|known| known.prompt != run.prompt);
-        if self.0.len() == MOST_RUNS {
+        if self.0.len() == MAX_RUNS {
             self.0.remove(0);
         }
         self.0.push(run.clone());
--- a/crates/core/src/turns/snapshot.rs
+++ b/crates/core/src/turns/snapshot.rs
@@ -56,7 +56,7 @@
             let kept = record.kept.unwrap_or_default();
             (
                 record.turn.to_compact_string(),
-                Turn { held: record.held_ms, ..Turn::from_wire(&kept, record.until_ms) },
+                Turn { held_until: record.held_ms, ..Turn::from_wire(&kept, record.until_ms) },
             )
         });
         Ok(Turns {
@@ -71,8 +71,8 @@
     wire::TurnRecord {
         turn: id.to_string(),
         kept: Some(turn.to_wire()),
-        until_ms: turn.until,
-        held_ms: turn.held,
+        until_ms: turn.kept_until,
+        held_ms: turn.held_until,
     }
 }
 
--- a/crates/core/src/turns/state.rs
+++ b/crates/core/src/turns/state.rs
@@ -39,8 +39,8 @@
     /// Returns which of these turns are still kept, with how much longer.
     pub fn still_kept(&self, turns: &[String]) -> Vec<wire::KeptTurn> {
         let kept = turns.iter().filter_map(|turn| {
-            let left = self.tree.left(self.clock, turn)?;
-            Some(wire::KeptTurn { turn: turn.clone(), left_ms: left })
+            let left_ms = self.tree.remaining(self.clock, turn)?;
+            Some(wire::KeptTurn { turn: turn.clone(), left_ms })
         });
         kept.collect()
     }
@@ -68,7 +68,7 @@
             Ok(()) => {
                 self.tree.hold(now, previous, reserve.lasts_ms);
                 let chain = chain.iter().map(Holding::to_wire).collect();
-                let under_way = self.budgets.is_under_way(&reserve.program, turn);
+                let under_way = self.budgets.has_other_turn(&reserve.program, turn);
                 let ran = self.budgets.last_run(&reserve.program, &reserve.prompts).cloned();
                 ReplyBody::Reserved(wire::Reserved { chain, under_way, ran })
             }
@@ -83,7 +83,7 @@
         let now = self.advance(settle.now_ms);
         self.budgets.settle(now, &settle.program, &settle.turn, settle.tokens);
         if let Some(run) = &settle.ran {
-            self.budgets.note_run(&settle.program, run);
+            self.budgets.record_run(&settle.program, run);
         }
         if let Some(kept) = &settle.kept {
             self.tree.keep(now, &settle.turn, kept);
@@ -94,7 +94,7 @@
     fn copied(&mut self, copied: &wire::Copied) -> ReplyBody {
         self.advance(copied.now_ms);
         for holding in &copied.turns {
-            self.tree.note_holders(&Holding::from_wire(holding));
+            self.tree.record_holders(&Holding::from_wire(holding));
         }
         ReplyBody::Settled(wire::Settled {})
     }
--- a/crates/core/src/turns/tree.rs
+++ b/crates/core/src/turns/tree.rs
@@ -15,7 +15,7 @@
 
 /// Stores that are remembered as holders of one text: more than ever hold it at one time, and few enough
 /// that losses one after another don't fill the state.
-const MOST_HOLDERS: usize = 8;
+const MAX_HOLDERS: usize = 8;
 
 /// One kept turn. Its text is on the disks of its holders, see docs/design/texts.md.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -27,26 +27,26 @@
     pub(super) bytes: u64,
     pub(super) retention: u64,
     /// The group's time until which it is kept, in milliseconds.
-    pub(super) until: u64,
+    pub(super) kept_until: u64,
     /// Time until which a turn that continues it may be under way, in milliseconds; zero without one.
-    pub(super) held: u64,
+    pub(super) held_until: u64,
 }
 
 impl Turn {
-    pub(super) fn from_wire(kept: &wire::Kept, until: u64) -> Turn {
+    pub(super) fn from_wire(kept: &wire::Kept, kept_until: u64) -> Turn {
         Turn {
             previous: kept.previous.to_compact_string(),
             holders: distinct(kept.holders.iter().copied().map(VmId)),
             bytes: kept.bytes,
             retention: kept.retention_ms,
-            until,
-            held: 0,
+            kept_until,
+            held_until: 0,
         }
     }
 
     /// Returns the time until which it is remembered.
-    fn remembered(&self) -> u64 {
-        self.until.max(self.held).saturating_add(SETTLE_GRACE_MS)
+    fn expires_at(&self) -> u64 {
+        self.kept_until.max(self.held_until).saturating_add(SETTLE_GRACE_MS)
     }
 
     pub(super) fn holding(&self, id: &str) -> Holding {
@@ -63,11 +63,11 @@
     }
 }
 
-/// Returns each store once, the first [`MOST_HOLDERS`]. One that is named twice is still one disk.
+/// Returns each store once, the first [`MAX_HOLDERS`]. One that is named twice is still one disk.
 fn distinct(stores: impl Iterator<Item = VmId>) -> Vec<VmId> {
     let mut found = Vec::new();
     for vm in stores {
-        if found.len() < MOST_HOLDERS && !found.contains(&vm) {
+        if found.len() < MAX_HOLDERS && !found.contains(&vm) {
             found.push(vm);
         }
     }
@@ -114,15 +114,15 @@
         if self.turns.contains_key(id) {
             return;
         }
-        let until = now.saturating_add(kept.retention_ms);
-        let turn = Turn::from_wire(kept, until);
+        let kept_until = now.saturating_add(kept.retention_ms);
+        let turn = Turn::from_wire(kept, kept_until);
         let mut next = turn.previous.clone();
         self.turns.insert(id.into(), turn);
         while let Some(turn) = self.turns.get_mut(&next) {
-            if turn.until >= until {
+            if turn.kept_until >= kept_until {
                 break;
             }
-            turn.until = until;
+            turn.kept_until = kept_until;
             next = turn.previous.clone();
         }
     }
@@ -131,15 +131,15 @@
     ///
     /// A stream may outlast the time of what it continues. Were that forgotten meanwhile, the turn would
     /// end whole and yet its own continuation be unknown. No other turn may continue it for longer.
-    pub fn hold(&mut self, now: u64, previous: &str, lasts: u64) {
-        let held = now.saturating_add(lasts);
+    pub fn hold(&mut self, now: u64, previous: &str, duration: u64) {
+        let held_until = now.saturating_add(duration);
         let mut next = CompactString::from(previous);
         while let Some(turn) = self.turns.get_mut(&next) {
             // What precedes a turn is held at least as long as the turn.
-            if lasts == 0 || turn.held >= held {
+            if duration == 0 || turn.held_until >= held_until {
                 break;
             }
-            turn.held = held;
+            turn.held_until = held_until;
             next = turn.previous.clone();
         }
     }
@@ -150,7 +150,7 @@
         let mut chain = Vec::new();
         let mut next = previous;
         while !next.is_empty() && chain.len() < MAX_CHAIN {
-            let turn = self.turns.get(next).filter(|turn| turn.until > now)?;
+            let turn = self.turns.get(next).filter(|turn| turn.kept_until > now)?;
             chain.push(turn.holding(next));
             next = &turn.previous;
         }
@@ -161,20 +161,20 @@
     /// Tells whether a turn is kept, as the start of every chain is. Its chain is kept at least as
     /// long.
     pub fn is_kept(&self, now: u64, id: &str) -> bool {
-        id.is_empty() || self.turns.get(id).is_some_and(|turn| turn.until > now)
+        id.is_empty() || self.turns.get(id).is_some_and(|turn| turn.kept_until > now)
     }
 
     /// Returns how much longer a turn's text must be held, in milliseconds; nothing if it need not.
-    pub fn left(&self, now: u64, id: &str) -> Option<u64> {
-        let remembered = self.turns.get(id)?.remembered();
-        remembered.checked_sub(now).filter(|left| *left > 0)
+    pub fn remaining(&self, now: u64, id: &str) -> Option<u64> {
+        let expires_at = self.turns.get(id)?.expires_at();
+        expires_at.checked_sub(now).filter(|remaining| *remaining > 0)
     }
 
     /// Notes that other stores hold a turn's text now.
     ///
     /// Those that held it before are remembered after them: one that was only silent still has it on its
     /// disk, and a leader that was deposed for a while may not know of all.
-    pub fn note_holders(&mut self, holding: &Holding) {
+    pub fn record_holders(&mut self, holding: &Holding) {
         if let Some(turn) = self.turns.get_mut(&holding.turn) {
             let before = std::mem::take(&mut turn.holders);
             turn.holders = distinct(holding.holders.iter().copied().chain(before));
@@ -183,7 +183,7 @@
 
     /// Forgets turns whose time is over, and which no turn under way can continue.
     pub fn expire(&mut self, now: u64) {
-        self.turns.retain(|_, turn| turn.remembered() > now);
+        self.turns.retain(|_, turn| turn.expires_at() > now);
     }
 
     /// Returns how many turns are kept.
--- a/crates/core/tests/border_datagram.rs
+++ b/crates/core/tests/border_datagram.rs
@@ -35,7 +35,7 @@
     let end = now + Duration::from_secs(120);
     let mut at = now;
     for _ in 0..2_000 {
-        at = node.wake().max(at);
+        at = node.next_tick().max(at);
         if at > end {
             break;
         }
--- a/crates/core/tests/control_endpoints.rs
+++ b/crates/core/tests/control_endpoints.rs
@@ -45,7 +45,7 @@
     let mut control = Control::new();
     register(&mut control, record("one", 5, 1));
 
-    assert!(!control.endpoints().is_news(&record("one", 5, 2)));
+    assert!(!control.endpoints().is_update(&record("one", 5, 2)));
     register(&mut control, record("one", 5, 2));
     assert_eq!(control.endpoints().change(), 1, "entries are not told what they know");
 }
@@ -115,10 +115,10 @@
 fn news_only_when_changed() {
     let mut control = Control::new();
     register(&mut control, record("one", 5, 1));
-    let news = control.endpoints().news(0);
+    let news = control.endpoints().changes_since(0);
     assert_eq!((news.change, news.endpoints.len()), (1, 1));
 
-    assert!(control.endpoints().news(news.change).endpoints.is_empty());
+    assert!(control.endpoints().changes_since(news.change).endpoints.is_empty());
 }
 
 /// A replica that was restored from a snapshot must decide like those that applied every command:
@@ -142,7 +142,7 @@
 
 /// Names of the endpoints that are told of, and of those told as gone.
 fn told(control: &Control, seen: u64) -> (Vec<String>, Vec<String>) {
-    let news = control.endpoints().news(seen);
+    let news = control.endpoints().changes_since(seen);
     (news.endpoints.into_iter().map(|record| record.name).collect(), news.gone)
 }
 
@@ -160,7 +160,7 @@
     deregister(&mut control, "ccc", 3);
 
     assert_eq!(told(&control, seen), (vec!["bb".to_owned()], vec!["ccc".to_owned()]));
-    assert!(control.endpoints().news(seen).delta);
+    assert!(control.endpoints().changes_since(seen).delta);
     assert_eq!(told(&control, control.endpoints().change()), (Vec::new(), Vec::new()));
 }
 
@@ -182,7 +182,7 @@
     register(&mut control, record("a", 5, 1));
     register(&mut control, record("bb", 6, 1));
 
-    assert!(!control.endpoints().news(0).delta);
+    assert!(!control.endpoints().changes_since(0).delta);
     assert_eq!(told(&control, 0).0, ["a", "bb"]);
 }
 
@@ -196,7 +196,7 @@
     register(&mut control, record("bb", 6, 1));
     let restored = Control::restore(&control.snapshot()).expect("own snapshot");
 
-    let news = restored.endpoints().news(seen);
+    let news = restored.endpoints().changes_since(seen);
     assert!(!news.delta);
     assert_eq!(news.endpoints.len(), 2);
 }
--- a/crates/core/tests/control_placement.rs
+++ b/crates/core/tests/control_placement.rs
@@ -4,7 +4,7 @@
 mod property;
 
 use gypsumglade_core::control::plan::{
-    GroupReport, PlanMutation, PlanSettings, Presence, StoreVm, create, plan,
+    Availability, GroupReport, PlanMutation, PlanSettings, StoreVm, create, plan,
 };
 use gypsumglade_core::control::{Control, Mutation, group_of};
 use gypsumglade_core::prelude::*;
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug)]
 enum Action {
     /// The VM goes away, is given up, or comes back.
-    Presence { vm: usize, presence: Presence },
+    Availability { vm: usize, availability: Availability },
     /// The planner looks at the world; its steps may be applied later.
     Plan,
     /// One of the steps planned so far reaches the log.
@@ -36,11 +36,12 @@
 }
 
 fn action() -> impl Strategy<Value = Action> {
-    let presence = prop::sample::select(vec![Presence::Up, Presence::Away, Presence::Lost]);
+    let availability =
+        prop::sample::select(vec![Availability::Up, Availability::Unreachable, Availability::Lost]);
     let group = 0..GROUPS as usize;
     prop_oneof![
-        1 => (0..STORES as usize, presence)
-            .prop_map(|(vm, presence)| Action::Presence { vm, presence }),
+        1 => (0..STORES as usize, availability)
+            .prop_map(|(vm, availability)| Action::Availability { vm, availability }),
         4 => Just(Action::Plan),
         6 => (0..12_usize).prop_map(|step| Action::Apply { step }),
         4 => group.clone().prop_map(|group| Action::Report { group }),
@@ -69,7 +70,7 @@
             vm: VmId(vm),
             domain: DomainId((vm % DOMAINS) as u16),
             region: RegionId(u16::from(vm % DOMAINS == 2)),
-            presence: Presence::Up,
+            availability: Availability::Up,
         };
         let stores: Vec<StoreVm> = (1..=STORES).map(store).collect();
         let mut control = Control::with_mutation(mutation);
@@ -80,10 +81,10 @@
 
     fn run(&mut self, action: &Action) -> Result<(), TestCaseError> {
         match *action {
-            Action::Presence { vm, presence } => {
+            Action::Availability { vm, availability } => {
                 // A VM given up for lost is replaced and never comes back under its number.
-                if self.stores[vm].presence != Presence::Lost {
-                    self.stores[vm].presence = presence;
+                if self.stores[vm].availability != Availability::Lost {
+                    self.stores[vm].availability = availability;
                 }
             }
             Action::Plan => self.plan(),
@@ -132,8 +133,12 @@
         let Some(Body::Place(place)) = &command.body else { return Ok(()) };
         match &place.step {
             Some(Step::Add(add)) => {
-                let lost = self.stores[add.retiring as usize - 1].presence;
-                prop_assert_ne!(lost, Presence::Away, "a VM that may come back was replaced");
+                let lost = self.stores[add.retiring as usize - 1].availability;
+                prop_assert_ne!(
+                    lost,
+                    Availability::Unreachable,
+                    "a VM that may come back was replaced"
+                );
                 prop_assert!(before.retiring.is_none());
                 self.logs[group].caught_up = false;
             }
@@ -198,7 +203,7 @@
 
 #[test]
 fn plan_replacing_an_absent_vm_is_caught() {
-    assert!(run(Mutation::None, PlanMutation::ReplaceAway, 5_000).is_err());
+    assert!(run(Mutation::None, PlanMutation::ReplaceUnreachable, 5_000).is_err());
 }
 
 #[test]
@@ -228,13 +233,13 @@
     let mut world = World::new(Mutation::None, PlanSettings::default());
     for _ in 0..2 {
         let vm = world.control.groups()[0].replicas[0].vm as usize;
-        world.stores[vm - 1].presence = Presence::Lost;
+        world.stores[vm - 1].availability = Availability::Lost;
         settle(&mut world);
     }
     for group in world.control.groups() {
         assert!(check_group(group).is_ok(), "{group:?}");
         assert_eq!((group.replicas.len(), group.retiring), (3, None));
-        let up = |vm: u32| world.stores[vm as usize - 1].presence == Presence::Up;
+        let up = |vm: u32| world.stores[vm as usize - 1].availability == Availability::Up;
         assert!(group.replicas.iter().all(|replica| up(replica.vm)), "{group:?}");
     }
 }
@@ -246,7 +251,7 @@
     let mut world = World::new(Mutation::None, PlanSettings::default());
     let before = world.control.groups().to_vec();
     for store in world.stores.iter_mut().filter(|store| store.domain == DomainId(2)) {
-        store.presence = Presence::Lost;
+        store.availability = Availability::Lost;
     }
     settle(&mut world);
     assert_eq!(world.control.groups(), before.as_slice());
--- a/crates/core/tests/control_revisions.rs
+++ b/crates/core/tests/control_revisions.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use gypsumglade_core::bundle::{Digest, KeyPair, OperatorKeys, RollBackOrder, SignedBundle};
-use gypsumglade_core::control::{Control, Mutation, REMEMBERED, delta};
+use gypsumglade_core::control::{Control, MAX_DEDUP_RECORDS, Mutation, delta};
 use gypsumglade_core::prelude::*;
 use gypsumglade_core::wire::control::answer::Body as AnswerBody;
 use gypsumglade_core::wire::control::command::Body as CommandBody;
@@ -139,7 +139,7 @@
 
 fn forgotten_version_answer(mutation: Mutation) -> AnswerBody {
     let mut control = Control::with_mutation(mutation);
-    for version in 1..=REMEMBERED as u64 + 1 {
+    for version in 1..=MAX_DEDUP_RECORDS as u64 + 1 {
         apply(&mut control, accept(&version.to_string(), version - 1, version, 0));
     }
     let base = control.history().number().0;
@@ -311,5 +311,5 @@
 
 #[test]
 fn apply_with_falling_roll_back_is_caught() {
-    assert_caught(Mutation::RollBackFalls);
+    assert_caught(Mutation::ReuseNumber);
 }
--- a/crates/core/tests/membership_harness/mod.rs
+++ b/crates/core/tests/membership_harness/mod.rs
@@ -101,7 +101,7 @@
             mutation: self.mutation,
         };
         let node = Membership::new(settings, self.now);
-        self.push(node.wake(), vm, None);
+        self.push(node.next_tick(), vm, None);
         self.nodes.insert(vm, node);
     }
 
@@ -134,7 +134,7 @@
     pub fn input(&mut self, vm: VmId, input: Input) {
         let Some(node) = self.nodes.get_mut(&vm) else { return };
         let effects = node.step(self.now, input);
-        let wake = node.wake();
+        let wake = node.next_tick();
         self.push(wake, vm, None);
         for effect in effects {
             self.take(vm, effect);
@@ -150,7 +150,7 @@
                 self.input(event.to, Input::Datagram { from, bytes });
             }
             // A tick that another input made needless is passed over.
-            None if self.nodes.get(&event.to).is_some_and(|node| node.wake() <= self.now) => {
+            None if self.nodes.get(&event.to).is_some_and(|node| node.next_tick() <= self.now) => {
                 self.input(event.to, Input::Tick);
             }
             None => {}
--- a/crates/core/tests/roster.rs
+++ b/crates/core/tests/roster.rs
@@ -17,14 +17,14 @@
 }
 
 fn heard(roster: &Roster, vm: u32) -> Option<u64> {
-    roster.last_heard(VmId(vm)).map(Time::as_millis)
+    roster.last_seen(VmId(vm)).map(Time::as_millis)
 }
 
 #[test]
 fn hear_later_introduction() {
     let mut roster = Roster::default();
-    roster.hear(Time::from_millis(1_000), store(1, "10.0.0.1:1", 5, 0));
-    roster.hear(Time::from_millis(2_000), store(1, "10.0.0.1:1", 6, 0));
+    roster.observe(Time::from_millis(1_000), store(1, "10.0.0.1:1", 5, 0));
+    roster.observe(Time::from_millis(2_000), store(1, "10.0.0.1:1", 6, 0));
     assert_eq!(heard(&roster, 1), Some(2_000));
 }
 
@@ -34,10 +34,10 @@
 #[test]
 fn hear_relayed_is_no_sign_of_life() {
     let mut roster = Roster::default();
-    roster.hear(Time::from_millis(1_000), store(1, "10.0.0.1:1", 5, 0));
+    roster.observe(Time::from_millis(1_000), store(1, "10.0.0.1:1", 5, 0));
     for relay in 1..=20 {
         let now = 1_000 + relay * 100;
-        roster.hear(Time::from_millis(now), store(1, "10.0.0.1:1", 5, relay * 92));
+        roster.observe(Time::from_millis(now), store(1, "10.0.0.1:1", 5, relay * 92));
     }
     assert_eq!(heard(&roster, 1), Some(1_000));
 }
@@ -47,9 +47,9 @@
 #[test]
 fn hear_new_identity_at_address() {
     let mut roster = Roster::default();
-    roster.hear(Time::from_millis(1_000), store(1, "10.0.0.1:1", 5, 0));
-    roster.hear(Time::from_millis(2_000), store(2, "10.0.0.1:1", 9, 0));
-    roster.hear(Time::from_millis(2_100), store(1, "10.0.0.1:1", 6, 1_000));
+    roster.observe(Time::from_millis(1_000), store(1, "10.0.0.1:1", 5, 0));
+    roster.observe(Time::from_millis(2_000), store(2, "10.0.0.1:1", 9, 0));
+    roster.observe(Time::from_millis(2_100), store(1, "10.0.0.1:1", 6, 1_000));
     assert_eq!(roster.at_address("10.0.0.1:1"), Some(VmId(2)));
     assert_eq!(heard(&roster, 1), None);
 }
@@ -57,8 +57,8 @@
 #[test]
 fn expire_silent() {
     let mut roster = Roster::default();
-    roster.hear(Time::from_millis(0), store(1, "10.0.0.1:1", 5, 0));
-    roster.hear(Time::from_millis(9_000), store(2, "10.0.0.2:1", 5, 0));
+    roster.observe(Time::from_millis(0), store(1, "10.0.0.1:1", 5, 0));
+    roster.observe(Time::from_millis(9_000), store(2, "10.0.0.2:1", 5, 0));
     roster.expire(Time::from_millis(11_000));
     let left: Vec<u32> = roster.stores().map(|(node, _)| node.vm).collect();
     assert_eq!(left, [2]);
@@ -67,8 +67,8 @@
 #[test]
 fn nodes_tells_only_fresh() {
     let mut roster = Roster::default();
-    roster.hear(Time::from_millis(0), store(1, "10.0.0.1:1", 5, 0));
-    roster.hear(Time::from_millis(6_000), store(2, "10.0.0.2:1", 5, 0));
+    roster.observe(Time::from_millis(0), store(1, "10.0.0.1:1", 5, 0));
+    roster.observe(Time::from_millis(6_000), store(2, "10.0.0.2:1", 5, 0));
     let told = roster.nodes(Time::from_millis(6_500), 0).nodes;
     assert_eq!(told.len(), 1);
     assert_eq!((told[0].vm, told[0].age_ms), (2, 500));
@@ -80,17 +80,17 @@
     for vm in [1, 2] {
         let led = vec![Led { group: 0, members: vec![vm], settled: true, ..Led::default() }];
         let node = Node { led, ..store(vm, &format!("10.0.0.{vm}:1"), 5, 0) };
-        roster.hear(Time::from_millis(0), node);
+        roster.observe(Time::from_millis(0), node);
     }
-    assert_eq!(roster.led(Time::from_millis(100), Duration::from_secs(2)).len(), 2);
-    assert!(roster.led(Time::from_millis(5_000), Duration::from_secs(2)).is_empty());
+    assert_eq!(roster.led_groups(Time::from_millis(100), Duration::from_secs(2)).len(), 2);
+    assert!(roster.led_groups(Time::from_millis(5_000), Duration::from_secs(2)).is_empty());
 }
 
 #[test]
 fn named_latest() {
     let mut roster = Roster::default();
-    roster.hear(Time::from_millis(0), Node { name: "s".into(), ..store(1, "10.0.0.1:1", 5, 0) });
-    roster.hear(Time::from_millis(9), Node { name: "s".into(), ..store(2, "10.0.0.2:1", 5, 0) });
+    roster.observe(Time::from_millis(0), Node { name: "s".into(), ..store(1, "10.0.0.1:1", 5, 0) });
+    roster.observe(Time::from_millis(9), Node { name: "s".into(), ..store(2, "10.0.0.2:1", 5, 0) });
     assert_eq!(roster.named("s").map(|node| node.vm), Some(2));
 }
 
@@ -100,10 +100,10 @@
 fn nodes_grows_with_stores_only() {
     let mut roster = Roster::default();
     let now = Time::from_millis(1_000);
-    roster.hear(now, store(1, "10.0.0.1:1", 5, 0));
+    roster.observe(now, store(1, "10.0.0.1:1", 5, 0));
     for vm in 100..500 {
         let entry = Node { role: Role::Entry.into(), ..store(vm, "10.0.1.1:1", 5, 0) };
-        roster.hear(now, Node { peers: format!("10.0.1.{vm}:1"), ..entry });
+        roster.observe(now, Node { peers: format!("10.0.1.{vm}:1"), ..entry });
     }
     assert_eq!(roster.nodes(now, 0).nodes.len(), 1);
 }
@@ -112,12 +112,12 @@
 fn nodes_same_as_told() {
     let mut roster = Roster::default();
     let now = Time::from_millis(1_000);
-    roster.hear(now, store(1, "10.0.0.1:1", 5, 0));
-    roster.hear(now, store(2, "10.0.0.2:1", 5, 0));
+    roster.observe(now, store(1, "10.0.0.1:1", 5, 0));
+    roster.observe(now, store(2, "10.0.0.2:1", 5, 0));
     let told = digest(&roster.nodes(now, 0).nodes);
     let again = roster.nodes(now, told);
     assert!(again.same && again.nodes.is_empty());
-    roster.hear(now, store(3, "10.0.0.3:1", 5, 0));
+    roster.observe(now, store(3, "10.0.0.3:1", 5, 0));
     assert_eq!(roster.nodes(now, told).nodes.len(), 3);
 }
 
@@ -127,9 +127,9 @@
 fn nodes_differ_after_replacement() {
     let mut roster = Roster::default();
     let now = Time::from_millis(1_000);
-    roster.hear(now, store(1, "10.0.0.1:1", 5, 0));
+    roster.observe(now, store(1, "10.0.0.1:1", 5, 0));
     let told = digest(&roster.nodes(now, 0).nodes);
-    roster.hear(now, store(2, "10.0.0.1:1", 9, 0));
+    roster.observe(now, store(2, "10.0.0.1:1", 9, 0));
     assert!(!roster.nodes(now, told).same);
 }
 
@@ -138,8 +138,8 @@
 #[test]
 fn confirm_keeps_those_told() {
     let mut roster = Roster::default();
-    roster.hear(Time::from_millis(1_000), store(1, "10.0.0.1:1", 5, 0));
-    roster.hear(Time::from_millis(1_000), store(2, "10.0.0.2:1", 5, 0));
+    roster.observe(Time::from_millis(1_000), store(1, "10.0.0.1:1", 5, 0));
+    roster.observe(Time::from_millis(1_000), store(2, "10.0.0.2:1", 5, 0));
     for round in 2..120 {
         let now = Time::from_millis(round * 500);
         roster.confirm(now, &[VmId(1)]);
@@ -154,10 +154,10 @@
 #[test]
 fn confirm_outlasts_short_cut() {
     let mut roster = Roster::default();
-    roster.hear(Time::from_millis(1_000), store(1, "10.0.0.1:1", 5, 0));
+    roster.observe(Time::from_millis(1_000), store(1, "10.0.0.1:1", 5, 0));
     roster.confirm(Time::from_millis(20_000), &[VmId(1)]);
     roster.expire(Time::from_millis(26_000));
-    assert!(roster.knows(&[VmId(1)]));
+    assert!(roster.contains_all(&[VmId(1)]));
 }
 
 /// An entry VM is cut off for longer than it remembers stores. Back again, it asks a seed; told that the
@@ -166,8 +166,8 @@
 #[test]
 fn knows_not_after_long_cut() {
     let mut roster = Roster::default();
-    roster.hear(Time::from_millis(1_000), store(1, "10.0.0.1:1", 5, 0));
+    roster.observe(Time::from_millis(1_000), store(1, "10.0.0.1:1", 5, 0));
     roster.confirm(Time::from_millis(20_000), &[VmId(1)]);
     roster.expire(Time::from_millis(31_000));
-    assert!(!roster.knows(&[VmId(1)]));
+    assert!(!roster.contains_all(&[VmId(1)]));
 }
--- a/crates/core/tests/stream_scanner.rs
+++ b/crates/core/tests/stream_scanner.rs
@@ -33,13 +33,13 @@
     let mut scanner = EventScanner::default();
     let first = scanner.feed(b"id: 4\ndata: whole\n\nid: 5\ndata: ha");
     assert_eq!(&first.bytes[..], b"id: 4\ndata: whole\n\n");
-    assert!(scanner.is_inside());
+    assert!(scanner.has_partial());
     assert_eq!(scanner.last_id(), Some(4));
 
     scanner.drop_partial();
     let next = scanner.feed(b"id: 5\ndata: half\n\n");
     assert_eq!(&next.bytes[..], b"id: 5\ndata: half\n\n");
-    assert!(!scanner.is_inside());
+    assert!(!scanner.has_partial());
     assert_eq!(&scanner.into_data()[..], b"whole\nhalf\n");
 }
 
--- a/crates/core/tests/turns_copies.rs
+++ b/crates/core/tests/turns_copies.rs
@@ -7,7 +7,7 @@
 
 use gypsumglade_core::prelude::*;
 use gypsumglade_core::replication::repair::Candidate;
-use gypsumglade_core::turns::{CopySurvey, Limits, Portion, Transfer, Turns};
+use gypsumglade_core::turns::{BatchSize, CopySurvey, Limits, Transfer, Turns};
 use gypsumglade_core::wire::turn::command::Body;
 use gypsumglade_core::wire::turn::reply::Body as Reply;
 use gypsumglade_core::wire::turn::{Command, Copied, Holding, Kept, Reserve, Settle};
@@ -22,9 +22,9 @@
 /// Bytes of each turn's text.
 const TEXT_BYTES: u64 = 18_000;
 /// Enough for all texts of a test.
-const ENOUGH: Portion = Portion { texts: 1_000, bytes: 1_000_000_000 };
+const ENOUGH: BatchSize = BatchSize { texts: 1_000, bytes: 1_000_000_000 };
 /// All texts of a test at one time.
-const ALL: Limits = Limits { near: ENOUGH, abroad: ENOUGH };
+const ALL: Limits = Limits { same_region: ENOUGH, cross_region: ENOUGH };
 
 fn apply(turns: &mut Turns, body: Body) -> Reply {
     turns.apply(&Command { body: Some(body) }).body.expect("every command is answered")
@@ -74,8 +74,8 @@
     CopySurvey { alive: alive.into_iter().collect(), copies: 2, ..CopySurvey::default() }
 }
 
-fn alike(most: Portion) -> Limits {
-    Limits { near: most, abroad: most }
+fn alike(most: BatchSize) -> Limits {
+    Limits { same_region: most, cross_region: most }
 }
 
 fn targets(plan: &[Transfer]) -> Vec<u32> {
@@ -88,7 +88,7 @@
     keep(&mut turns, "a", "", &[1, 2]);
     let survey = survey([store(1, "a"), store(2, "b"), store(3, "c")]);
     assert_eq!(turns.plan_copies(&survey, &ALL), []);
-    assert_eq!(turns.relied_on(&survey), BTreeSet::new());
+    assert_eq!(turns.required_holders(&survey), BTreeSet::new());
 }
 
 #[test]
@@ -100,10 +100,10 @@
     assert_eq!(targets(&plan), [3]);
     assert_eq!(plan[0].sources, [VmId(1)]);
     assert_eq!(plan[0].turns[0].holders, [VmId(1), VmId(3)]);
-    assert!(turns.relied_on(&survey).contains(&VmId(1)));
+    assert!(turns.required_holders(&survey).contains(&VmId(1)));
     carry_out(&mut turns, &plan);
     assert_eq!(turns.plan_copies(&survey, &ALL), []);
-    assert_eq!(turns.relied_on(&survey), BTreeSet::new());
+    assert_eq!(turns.required_holders(&survey), BTreeSet::new());
 }
 
 /// A store that was silent for a while has its disk still. Were it forgotten, the next loss would have
@@ -125,7 +125,7 @@
     keep(&mut turns, "a", "", &[1, 1]);
     let survey = survey([store(1, "a"), store(2, "b")]);
     assert_eq!(targets(&turns.plan_copies(&survey, &ALL)), [2]);
-    assert_eq!(turns.relied_on(&survey), BTreeSet::from([VmId(1)]));
+    assert_eq!(turns.required_holders(&survey), BTreeSet::from([VmId(1)]));
 }
 
 /// A leader that was deposed for a while names holders that it planned before. The holder that another
@@ -254,10 +254,10 @@
         keep(&mut turns, turn, "", &[1, 9]);
     }
     let survey = survey([store(1, "a"), store(2, "b")]);
-    let survey = CopySurvey { put_off: BTreeSet::from(["a".into()]), ..survey };
-    let plan = turns.plan_copies(&survey, &alike(Portion { texts: 1, ..ENOUGH }));
+    let survey = CopySurvey { deferred: BTreeSet::from(["a".into()]), ..survey };
+    let plan = turns.plan_copies(&survey, &alike(BatchSize { texts: 1, ..ENOUGH }));
     assert_eq!(plan[0].turns[0].turn, "b");
-    assert_eq!(turns.relied_on(&survey), BTreeSet::from([VmId(1), VmId(9)]));
+    assert_eq!(turns.required_holders(&survey), BTreeSet::from([VmId(1), VmId(9)]));
 }
 
 /// Long inputs fill a store's memory long before their number looks large.
@@ -269,9 +269,9 @@
     }
     let survey = survey([store(1, "a"), store(2, "b")]);
     let count = |most| turns.plan_copies(&survey, &alike(most))[0].turns.len();
-    assert_eq!(count(Portion { bytes: 3 * TEXT_BYTES, ..ENOUGH }), 3);
-    assert_eq!(count(Portion { bytes: 1, ..ENOUGH }), 1);
-    assert_eq!(count(Portion { texts: 7, ..ENOUGH }), 7);
+    assert_eq!(count(BatchSize { bytes: 3 * TEXT_BYTES, ..ENOUGH }), 3);
+    assert_eq!(count(BatchSize { bytes: 1, ..ENOUGH }), 1);
+    assert_eq!(count(BatchSize { texts: 7, ..ENOUGH }), 7);
 }
 
 /// A newcomer in the texts' region comes within seconds; until then, only a few cross the link.
@@ -281,11 +281,11 @@
     for number in 0..40 {
         keep(&mut turns, &number.to_string(), "", &[1, 9]);
     }
-    let limits = Limits { abroad: Portion { texts: 2, ..ENOUGH }, ..ALL };
+    let limits = Limits { cross_region: BatchSize { texts: 2, ..ENOUGH }, ..ALL };
     let plan = turns.plan_copies(&survey([store(1, "a"), abroad(2, "n")]), &limits);
-    assert_eq!((plan[0].abroad, plan[0].turns.len()), (true, 2));
+    assert_eq!((plan[0].cross_region, plan[0].turns.len()), (true, 2));
     let plan = turns.plan_copies(&survey([store(1, "a"), store(2, "b")]), &limits);
-    assert_eq!((plan[0].abroad, plan[0].turns.len()), (false, 40));
+    assert_eq!((plan[0].cross_region, plan[0].turns.len()), (false, 40));
 }
 
 #[test]
@@ -301,9 +301,9 @@
         assert_eq!(turns, plan[0].turns);
         parts.iter().map(|part| part.turns.len()).collect()
     };
-    assert_eq!(sizes(Portion { texts: 3, ..ENOUGH }), [3, 3, 1]);
-    assert_eq!(sizes(Portion { bytes: 2 * TEXT_BYTES, ..ENOUGH }), [2, 2, 2, 1]);
-    assert_eq!(sizes(Portion { bytes: 1, ..ENOUGH }), [1; 7]);
+    assert_eq!(sizes(BatchSize { texts: 3, ..ENOUGH }), [3, 3, 1]);
+    assert_eq!(sizes(BatchSize { bytes: 2 * TEXT_BYTES, ..ENOUGH }), [2, 2, 2, 1]);
+    assert_eq!(sizes(BatchSize { bytes: 1, ..ENOUGH }), [1; 7]);
     assert_eq!(sizes(ENOUGH), [7]);
 }
 
@@ -315,9 +315,9 @@
     let plan = turns.plan_copies(&survey, &ALL);
     assert_eq!(targets(&plan), [3]);
     assert_eq!(plan[0].sources, [VmId(1), VmId(2)]);
-    assert!(turns.relied_on(&survey).contains(&VmId(1)));
+    assert!(turns.required_holders(&survey).contains(&VmId(1)));
     carry_out(&mut turns, &plan);
-    assert_eq!(turns.relied_on(&survey), BTreeSet::new());
+    assert_eq!(turns.required_holders(&survey), BTreeSet::new());
 }
 
 /// The last disk of a text that is to be emptied is read from, and never asked to take more.
@@ -343,7 +343,7 @@
     let mut turns = Turns::default();
     keep(&mut turns, "a", "", &[1, 2]);
     let survey = survey([retiring(store(1, "a")), store(2, "b")]);
-    assert!(turns.relied_on(&survey).contains(&VmId(1)));
+    assert!(turns.required_holders(&survey).contains(&VmId(1)));
     assert_eq!(turns.plan_copies(&survey, &ALL), []);
 }
 
@@ -379,12 +379,16 @@
     });
     let failing = places.iter().zip(1..).filter(|(place, _)| place.failing);
     let failing = failing.map(|(_, vm)| VmId(vm)).collect();
-    CopySurvey { alive: alive.collect(), copies, failing, put_off: BTreeSet::new() }
+    CopySurvey { alive: alive.collect(), copies, failing, deferred: BTreeSet::new() }
 }
 
 /// Checks one plan: only stores that serve take texts, those that have one are read from, and texts with
 /// the same sources go to the same store.
-fn check_plan(plan: &[Transfer], survey: &CopySurvey, most: Portion) -> Result<(), TestCaseError> {
+fn check_plan(
+    plan: &[Transfer],
+    survey: &CopySurvey,
+    most: BatchSize,
+) -> Result<(), TestCaseError> {
     let find = |vm: VmId| survey.alive.iter().find(|store| store.vm == vm);
     let mut counts: BTreeMap<VmId, usize> = BTreeMap::new();
     let mut sources = BTreeSet::new();
@@ -394,7 +398,7 @@
         let region = |vm: VmId| find(vm).map(|store| store.region.clone());
         let far = |vm: &VmId| region(*vm) != region(copy.target);
         prop_assert!(copy.sources.iter().map(far).is_sorted());
-        prop_assert_eq!(copy.abroad, copy.sources.iter().all(far));
+        prop_assert_eq!(copy.cross_region, copy.sources.iter().all(far));
         prop_assert!(find(copy.target).is_some_and(|store| !store.retiring));
         prop_assert!(!copy.sources.is_empty() && !copy.sources.contains(&copy.target));
         prop_assert!(copy.sources.iter().all(|vm| find(*vm).is_some()));
@@ -416,7 +420,7 @@
     let property =
         |(places, texts, copies, texts_most): (Vec<Place>, Vec<Vec<u32>>, usize, usize)| {
             let survey = surveyed(&places, copies);
-            let most = Portion { texts: texts_most, ..ENOUGH };
+            let most = BatchSize { texts: texts_most, ..ENOUGH };
             let mut turns = Turns::default();
             for (number, holders) in texts.iter().enumerate() {
                 keep(&mut turns, &number.to_string(), "", holders);
--- a/crates/core/tests/turns_holders.rs
+++ b/crates/core/tests/turns_holders.rs
@@ -7,7 +7,7 @@
 
 use gypsumglade_core::prelude::*;
 use gypsumglade_core::replication::repair::Candidate;
-use gypsumglade_core::turns::preferred;
+use gypsumglade_core::turns::preferred_stores;
 use property::{cases, fixed};
 use proptest::prelude::*;
 use proptest::test_runner::TestRunner;
@@ -42,7 +42,7 @@
 fn preferred_any() {
     let mut runner = TestRunner::new(fixed(SEED, cases(CASES)));
     let property = |(stores, program): (Vec<Candidate>, u32)| {
-        let order = preferred(&program.to_string(), "0", &stores);
+        let order = preferred_stores(&program.to_string(), "0", &stores);
         let find = |vm: &VmId| stores.iter().find(|store| store.vm == *vm).expect("a known store");
         let distinct: BTreeSet<VmId> = order.iter().copied().collect();
         let serving: BTreeSet<VmId> =
@@ -69,9 +69,9 @@
     let mut runner = TestRunner::new(fixed(SEED, cases(CASES)));
     let property = |(mut stores, program): (Vec<Candidate>, u32)| {
         let program = program.to_string();
-        let before = preferred(&program, "0", &stores);
+        let before = preferred_stores(&program, "0", &stores);
         stores.reverse();
-        prop_assert_eq!(preferred(&program, "0", &stores), before);
+        prop_assert_eq!(preferred_stores(&program, "0", &stores), before);
         Ok(())
     };
     runner.run(&(any_stores(), any::<u32>()), property).expect("the property holds");
@@ -81,12 +81,13 @@
 #[test]
 fn preferred_newcomer() {
     let mut stores: Vec<_> = (1..=4).map(|vm| store(vm, &format!("d{vm}"), "south")).collect();
-    let before: Vec<_> =
-        (0..PROGRAMS).map(|program| preferred(&program.to_string(), "south", &stores)).collect();
+    let before: Vec<_> = (0..PROGRAMS)
+        .map(|program| preferred_stores(&program.to_string(), "south", &stores))
+        .collect();
     stores.push(store(5, "d5", "south"));
     let mut moved = 0;
     for (program, before) in before.into_iter().enumerate() {
-        let mut after = preferred(&program.to_string(), "south", &stores);
+        let mut after = preferred_stores(&program.to_string(), "south", &stores);
         moved += usize::from(after[..2] != before[..2]);
         after.retain(|vm| *vm != VmId(5));
         assert_eq!(after, before);
@@ -99,7 +100,7 @@
 fn preferred_even_load() {
     let stores: Vec<_> = (1..=3).map(|vm| store(vm, &format!("d{vm}"), "south")).collect();
     for vm in 1..=3 {
-        let first = |program: &usize| preferred(&program.to_string(), "south", &stores)[0];
+        let first = |program: &usize| preferred_stores(&program.to_string(), "south", &stores)[0];
         let count = (0..PROGRAMS).filter(|program| first(program) == VmId(vm)).count();
         assert!((PROGRAMS / 4..PROGRAMS / 2).contains(&count), "{vm}: {count}");
     }
--- a/crates/gypsumglade/src/discovery.rs
+++ b/crates/gypsumglade/src/discovery.rs
@@ -153,7 +153,7 @@
     /// introductions.
     pub fn retiring(&self) -> BTreeSet<VmId> {
         let told = self.retiring.lock().expect("no panic while held").clone();
-        let led = self.roster().led(self.now(), LED_AGE);
+        let led = self.roster().led_groups(self.now(), LED_AGE);
         let led = led.into_iter().flat_map(|led| led.retiring);
         told.into_iter().chain(led).map(VmId).collect()
     }
@@ -224,7 +224,7 @@
             return Told::default();
         }
         let told = self.told.lock().expect("no panic while held").clone();
-        if self.roster().knows(&told.stores) { told } else { Told::default() }
+        if self.roster().contains_all(&told.stores) { told } else { Told::default() }
     }
 
     fn note_told(&self, nodes: &[Node]) {
@@ -248,9 +248,9 @@
         let now = self.clock.now();
         let mut roster = self.roster();
         for node in nodes.into_iter().filter(|node| node.vm != self.me.vm) {
-            roster.hear(now, node);
+            roster.observe(now, node);
         }
-        roster.hear(now, self.myself());
+        roster.observe(now, self.myself());
         roster.expire(now);
         let stores = roster.stores().filter_map(|(node, _)| {
             let address = node.peers.parse().ok()?;
--- a/crates/gypsumglade/src/gateway/relay.rs
+++ b/crates/gypsumglade/src/gateway/relay.rs
@@ -155,7 +155,7 @@
                     self.events += completed.events;
                 }
                 Some(Err(BrokenOff)) => return End::Broken,
-                None if self.scanner.is_inside() => return End::Broken,
+                None if self.scanner.has_partial() => return End::Broken,
                 None => return End::Whole,
             }
         }
--- a/crates/gypsumglade/src/gateway/text_client.rs
+++ b/crates/gypsumglade/src/gateway/text_client.rs
@@ -7,7 +7,7 @@
 use gypsumglade_core::policy::retry::{RepeatBudget, RetrySettings};
 use gypsumglade_core::prelude::*;
 use gypsumglade_core::replication::repair::Candidate;
-use gypsumglade_core::turns::{Holding, preferred};
+use gypsumglade_core::turns::{Holding, preferred_stores};
 use gypsumglade_core::wire::turn::{Text, TextPut, TextQuery, TextStored, Texts};
 use tokio::task::JoinSet;
 use tokio::time::Instant;
@@ -209,7 +209,7 @@
 
     /// Returns stores in the order in which they should hold a program's texts, the silent ones last.
     fn preferred(&self, program: &str) -> Vec<VmId> {
-        let mut order = preferred(program, &self.region, &self.known());
+        let mut order = preferred_stores(program, &self.region, &self.known());
         order.sort_by_key(|vm| self.is_silent(*vm));
         order
     }
--- a/crates/gypsumglade/src/membership/driver.rs
+++ b/crates/gypsumglade/src/membership/driver.rs
@@ -96,7 +96,7 @@
     }
 
     async fn next_event(&self, commands: &mut mpsc::Receiver<Command>, buffer: &mut [u8]) -> Event {
-        let wake = self.started + Duration::from_micros(self.membership.wake().0);
+        let wake = self.started + Duration::from_micros(self.membership.next_tick().0);
         let due = self.publish.map_or(wake, |publish| publish.min(wake));
         tokio::select! {
             received = self.socket.recv_from(buffer) => match received {
--- a/crates/gypsumglade/src/store/control_group/endpoints.rs
+++ b/crates/gypsumglade/src/store/control_group/endpoints.rs
@@ -58,7 +58,7 @@
                 Role::Leader { term, .. } => *term,
             };
             state.heard.note(&record.name, now);
-            (state.control.endpoints().is_news(record), term)
+            (state.control.endpoints().is_update(record), term)
         };
         if news {
             slog::info!(self.context.log, "endpoint announced"; "endpoint" => &record.name,
@@ -106,7 +106,9 @@
             let state = self.state();
             match &state.role {
                 Role::Follower(leader) => return no_news(*leader),
-                Role::Leader { term, .. } => (state.control.endpoints().news(query.seen), *term),
+                Role::Leader { term, .. } => {
+                    (state.control.endpoints().changes_since(query.seen), *term)
+                }
             }
         };
         if self.context.host.lease_term(GroupId::CONTROL).await != Some(term) {
--- a/crates/gypsumglade/src/store/registrar.rs
+++ b/crates/gypsumglade/src/store/registrar.rs
@@ -163,7 +163,7 @@
     pub fn is_retired(&self, name: &str) -> Result<bool, RetireError> {
         let discovery = self.state.discovery.as_ref().ok_or(RetireError::Unknown)?;
         let vm = self.store_named(name).ok_or(RetireError::Unknown)?;
-        let led = discovery.roster().led(discovery.now(), LED_AGE);
+        let led = discovery.roster().led_groups(discovery.now(), LED_AGE);
         let groups = (0..=self.state.settings.groups).chain([GroupId::TURNS.0]);
         let empty = groups.into_iter().all(|group| {
             let mut told = led.iter().filter(|led| led.group == group).peekable();
--- a/crates/gypsumglade/src/store/text_copies.rs
+++ b/crates/gypsumglade/src/store/text_copies.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 
 use gypsumglade_core::prelude::*;
-use gypsumglade_core::turns::{CopySurvey, Holding, Limits, Portion, Transfer};
+use gypsumglade_core::turns::{BatchSize, CopySurvey, Holding, Limits, Transfer};
 use gypsumglade_core::wire::turn::{TextCopy, TextsHeld};
 use tokio::task::JoinSet;
 use tokio_util::sync::CancellationToken;
@@ -24,15 +24,15 @@
 /// What one store is asked to fetch before the next look. It works through it by itself, so that the
 /// kept turns aren't looked through for each batch.
 const LIMITS: Limits = Limits {
-    near: Portion { texts: 4_096, bytes: 8 * 1024 * 1024 },
-    abroad: Portion { texts: 256, bytes: 512 * 1024 },
+    same_region: BatchSize { texts: 4_096, bytes: 8 * 1024 * 1024 },
+    cross_region: BatchSize { texts: 256, bytes: 512 * 1024 },
 };
 /// What one store fetches at one time: little enough that the few that are under way don't fill its memory
 /// or that of the store that gives them.
-const BATCH: Portion = Portion { texts: 256, bytes: 512 * 1024 };
+const BATCH: BatchSize = BatchSize { texts: 256, bytes: 512 * 1024 };
 /// What one store fetches at one time from another region: little enough that a heartbeat behind it on a
 /// narrow link isn't late.
-const BATCH_ABROAD: Portion = Portion { texts: 64, bytes: 128 * 1024 };
+const BATCH_ABROAD: BatchSize = BatchSize { texts: 64, bytes: 128 * 1024 };
 /// Pause after each batch from another region, so that copies take a part of the link and not all of it.
 const PAUSE_ABROAD: Duration = Duration::from_millis(50);
 /// Batches under way to one store: while one is synced, the next one is fetched.
@@ -141,7 +141,7 @@
         for copy in plan.copies {
             let target = copy.target;
             if !busy.contains(&target) && !survey.failing.contains(&target) {
-                let batch = if copy.abroad { BATCH_ABROAD } else { BATCH };
+                let batch = if copy.cross_region { BATCH_ABROAD } else { BATCH };
                 targets.entry(target).or_default().extend(copy.split(batch));
             }
         }
@@ -156,7 +156,7 @@
             while under_way.len() < UNDER_WAY
                 && let Some(copy) = copies.next()
             {
-                let abroad = copy.abroad;
+                let abroad = copy.cross_region;
                 under_way.spawn(Arc::clone(&self).carry_out(copy));
                 if abroad {
                     break;
@@ -195,7 +195,7 @@
         let noted = copied.is_empty() || self.turns.note_copied(&copied).await;
         slog::info!(self.context.log, "texts copied"; "store" => %copy.target,
             "texts" => copied.len(), "asked" => order.turns.len(), "noted" => noted);
-        if copy.abroad {
+        if copy.cross_region {
             tokio::time::sleep(PAUSE_ABROAD).await;
         }
         noted && !copied.is_empty()
@@ -218,7 +218,7 @@
         memory.forget(now);
         let failing = memory.failing.keys().copied().collect();
         let put_off = memory.put_off.keys().cloned().collect();
-        CopySurvey { alive, copies: self.copies, failing, put_off }
+        CopySurvey { alive, copies: self.copies, failing, deferred: put_off }
     }
 
     fn memory(&self) -> MutexGuard<'_, Memory> {
--- a/crates/gypsumglade/src/store/turn_group.rs
+++ b/crates/gypsumglade/src/store/turn_group.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use gypsumglade_core::prelude::*;
 use gypsumglade_core::replication::{LogIndex, Term};
-use gypsumglade_core::turns::{CopySurvey, Holding, LeadClock, Limits, Transfer, Turns};
+use gypsumglade_core::turns::{CopySurvey, Holding, LeaderClock, Limits, Transfer, Turns};
 use gypsumglade_core::wire::turn::command::Body as CommandBody;
 use gypsumglade_core::wire::turn::reply::Body as ReplyBody;
 use gypsumglade_core::wire::turn::{
@@ -30,7 +30,7 @@
 struct TurnState {
     turns: Turns,
     /// Set once this store leads and has applied what earlier leaders committed.
-    lead: Option<LeadClock>,
+    lead: Option<LeaderClock>,
     /// True while the state lacks what a snapshot held that could not be read. What is applied meanwhile
     /// proves nothing: a turn that isn't in it may be kept all the same.
     unusable: bool,
@@ -128,7 +128,7 @@
         let unusable = {
             let mut state = self.state();
             let now = self.context.clock.now();
-            state.lead = Some(LeadClock::start(state.turns.time(), Clock::wall_millis(), now));
+            state.lead = Some(LeaderClock::start(state.turns.time(), Clock::wall_millis(), now));
             state.unusable
         };
         slog::info!(self.context.log, "leads the turn group"; "term" => term.0);
@@ -209,7 +209,7 @@
         }
         CopyPlan {
             copies: state.turns.plan_copies(survey, limits),
-            relied: state.turns.relied_on(survey),
+            relied: state.turns.required_holders(survey),
         }
     }
 
