--- a/crates/gypsumglade/src/gateway/opening.rs
+++ b/crates/gypsumglade/src/gateway/attempt.rs
@@ -11,32 +11,32 @@
 use tokio::time::Instant;
 
 use super::call::Call;
-use super::channels::{Channel, ChannelError};
-use super::dialect::{AnswerHead, Order, Refusal, Standing};
-use super::placing::{Flight, place};
+use super::connections::{Connection, ConnectionError};
+use super::dialect::{AnswerHead, AnswerKind, AttemptHead, Refusal};
+use super::placement::{ActiveDispatch, place};
 use super::state::GatewayState;
 
 /// Endpoints that may refuse a request before it is given up: with more than that full, another
 /// try would only add to their queues.
 const MAX_REFUSALS: usize = 3;
 /// When to come back after several endpoints were full: some of their requests have ended by then.
-const FULL_PAUSE: Duration = Duration::from_millis(250);
+const FULL_RETRY_AFTER: Duration = Duration::from_millis(250);
 
 /// An answer whose head is an endpoint's word on the request.
-pub(super) struct Opened {
+pub(super) struct EndpointAnswer {
     pub(super) response: Response<Incoming>,
     pub(super) head: AnswerHead,
-    pub(super) channel: Channel,
-    pub(super) flight: Flight,
+    pub(super) connection: Connection,
+    pub(super) dispatch: ActiveDispatch,
 }
 
 /// How one attempt went.
-enum Outcome {
-    Opened(Box<Opened>),
+enum DispatchOutcome {
+    Answered(Box<EndpointAnswer>),
     /// Surely not run there.
     NotRun,
     /// It may have run.
-    InDoubt,
+    MaybeRun,
 }
 
 /// A request's attempts so far.
@@ -50,7 +50,7 @@
 
 impl Attempts {
     /// Tells whether a request that broke may be sent again.
-    pub(super) fn may_repeat(&self, call: &Call) -> bool {
+    pub(super) fn may_retry(&self, call: &Call) -> bool {
         call.is_idempotent() && self.runs < call.route.attempts
     }
 }
@@ -60,82 +60,87 @@
 /// # Errors
 /// Tells the caller whether it may have run. A request that may not be repeated is never sent again
 /// once a byte of it may have been read.
-pub(super) async fn open(
+pub(super) async fn send_until_answered(
     state: &Arc<GatewayState>,
     call: &Call,
     body: &Bytes,
     after: Option<u64>,
     attempts: &mut Attempts,
-) -> Result<Opened, Refusal> {
+) -> Result<EndpointAnswer, Refusal> {
     let mut refusals = 0;
     loop {
-        let left = call.left();
+        let left = call.time_left();
         if left.is_zero() {
-            return Err(over(attempts));
+            return Err(timeout_refusal(attempts));
         }
-        let flight = match place(state, call, body, &attempts.tried) {
-            Ok(flight) => flight,
+        let dispatch = match place(state, call, body, &attempts.tried) {
+            Ok(dispatch) => dispatch,
             Err(pause) if attempts.runs == 0 => {
-                let after = if refusals > 0 { FULL_PAUSE } else { pause };
-                return Err(Refusal::Unavailable { after });
+                let retry_after = if refusals > 0 { FULL_RETRY_AFTER } else { pause };
+                return Err(Refusal::Unavailable { retry_after });
             }
             Err(_) => return Err(Refusal::Lost),
         };
-        attempts.tried.push(flight.name.clone());
-        let (endpoint, sent) = (flight.endpoint, Instant::now());
-        let patience = patience(state, call, attempts, left);
-        let sending = send(state, call, body, after, flight);
-        match tokio::time::timeout(patience, sending).await {
-            Ok(Outcome::Opened(opened)) => {
-                note_answer(state, call, sent.elapsed());
-                return Ok(*opened);
+        attempts.tried.push(dispatch.name.clone());
+        let (endpoint, sent) = (dispatch.endpoint, Instant::now());
+        let timeout = answer_timeout(state, call, attempts, left);
+        let sending = send(state, call, body, after, dispatch);
+        match tokio::time::timeout(timeout, sending).await {
+            Ok(DispatchOutcome::Answered(answer)) => {
+                record_answer_time(state, call, sent.elapsed());
+                return Ok(*answer);
             }
-            Ok(Outcome::NotRun) => refusals += 1,
-            Ok(Outcome::InDoubt) => {
+            Ok(DispatchOutcome::NotRun) => refusals += 1,
+            Ok(DispatchOutcome::MaybeRun) => {
                 attempts.runs += 1;
-                if !attempts.may_repeat(call) {
+                if !attempts.may_retry(call) {
                     return Err(Refusal::Lost);
                 }
             }
-            Err(_) if patience < left => {
+            Err(_) if timeout < left => {
                 attempts.runs += 1;
                 let now = state.clock.now();
-                state.desk().registry.overdue(now, endpoint);
+                state.routing().registry.overdue(now, endpoint);
                 slog::info!(state.log, "answer overdue"; "request" => %call.head.id,
                     "route" => %call.route.name, "endpoint" => attempts.tried.last().map(|name| name.as_str()),
-                    "ms" => patience.as_millis() as u64);
+                    "ms" => timeout.as_millis() as u64);
             }
             Err(_) => return Err(Refusal::TimedOut),
         }
         if refusals >= MAX_REFUSALS && attempts.runs == 0 {
-            return Err(Refusal::Unavailable { after: FULL_PAUSE });
+            return Err(Refusal::Unavailable { retry_after: FULL_RETRY_AFTER });
         }
     }
 }
 
 /// Returns how long to wait for an attempt's answer. A stream shows by its events that it is alive, and a
 /// call that may not be repeated has no other attempt.
-fn patience(state: &GatewayState, call: &Call, attempts: &Attempts, left: Duration) -> Duration {
+fn answer_timeout(
+    state: &GatewayState,
+    call: &Call,
+    attempts: &Attempts,
+    left: Duration,
+) -> Duration {
     let further = call.route.attempts.saturating_sub(attempts.runs + 1);
     let repeats = call.is_idempotent() && call.stream().is_none();
     if !repeats || !state.settings.policy.mechanisms().has(Mechanism::Patience) {
         return left;
     }
-    let time = state.desk().answers.get(&call.route.name).copied().unwrap_or_default();
+    let time = state.routing().answer_times.get(&call.route.name).copied().unwrap_or_default();
     time.patience(left, further)
 }
 
-fn note_answer(state: &GatewayState, call: &Call, took: Duration) {
+fn record_answer_time(state: &GatewayState, call: &Call, took: Duration) {
     if call.stream().is_none() {
-        let mut desk = state.desk();
-        desk.answers.entry(call.route.name.clone()).or_default().observe(took);
+        let mut routing = state.routing();
+        routing.answer_times.entry(call.route.name.clone()).or_default().observe(took);
     }
 }
 
 /// Says why a request's time ended between two attempts.
-fn over(attempts: &Attempts) -> Refusal {
+fn timeout_refusal(attempts: &Attempts) -> Refusal {
     match attempts.runs {
-        0 => Refusal::Unavailable { after: Duration::ZERO },
+        0 => Refusal::Unavailable { retry_after: Duration::ZERO },
         _ => Refusal::TimedOut,
     }
 }
@@ -145,31 +150,33 @@
     call: &Call,
     body: &Bytes,
     after: Option<u64>,
-    flight: Flight,
-) -> Outcome {
-    let Ok(mut channel) = state.channels.open(flight.address).await else {
-        flight.failed();
-        return Outcome::NotRun;
+    dispatch: ActiveDispatch,
+) -> DispatchOutcome {
+    let Ok(mut connection) = state.connections.open(dispatch.address).await else {
+        dispatch.failed();
+        return DispatchOutcome::NotRun;
     };
-    let mut sent = channel.send(request(state, call, body, after, &flight)).await;
-    if sent.as_ref().is_err_and(|error| *error == ChannelError::NotSent) && channel.is_reused() {
+    let mut sent = connection.send(endpoint_request(state, call, body, after, &dispatch)).await;
+    if sent.as_ref().is_err_and(|error| *error == ConnectionError::NotSent)
+        && connection.is_reused()
+    {
         // The endpoint closed an idle connection; that says nothing about the endpoint.
-        let Ok(fresh) = state.channels.connect(flight.address).await else {
-            flight.failed();
-            return Outcome::NotRun;
+        let Ok(fresh) = state.connections.connect(dispatch.address).await else {
+            dispatch.failed();
+            return DispatchOutcome::NotRun;
         };
-        channel = fresh;
-        sent = channel.send(request(state, call, body, after, &flight)).await;
+        connection = fresh;
+        sent = connection.send(endpoint_request(state, call, body, after, &dispatch)).await;
     }
     match sent {
-        Ok(response) => classify(state, call, response, channel, flight),
-        Err(ChannelError::NotSent) => {
-            flight.failed();
-            Outcome::NotRun
+        Ok(response) => classify(state, call, response, connection, dispatch),
+        Err(ConnectionError::NotSent) => {
+            dispatch.failed();
+            DispatchOutcome::NotRun
         }
-        Err(ChannelError::Broken) => {
-            flight.failed();
-            Outcome::InDoubt
+        Err(ConnectionError::MaybeSent) => {
+            dispatch.failed();
+            DispatchOutcome::MaybeRun
         }
     }
 }
@@ -178,45 +185,51 @@
     state: &GatewayState,
     call: &Call,
     response: Response<Incoming>,
-    channel: Channel,
-    flight: Flight,
-) -> Outcome {
+    connection: Connection,
+    dispatch: ActiveDispatch,
+) -> DispatchOutcome {
     let (parts, body) = response.into_parts();
     let head = state.dialect.read_answer(&parts, &call.head.id);
     if let Some(load) = head.load {
-        flight.reported(load);
+        dispatch.record_load(load);
     }
-    match head.standing {
-        Standing::Answered => {
+    match head.kind {
+        AnswerKind::Answered => {
             let response = Response::from_parts(parts, body);
-            Outcome::Opened(Box::new(Opened { response, head, channel, flight }))
+            DispatchOutcome::Answered(Box::new(EndpointAnswer {
+                response,
+                head,
+                connection,
+                dispatch,
+            }))
         }
         // Full: it is not the endpoint's fault, and the load that it told keeps others away.
-        Standing::NotRun => Outcome::NotRun,
-        Standing::OtherEndpoint => {
-            flight.misdirected();
-            Outcome::NotRun
+        AnswerKind::NotRun => DispatchOutcome::NotRun,
+        AnswerKind::OtherEndpoint => {
+            dispatch.misdirected();
+            DispatchOutcome::NotRun
         }
         // The connection is dropped with it: what else is on it belongs to no request either.
-        Standing::Foreign => {
-            flight.failed();
-            Outcome::InDoubt
+        AnswerKind::Untrusted => {
+            dispatch.failed();
+            DispatchOutcome::MaybeRun
         }
     }
 }
 
-fn request(
+fn endpoint_request(
     state: &GatewayState,
     call: &Call,
     body: &Bytes,
     after: Option<u64>,
-    flight: &Flight,
+    dispatch: &ActiveDispatch,
 ) -> Request<Full<Bytes>> {
-    let order = Order { endpoint: &flight.name, left: call.left(), after_event: after };
+    let attempt =
+        AttemptHead { endpoint: &dispatch.name, time_left: call.time_left(), after_event: after };
     let path = call.parts.uri.path_and_query().map_or("/", |path| path.as_str());
     let mut request = Request::new(Full::new(body.clone()));
     *request.method_mut() = call.parts.method.clone();
     *request.uri_mut() = path.parse().unwrap_or_else(|_| Uri::from_static("/"));
-    *request.headers_mut() = state.dialect.write_order(&call.parts.headers, &order);
+    *request.headers_mut() = state.dialect.write_attempt(&call.parts.headers, &attempt);
     request
 }
--- a/crates/gypsumglade/src/gateway/plain.rs
+++ b/crates/gypsumglade/src/gateway/buffered.rs
@@ -6,10 +6,10 @@
 use http::Response;
 use http_body_util::{BodyExt as _, Limited};
 
-use super::call::{Answer, Call, whole};
+use super::attempt::{Attempts, EndpointAnswer, send_until_answered};
+use super::call::{Answer, Call, full_body};
 use super::dialect::Refusal;
-use super::lines::{forwarded, is_encoded};
-use super::opening::{Attempts, Opened, open};
+use super::headers::{forwarded_headers, is_encoded};
 use super::state::GatewayState;
 
 /// Most bytes of an answer that is read whole before it is passed on.
@@ -22,45 +22,45 @@
 pub(super) async fn answer(state: &Arc<GatewayState>, call: &Call) -> Result<Answer, Refusal> {
     let mut attempts = Attempts::default();
     loop {
-        let opened = open(state, call, &call.body, None, &mut attempts).await?;
+        let answer = send_until_answered(state, call, &call.body, None, &mut attempts).await?;
         attempts.runs += 1;
-        if let Some(answer) = read_whole(state, call, opened).await? {
+        if let Some(answer) = read_to_end(state, call, answer).await? {
             return Ok(answer);
         }
-        if !attempts.may_repeat(call) {
+        if !attempts.may_retry(call) {
             return Err(Refusal::Lost);
         }
     }
 }
 
 /// Reads an answer to its end; `None` if it broke off.
-pub(super) async fn read_whole(
+pub(super) async fn read_to_end(
     state: &GatewayState,
     call: &Call,
-    opened: Opened,
+    answer: EndpointAnswer,
 ) -> Result<Option<Answer>, Refusal> {
-    let Opened { response, head, channel, flight } = opened;
+    let EndpointAnswer { response, head, connection, dispatch } = answer;
     let (parts, body) = response.into_parts();
     let reading = Limited::new(body, MAX_ANSWER_BYTES).collect();
-    let read = tokio::time::timeout(call.left(), reading).await;
+    let read = tokio::time::timeout(call.time_left(), reading).await;
     let read = read.map_err(|_| Refusal::TimedOut)?;
     let (Ok(collected), false) = (read, is_encoded(&parts)) else {
-        flight.failed();
+        dispatch.failed();
         return Ok(None);
     };
-    flight.finished();
-    state.channels.keep(channel, &head);
-    Ok(Some(passed_on(parts, collected.to_bytes())))
+    dispatch.finished();
+    state.connections.put_back(connection, &head);
+    Ok(Some(into_answer(parts, collected.to_bytes())))
 }
 
-fn passed_on(parts: http::response::Parts, body: Bytes) -> Answer {
-    let mut answer = Response::new(whole(body));
+fn into_answer(parts: http::response::Parts, body: Bytes) -> Answer {
+    let mut answer = Response::new(full_body(body));
     *answer.status_mut() = parts.status;
-    *answer.headers_mut() = forwarded(&parts.headers);
+    *answer.headers_mut() = forwarded_headers(&parts.headers);
     answer
 }
 
 /// Returns the answer to a request that has none of an endpoint.
-pub(super) fn refused(state: &GatewayState, refusal: Refusal) -> Answer {
-    state.dialect.refuse(&refusal).map(whole)
+pub(super) fn refusal_answer(state: &GatewayState, refusal: Refusal) -> Answer {
+    state.dialect.refuse(&refusal).map(full_body)
 }
--- a/crates/gypsumglade/src/gateway/call.rs
+++ b/crates/gypsumglade/src/gateway/call.rs
@@ -16,20 +16,20 @@
 /// Why a relayed body ends before it is whole; the connection is cut.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
 #[error("the answer broke off")]
-pub(super) struct BrokenOff;
+pub(super) struct IncompleteBody;
 
 /// Body of an answer to a caller.
-pub(super) type AnswerBody = BoxBody<Bytes, BrokenOff>;
+pub(super) type AnswerBody = BoxBody<Bytes, IncompleteBody>;
 
 /// Answer to a caller.
 pub(super) type Answer = Response<AnswerBody>;
 
 /// Longest time that a request may take where neither caller nor operator bounds it.
-const LONGEST: Duration = Duration::from_secs(300);
+const MAX_TIMEOUT: Duration = Duration::from_secs(300);
 
 /// The route of a request, with the pool that its weights chose and the bundle it stands in.
 #[derive(Debug)]
-pub(super) struct Matched {
+pub(super) struct RouteMatch {
     pub(super) route: Route,
     pub(super) pool: CompactString,
     pub(super) bundle: Arc<ActiveBundle>,
@@ -47,7 +47,7 @@
     pub(super) bundle: Arc<ActiveBundle>,
     pub(super) arrived: Instant,
     /// End of the time that the caller and the operator give it.
-    pub(super) until: Instant,
+    pub(super) deadline: Instant,
 }
 
 impl Call {
@@ -56,18 +56,18 @@
         head: CallHead,
         parts: request::Parts,
         body: Bytes,
-        matched: Matched,
+        matched: RouteMatch,
         arrived: Instant,
     ) -> Call {
-        let Matched { route, pool, bundle } = matched;
-        let timeout = Duration::from_millis(route.timeout_ms).min(LONGEST);
-        let until = arrived + head.deadline.unwrap_or(timeout).min(timeout);
-        Call { head, parts, body, route, pool, bundle, arrived, until }
+        let RouteMatch { route, pool, bundle } = matched;
+        let timeout = Duration::from_millis(route.timeout_ms).min(MAX_TIMEOUT);
+        let deadline = arrived + head.timeout.unwrap_or(timeout).min(timeout);
+        Call { head, parts, body, route, pool, bundle, arrived, deadline }
     }
 
     /// Returns the time that is left.
-    pub(super) fn left(&self) -> Duration {
-        self.until.saturating_duration_since(Instant::now())
+    pub(super) fn time_left(&self) -> Duration {
+        self.deadline.saturating_duration_since(Instant::now())
     }
 
     /// Tells whether a request that may have run may be sent again.
@@ -86,8 +86,8 @@
     }
 
     /// Returns the time until the program should be finished, as the caller told it.
-    pub(super) fn finish(&self) -> Option<Duration> {
-        self.head.turn.as_ref().and_then(|turn| turn.finish)
+    pub(super) fn finish_within(&self) -> Option<Duration> {
+        self.head.turn.as_ref().and_then(|turn| turn.finish_within)
     }
 
     /// Returns the line of turns that a turn belongs to, for logs.
@@ -111,6 +111,6 @@
 }
 
 /// Wraps a body that is whole.
-pub(super) fn whole(body: Bytes) -> AnswerBody {
+pub(super) fn full_body(body: Bytes) -> AnswerBody {
     Full::new(body).map_err(|never| match never {}).boxed()
 }
--- a/crates/gypsumglade/src/gateway/channels.rs
+++ b/crates/gypsumglade/src/gateway/connections.rs
@@ -23,16 +23,16 @@
 /// endpoint is tried after it.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// How long an idle connection is kept where the endpoint does not say.
-const DEFAULT_IDLE: Duration = Duration::from_secs(4);
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 /// Part of the endpoint's own idle time for which a connection is kept: one that the endpoint
 /// closes while a request is on its way leaves open whether the request ran.
-const IDLE_PART: f64 = 0.6;
+const IDLE_FRACTION: f64 = 0.6;
 /// Most idle connections kept for one endpoint.
 const MAX_IDLE: usize = 16;
 
 /// A connection that may carry the next request.
 #[derive(Debug)]
-pub(super) struct Channel {
+pub(super) struct Connection {
     address: SocketAddr,
     sender: SendRequest<Full<Bytes>>,
     reused: bool,
@@ -40,36 +40,36 @@
 
 /// Why a request has no answer head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum ChannelError {
+pub(super) enum ConnectionError {
     /// Surely not a byte was read by the endpoint.
     NotSent,
     /// It may have been read.
-    Broken,
+    MaybeSent,
 }
 
 #[derive(Debug)]
 struct Idle {
-    channel: Channel,
-    until: Instant,
+    connection: Connection,
+    expires: Instant,
 }
 
 /// Idle connections by endpoint.
 #[derive(Debug, Default)]
-pub(super) struct Channels {
+pub(super) struct ConnectionPool {
     idle: Mutex<HashMap<SocketAddr, Vec<Idle>>>,
 }
 
-impl Channels {
+impl ConnectionPool {
     /// Takes an idle connection, or opens one.
-    pub(super) async fn open(&self, address: SocketAddr) -> Result<Channel, ChannelError> {
-        if let Some(channel) = self.take(address) {
-            return Ok(channel);
+    pub(super) async fn open(&self, address: SocketAddr) -> Result<Connection, ConnectionError> {
+        if let Some(connection) = self.take_idle(address) {
+            return Ok(connection);
         }
         self.connect(address).await
     }
 
     /// Opens a connection.
-    pub(super) async fn connect(&self, address: SocketAddr) -> Result<Channel, ChannelError> {
+    pub(super) async fn connect(&self, address: SocketAddr) -> Result<Connection, ConnectionError> {
         let opening = async {
             let stream = TcpStream::connect(address).await.ok()?;
             stream.set_nodelay(true).ok()?;
@@ -77,52 +77,53 @@
             let (sender, connection) = Builder::new().handshake(io).await.ok()?;
             // Its error shows in the request that it carries.
             tokio::spawn(async move { drop(connection.await) });
-            Some(Channel { address, sender, reused: false })
+            Some(Connection { address, sender, reused: false })
         };
         let opened = tokio::time::timeout(CONNECT_TIMEOUT, opening).await.ok().flatten();
-        opened.ok_or(ChannelError::NotSent)
+        opened.ok_or(ConnectionError::NotSent)
     }
 
     /// Keeps a connection whose answer was whole for the next request, as long as the answer's head
     /// says that the endpoint does.
-    pub(super) fn keep(&self, mut channel: Channel, head: &AnswerHead) {
-        if head.closes || channel.sender.is_closed() {
+    pub(super) fn put_back(&self, mut connection: Connection, head: &AnswerHead) {
+        if head.closes || connection.sender.is_closed() {
             return;
         }
-        channel.reused = true;
-        let until = Instant::now() + head.idle.unwrap_or(DEFAULT_IDLE).mul_f64(IDLE_PART);
+        connection.reused = true;
+        let expires = Instant::now()
+            + head.idle_timeout.unwrap_or(DEFAULT_IDLE_TIMEOUT).mul_f64(IDLE_FRACTION);
         let mut all = self.idle.lock().expect("no panic while held");
-        let kept = all.entry(channel.address).or_default();
+        let kept = all.entry(connection.address).or_default();
         if kept.len() < MAX_IDLE {
-            kept.push(Idle { channel, until });
+            kept.push(Idle { connection, expires });
         }
     }
 
     /// Closes the connections whose idle time is over.
-    pub(super) fn expire(&self) {
+    pub(super) fn close_expired(&self) {
         let now = Instant::now();
         let mut all = self.idle.lock().expect("no panic while held");
         all.retain(|_, kept| {
-            kept.retain(|idle| idle.until > now && !idle.channel.sender.is_closed());
+            kept.retain(|idle| idle.expires > now && !idle.connection.sender.is_closed());
             !kept.is_empty()
         });
     }
 
     /// Takes the connection that was used last: those that stay unused then run out.
-    fn take(&self, address: SocketAddr) -> Option<Channel> {
+    fn take_idle(&self, address: SocketAddr) -> Option<Connection> {
         let now = Instant::now();
         let mut all = self.idle.lock().expect("no panic while held");
         let kept = all.get_mut(&address)?;
         while let Some(idle) = kept.pop() {
-            if idle.until > now && idle.channel.sender.is_ready() {
-                return Some(idle.channel);
+            if idle.expires > now && idle.connection.sender.is_ready() {
+                return Some(idle.connection);
             }
         }
         None
     }
 }
 
-impl Channel {
+impl Connection {
     /// Tells whether it carried a request before.
     pub(super) fn is_reused(&self) -> bool {
         self.reused
@@ -132,12 +133,12 @@
     pub(super) async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
-    ) -> Result<Response<Incoming>, ChannelError> {
+    ) -> Result<Response<Incoming>, ConnectionError> {
         match self.sender.try_send_request(request).await {
             Ok(response) => Ok(response),
             // The library gives the request back only if not a byte of it was written.
-            Err(error) if error.message().is_some() => Err(ChannelError::NotSent),
-            Err(_) => Err(ChannelError::Broken),
+            Err(error) if error.message().is_some() => Err(ConnectionError::NotSent),
+            Err(_) => Err(ConnectionError::MaybeSent),
         }
     }
 }
--- a/crates/gypsumglade/src/gateway/dialect.rs
+++ b/crates/gypsumglade/src/gateway/dialect.rs
@@ -13,7 +13,7 @@
 
     /// Returns the headers with which a request goes to an endpoint: the caller's own that are
     /// meant for it, and those of the order.
-    fn write_order(&self, caller: &HeaderMap, order: &Order<'_>) -> HeaderMap;
+    fn write_attempt(&self, caller: &HeaderMap, attempt: &AttemptHead<'_>) -> HeaderMap;
 
     /// Reads the head of an endpoint's answer to the request `id`.
     fn read_answer(&self, head: &response::Parts, id: &str) -> AnswerHead;
@@ -30,7 +30,7 @@
     /// Host that the caller names, without a port.
     pub host: CompactString,
     /// How long the caller waits.
-    pub deadline: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// Present for a request of a program.
     pub turn: Option<TurnHead>,
     /// Prompt, in parts that other requests may share, in order.
@@ -38,7 +38,7 @@
     /// Tokens of the whole prompt.
     pub prompt_tokens: u64,
     /// Most tokens that the answer may have.
-    pub most_tokens: u64,
+    pub max_tokens: u64,
     /// The last event that the caller has of an earlier attempt.
     pub last_event: Option<u64>,
     /// Requests with the same value concern the same thing, and run faster where it was handled
@@ -54,7 +54,7 @@
     /// The line of turns within it that the request belongs to.
     pub session: CompactString,
     /// Time until the program should be finished.
-    pub finish: Option<Duration>,
+    pub finish_within: Option<Duration>,
     /// Most tokens that all turns of the program may generate.
     pub budget: Option<u64>,
     /// The turn that this one continues, empty at the start of a chain.
@@ -72,11 +72,11 @@
 
 /// How one attempt is sent to an endpoint.
 #[derive(Clone, Copy, Debug)]
-pub struct Order<'a> {
+pub struct AttemptHead<'a> {
     /// The endpoint that is meant; another one at the address must refuse.
     pub endpoint: &'a str,
     /// Time that is left.
-    pub left: Duration,
+    pub time_left: Duration,
     /// Event after which a stream goes on.
     pub after_event: Option<u64>,
 }
@@ -85,18 +85,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AnswerHead {
     /// Whether it is the endpoint's word on this request.
-    pub standing: Standing,
+    pub kind: AnswerKind,
     /// Load that came with it.
     pub load: Option<EndpointLoad>,
     /// How long the endpoint keeps the connection when idle.
-    pub idle: Option<Duration>,
+    pub idle_timeout: Option<Duration>,
     /// True when the endpoint closes the connection after it.
     pub closes: bool,
 }
 
 /// Whether an answer is the endpoint's word on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum AnswerKind {
     /// The endpoint ran the request, and this is its answer.
     Answered,
     /// The endpoint has not run it and never will.
@@ -104,7 +104,7 @@
     /// Another endpoint has the address; the request has not run.
     OtherEndpoint,
     /// It belongs to no request here, or can't be the endpoint's whole answer.
-    Foreign,
+    Untrusted,
 }
 
 /// Load of an endpoint as it told.
@@ -132,7 +132,7 @@
     /// It has not run and never will; it is worth coming back after this time.
     Unavailable {
         /// When to come back.
-        after: Duration,
+        retry_after: Duration,
     },
     /// It may have run; the endpoint's answer was lost.
     Lost,
--- a/crates/gypsumglade/src/gateway/follow.rs
+++ b/crates/gypsumglade/src/gateway/endpoint_sync.rs
@@ -8,65 +8,65 @@
 use gypsumglade_core::prelude::*;
 use gypsumglade_core::wire::control::{EndpointNews, EndpointQuery, EndpointRecord};
 
-use super::placing::endpoint_kind;
+use super::placement::endpoint_kind;
 use super::state::GatewayState;
 use crate::entry::active_bundle::ActiveBundle;
 use crate::leader_hint::LeaderHint;
 use crate::rpc::{Method, RpcError};
 
 /// How long a question waits at the leader for news.
-const WAIT: Duration = Duration::from_millis(800);
+const LONG_POLL: Duration = Duration::from_millis(800);
 /// The same while the endpoints known can't be used yet, for want of a bundle: a loop that waits for
 /// news meanwhile keeps refusing requests after all processes were killed.
-const PENDING_WAIT: Duration = Duration::from_millis(50);
+const PENDING_LONG_POLL: Duration = Duration::from_millis(50);
 /// Longest wait for the answer: a leader that fell silent is noticed this fast, well within the
 /// time that a draining endpoint goes on serving.
 const TIMEOUT: Duration = Duration::from_millis(1_300);
 /// Pause after a store that does not lead.
-const PAUSE: Duration = Duration::from_millis(40);
+const RETRY_INTERVAL: Duration = Duration::from_millis(40);
 /// Time for which an endpoint counts as there without a word from the control group. The group
 /// tells when one goes; this only bounds a partition from it, which callers are served through.
-const LEASE: Duration = Duration::from_secs(60);
+const ENDPOINT_LEASE: Duration = Duration::from_secs(60);
 
 /// What is known of the endpoints.
-struct Follower {
+struct EndpointSync {
     state: Arc<GatewayState>,
-    seen: u64,
-    known: HashMap<CompactString, EndpointRecord>,
+    seen_change: u64,
+    endpoints: HashMap<CompactString, EndpointRecord>,
     /// Numbers the announcements to the registry, which takes none twice.
     sequence: u64,
     renewal: Renewal,
 }
 
 /// Follows until the process stops taking work.
-pub(super) async fn follow(state: Arc<GatewayState>, halt: tokio_util::sync::CancellationToken) {
-    let mut follower = Follower {
-        seen: 0,
-        known: HashMap::new(),
+pub(super) async fn run(state: Arc<GatewayState>, shutdown: tokio_util::sync::CancellationToken) {
+    let mut sync = EndpointSync {
+        seen_change: 0,
+        endpoints: HashMap::new(),
         sequence: 0,
         renewal: Renewal::default(),
         state,
     };
     let mut leader = LeaderHint::starting_at(rand::random_range(0..16));
-    while !halt.is_cancelled() {
-        let asked = follower.ask(&mut leader).await;
+    while !shutdown.is_cancelled() {
+        let asked = sync.query(&mut leader).await;
         match asked {
-            Some(news) => follower.take(news),
-            None => tokio::time::sleep(PAUSE).await,
+            Some(news) => sync.apply(news),
+            None => tokio::time::sleep(RETRY_INTERVAL).await,
         }
-        follower.renew_leases();
+        sync.announce_if_due();
     }
 }
 
-impl Follower {
-    async fn ask(&self, leader: &mut LeaderHint) -> Option<EndpointNews> {
+impl EndpointSync {
+    async fn query(&self, leader: &mut LeaderHint) -> Option<EndpointNews> {
         let (vm, address) = leader.target(&self.state.directory, Instant::now())?;
-        let wait = match (self.seen, self.renewal.is_pending()) {
+        let wait = match (self.seen_change, self.renewal.is_pending()) {
             (0, _) => Duration::ZERO,
-            (_, true) => PENDING_WAIT,
-            (_, false) => WAIT,
+            (_, true) => PENDING_LONG_POLL,
+            (_, false) => LONG_POLL,
         };
-        let query = EndpointQuery { seen: self.seen, wait_ms: wait.as_millis() as u64 };
+        let query = EndpointQuery { seen: self.seen_change, wait_ms: wait.as_millis() as u64 };
         let asking = self.state.peers.ask(address, Method::Endpoints, &query, TIMEOUT);
         let news: Result<EndpointNews, RpcError> = asking.await;
         match news {
@@ -85,41 +85,41 @@
         }
     }
 
-    fn take(&mut self, news: EndpointNews) {
-        if news.change == self.seen {
+    fn apply(&mut self, news: EndpointNews) {
+        if news.change == self.seen_change {
             return;
         }
-        self.seen = news.change;
-        let mut next = if news.delta { self.known.clone() } else { HashMap::new() };
+        self.seen_change = news.change;
+        let mut next = if news.delta { self.endpoints.clone() } else { HashMap::new() };
         for name in &news.gone {
             next.remove(name.as_str());
         }
         let named = news.endpoints.into_iter().map(|found| (found.name.to_compact_string(), found));
         next.extend(named);
-        self.drop_gone(&next);
-        self.known = next;
+        self.remove_gone(&next);
+        self.endpoints = next;
         self.renewal.hurry();
-        slog::info!(self.state.log, "endpoints followed"; "change" => self.seen,
-            "endpoints" => self.known.len(),
-            "leaving" => self.known.values().filter(|record| record.leaving).count());
+        slog::info!(self.state.log, "endpoints followed"; "change" => self.seen_change,
+            "endpoints" => self.endpoints.len(),
+            "leaving" => self.endpoints.values().filter(|record| record.leaving).count());
     }
 
     /// Takes endpoints out that are gone or have started anew. Their name may be at another address
     /// by now, which the registry would refuse while it thinks that the former start is there.
-    fn drop_gone(&self, next: &HashMap<CompactString, EndpointRecord>) {
+    fn remove_gone(&self, next: &HashMap<CompactString, EndpointRecord>) {
         let now = self.state.clock.now();
-        let mut desk = self.state.desk();
-        for (name, record) in &self.known {
+        let mut routing = self.state.routing();
+        for (name, record) in &self.endpoints {
             let same = next.get(name).is_some_and(|new| new.incarnation == record.incarnation);
             if !same {
-                desk.registry.leave(now, name, record.incarnation);
+                routing.registry.leave(now, name, record.incarnation);
             }
         }
     }
 
     /// Tells the registry of all endpoints when there is news of them, when another bundle is in
     /// force, and now and then to renew their leases.
-    fn renew_leases(&mut self) {
+    fn announce_if_due(&mut self) {
         let now = self.state.clock.now();
         let bundle = self.state.config.active(now).ok();
         let due = self.renewal.is_due(now, bundle.as_ref().map(|bundle| bundle.revision));
@@ -131,8 +131,8 @@
 
     fn announce_all(&mut self, now: Time, bundle: &ActiveBundle) {
         self.sequence += 1;
-        let mut desk = self.state.desk();
-        for record in self.known.values() {
+        let mut routing = self.state.routing();
+        for record in self.endpoints.values() {
             let settings = &self.state.settings;
             let announcement = Announcement {
                 name: record.name.to_compact_string(),
@@ -143,13 +143,13 @@
                 domain: settings.domain_id(&record.domain).unwrap_or_default(),
                 region: settings.region_of(&record.domain).unwrap_or_default(),
                 fencing: false,
-                lease: LEASE,
+                lease: ENDPOINT_LEASE,
                 leaving: record.leaving,
                 load: None,
                 cache_events: CacheEvents::default(),
             };
-            desk.registry.announce(now, announcement);
+            routing.registry.announce(now, announcement);
         }
-        desk.registry.expire(now);
+        routing.registry.expire(now);
     }
 }
--- a/crates/gypsumglade/src/gateway/lines.rs
+++ b/crates/gypsumglade/src/gateway/headers.rs
@@ -21,7 +21,7 @@
 ];
 
 /// Returns the headers to pass on: all but those that concern one connection only.
-pub fn forwarded(headers: &HeaderMap) -> HeaderMap {
+pub fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
     let named = headers.get_all(CONNECTION).iter().filter_map(|value| value.to_str().ok());
     let named: Vec<&str> = named.flat_map(|value| value.split(',')).map(str::trim).collect();
     let mut kept = HeaderMap::with_capacity(headers.len());
--- a/crates/gypsumglade/src/gateway/history_cache.rs
+++ b/crates/gypsumglade/src/gateway/history_cache.rs
@@ -12,14 +12,14 @@
 use tokio::time::Instant;
 
 /// How long a history waits for the next turn.
-const KEPT_FOR: Duration = Duration::from_secs(10);
+const TTL: Duration = Duration::from_secs(10);
 /// Most bytes of all histories.
-const MOST_BYTES: usize = 2 << 20;
+const MAX_BYTES: usize = 2 << 20;
 
 #[derive(Debug)]
 struct Entry {
     history: Bytes,
-    until: Instant,
+    expires: Instant,
 }
 
 /// Histories by the turn that ends each.
@@ -32,7 +32,7 @@
     /// Returns everything up to the end of a turn, if it ended here lately.
     pub(super) fn get(&self, turn: &str) -> Option<Bytes> {
         let entries = self.entries.lock().expect("no panic while held");
-        let found = entries.get(turn).filter(|entry| entry.until > Instant::now());
+        let found = entries.get(turn).filter(|entry| entry.expires > Instant::now());
         found.map(|entry| entry.history.clone())
     }
 
@@ -42,10 +42,10 @@
         let now = Instant::now();
         let mut entries = self.entries.lock().expect("no panic while held");
         entries.remove(previous);
-        entries.retain(|_, entry| entry.until > now);
+        entries.retain(|_, entry| entry.expires > now);
         let held: usize = entries.values().map(|entry| entry.history.len()).sum();
-        if held + history.len() <= MOST_BYTES {
-            entries.insert(turn, Entry { history, until: now + KEPT_FOR });
+        if held + history.len() <= MAX_BYTES {
+            entries.insert(turn, Entry { history, expires: now + TTL });
         }
     }
 }
--- a/crates/gypsumglade/src/gateway/intake.rs
+++ b/crates/gypsumglade/src/gateway/ingress.rs
@@ -15,10 +15,10 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::Instant;
 
-use super::call::{Answer, Call, Matched};
+use super::buffered::{self, refusal_answer};
+use super::call::{Answer, Call, RouteMatch};
 use super::dialect::Refusal;
-use super::placing::choose_pool;
-use super::plain::{self, refused};
+use super::placement::choose_pool;
 use super::state::GatewayState;
 use super::streaming;
 
@@ -28,21 +28,21 @@
 /// Time after a planned stop began until connections that are idle are closed and no further one is
 /// taken. By then the balancer has missed two answers and sends no more, and most callers have had
 /// an answer that tells them to open another connection.
-const LISTEN_ON: Duration = Duration::from_millis(3_000);
+const DRAIN_DELAY: Duration = Duration::from_millis(3_000);
 /// When to come back to a VM that knows no bundle: an election takes about a second, and callers who
 /// are told less have used up their attempts by then.
-const NO_BUNDLE_PAUSE: Duration = Duration::from_millis(900);
+const NO_BUNDLE_RETRY_AFTER: Duration = Duration::from_millis(900);
 /// Longest time that a caller may take to send its body, if neither it nor the operator bounds the request
 /// closer. It ends what a caller that fell silent has left behind.
 const BODY_TIMEOUT: Duration = Duration::from_secs(30);
 /// Pause after a failed accept (typically: out of file descriptors), so that the loop can't spin.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
 /// Takes connections until a planned stop is far enough.
 pub(super) async fn accept(state: Arc<GatewayState>, socket: TcpListener) {
     let closing = async {
         state.stop.cancelled().await;
-        tokio::time::sleep(LISTEN_ON).await;
+        tokio::time::sleep(DRAIN_DELAY).await;
     };
     tokio::pin!(closing);
     loop {
@@ -51,23 +51,25 @@
             accepted = socket.accept() => accepted,
         };
         match accepted {
-            Ok((stream, _)) => drop(state.tasks.spawn(connection(Arc::clone(&state), stream))),
+            Ok((stream, _)) => {
+                drop(state.tasks.spawn(serve_connection(Arc::clone(&state), stream)))
+            }
             Err(error) => {
                 slog::warn!(state.log, "cannot accept a caller"; "error" => %error);
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_BACKOFF).await;
             }
         }
     }
 }
 
 /// Serves a caller's connection until it closes it, or a planned stop does.
-async fn connection(state: Arc<GatewayState>, stream: TcpStream) {
+async fn serve_connection(state: Arc<GatewayState>, stream: TcpStream) {
     // Small frames of a token stream must not wait for an acknowledgement.
     let _ = stream.set_nodelay(true);
     let serving = Arc::clone(&state);
     let service = service_fn(move |request| {
         let state = Arc::clone(&serving);
-        async move { Ok::<_, Infallible>(serve(state, request).await) }
+        async move { Ok::<_, Infallible>(serve_request(state, request).await) }
     });
     let served = http1::Builder::new()
         .timer(TokioTimer::new())
@@ -76,7 +78,7 @@
     tokio::pin!(served);
     let closing = async {
         state.stop.cancelled().await;
-        tokio::time::sleep(LISTEN_ON).await;
+        tokio::time::sleep(DRAIN_DELAY).await;
     };
     tokio::select! {
         // A caller's connection that broke is the caller's to notice.
@@ -88,17 +90,17 @@
 }
 
 /// Takes one request through all steps.
-async fn serve(state: Arc<GatewayState>, request: Request<Incoming>) -> Answer {
+async fn serve_request(state: Arc<GatewayState>, request: Request<Incoming>) -> Answer {
     let arrived = Instant::now();
     let (parts, body) = request.into_parts();
-    let line = format!("{} {}", parts.method, parts.uri.path());
+    let request_line = format!("{} {}", parts.method, parts.uri.path());
     let prepared = prepare(&state, parts, body, arrived).await;
     let (id, result) = match prepared {
         Ok(call) => {
             let call = Arc::new(call);
             let result = match call.stream() {
                 Some(_) => streaming::answer(&state, Arc::clone(&call)).await,
-                None => plain::answer(&state, &call).await,
+                None => buffered::answer(&state, &call).await,
             };
             (call.head.id.clone(), result)
         }
@@ -109,11 +111,11 @@
         Err(refusal) => refusal.name(),
     };
     let status = result.as_ref().ok().map(|answer| answer.status().as_u16());
-    slog::info!(state.log, "request"; "request" => %id, "line" => line, "outcome" => outcome,
+    slog::info!(state.log, "request"; "request" => %id, "line" => request_line, "outcome" => outcome,
         "status" => status, "ms" => arrived.elapsed().as_millis() as u64,
         "revision" => state.config.applied().0);
     state.metrics.call(arrived.elapsed().as_secs_f64(), "passed", outcome);
-    let mut answer = result.unwrap_or_else(|refusal| refused(&state, refusal));
+    let mut answer = result.unwrap_or_else(|refusal| refusal_answer(&state, refusal));
     if state.stop.is_cancelled() {
         // The caller opens its next connection to another VM, with an answer in its hands.
         answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
@@ -133,18 +135,19 @@
     let head = head.ok_or((CompactString::default(), Refusal::Malformed))?;
     let refuse = |refusal| (head.id.clone(), refusal);
     let bundle = state.config.active(state.clock.now());
-    let bundle = bundle.map_err(|_| refuse(Refusal::Unavailable { after: NO_BUNDLE_PAUSE }))?;
+    let bundle =
+        bundle.map_err(|_| refuse(Refusal::Unavailable { retry_after: NO_BUNDLE_RETRY_AFTER }))?;
     let route = bundle.route(&head.host, parts.uri.path()).cloned();
     let route = route.ok_or_else(|| refuse(Refusal::NoRoute))?;
     let limit = usize::try_from(bundle.bundle.callers.body_bytes).unwrap_or(usize::MAX);
     let timeout = Duration::from_millis(route.timeout_ms);
-    let patience = head.deadline.unwrap_or(timeout).min(timeout).min(BODY_TIMEOUT);
-    let reading = tokio::time::timeout_at(arrived + patience, read_body(body, limit)).await;
-    let body = reading.unwrap_or(Err(Refusal::Unavailable { after: Duration::ZERO }));
+    let body_timeout = head.timeout.unwrap_or(timeout).min(timeout).min(BODY_TIMEOUT);
+    let reading = tokio::time::timeout_at(arrived + body_timeout, read_body(body, limit)).await;
+    let body = reading.unwrap_or(Err(Refusal::Unavailable { retry_after: Duration::ZERO }));
     let body = body.map_err(refuse)?;
     let program = head.turn.as_ref().map(|turn| &turn.program);
     let pool = choose_pool(&route, program.unwrap_or(&head.id));
-    Ok(Call::new(head, parts, body, Matched { route, pool, bundle }, arrived))
+    Ok(Call::new(head, parts, body, RouteMatch { route, pool, bundle }, arrived))
 }
 
 async fn read_body(body: Incoming, limit: usize) -> Result<Bytes, Refusal> {
--- a/crates/gypsumglade/src/gateway/leader_search.rs
+++ b/crates/gypsumglade/src/gateway/leader_search.rs
@@ -16,16 +16,16 @@
 use crate::rpc::{Method, PeerClients};
 
 /// Longest wait for one store's word on who leads: it costs a round of heartbeats at most.
-const TIMEOUT: Duration = Duration::from_millis(500);
+const ASK_TIMEOUT: Duration = Duration::from_millis(500);
 /// Pause between two stores at the start of a search, before each has been asked once.
-const FIRST_PAUSE: Duration = Duration::from_millis(30);
+const FIRST_ROUND_INTERVAL: Duration = Duration::from_millis(30);
 /// The same later: all entry VMs search at one time, and the stores have an election to hold.
-const PAUSE: Duration = Duration::from_millis(100);
+const ASK_INTERVAL: Duration = Duration::from_millis(100);
 /// Time within which a store that others name is not asked again: followers of one that fell silent
 /// go on naming it.
-const ASKED_LATELY: Duration = Duration::from_millis(200);
+const REPEAT_AFTER: Duration = Duration::from_millis(200);
 /// Longest search; whoever still waits starts another.
-const LONGEST: Duration = Duration::from_secs(10);
+const SEARCH_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A shared search; clones share what they learn.
 #[derive(Clone)]
@@ -38,7 +38,7 @@
     peers: PeerClients,
     leader: watch::Sender<Option<VmId>>,
     /// Whom a redirect named last.
-    named: Mutex<Option<VmId>>,
+    redirect: Mutex<Option<VmId>>,
     searching: AtomicBool,
 }
 
@@ -46,8 +46,8 @@
     /// Creates a search that knows no leader yet.
     pub(super) fn new(directory: Arc<Directory>, peers: PeerClients) -> LeaderSearch {
         let (leader, _) = watch::channel(None);
-        let (named, searching) = (Mutex::default(), AtomicBool::new(false));
-        LeaderSearch { shared: Arc::new(Shared { directory, peers, leader, named, searching }) }
+        let (redirect, searching) = (Mutex::default(), AtomicBool::new(false));
+        LeaderSearch { shared: Arc::new(Shared { directory, peers, leader, redirect, searching }) }
     }
 
     /// Returns who leads, now and later.
@@ -56,9 +56,9 @@
     }
 
     /// Notes that a store doesn't lead after all, and whom it named instead.
-    pub(super) fn lost(&self, vm: VmId, named: Option<VmId>) {
-        let named = named.filter(|named| named.0 != 0 && *named != vm);
-        *self.shared.named.lock().expect("no panic while held") = named;
+    pub(super) fn leader_lost(&self, vm: VmId, redirect: Option<VmId>) {
+        let redirect = redirect.filter(|redirect| redirect.0 != 0 && *redirect != vm);
+        *self.shared.redirect.lock().expect("no panic while held") = redirect;
         self.shared.leader.send_if_modified(|leader| {
             let held = *leader == Some(vm);
             if held {
@@ -75,7 +75,7 @@
         }
         let shared = Arc::clone(&self.shared);
         tokio::spawn(async move {
-            let leader = tokio::time::timeout(LONGEST, shared.search()).await;
+            let leader = tokio::time::timeout(SEARCH_TIMEOUT, shared.search()).await;
             shared.searching.store(false, Ordering::Release);
             if leader.is_ok() {
                 found();
@@ -90,24 +90,24 @@
 impl Shared {
     /// Asks one store after another until one says that it leads.
     async fn search(&self) -> VmId {
-        let mut asking = JoinSet::new();
+        let mut in_flight = JoinSet::new();
         let mut asked: BTreeMap<VmId, Instant> = BTreeMap::new();
         let mut next = Instant::now();
         // The store that led is asked first: most often it still does, and is only slow.
         let mut queue: Vec<VmId> = self.leader.borrow().iter().copied().collect();
         loop {
             tokio::select! {
-                Some(answer) = asking.join_next(), if !asking.is_empty() => {
+                Some(answer) = in_flight.join_next(), if !in_flight.is_empty() => {
                     let Ok((vm, Some(KeptReply { leads, leader, .. }))) = answer else { continue };
                     if leads {
                         return vm;
                     }
-                    self.follow(VmId(leader), &mut asking, &mut asked);
+                    self.follow_redirect(VmId(leader), &mut in_flight, &mut asked);
                 }
                 () = tokio::time::sleep_until(next) => {
-                    let named = self.named.lock().expect("no panic while held").take();
-                    if let Some(vm) = named {
-                        self.follow(vm, &mut asking, &mut asked);
+                    let redirect = self.redirect.lock().expect("no panic while held").take();
+                    if let Some(vm) = redirect {
+                        self.follow_redirect(vm, &mut in_flight, &mut asked);
                     }
                     let stores = self.directory.stores();
                     if queue.is_empty() {
@@ -115,42 +115,42 @@
                         queue.shuffle(&mut rand::rng());
                     }
                     if let Some(vm) = queue.pop() {
-                        self.ask(vm, &mut asking, &mut asked);
+                        self.ask(vm, &mut in_flight, &mut asked);
                     }
                     let first = asked.len() < stores.len();
-                    let pause = if first { FIRST_PAUSE } else { PAUSE };
-                    next = Instant::now() + pause.mul_f64(rand::random_range(0.7..1.3));
+                    let interval = if first { FIRST_ROUND_INTERVAL } else { ASK_INTERVAL };
+                    next = Instant::now() + interval.mul_f64(rand::random_range(0.7..1.3));
                 }
             }
         }
     }
 
     /// Asks a store that another one named.
-    fn follow(
+    fn follow_redirect(
         &self,
         vm: VmId,
-        asking: &mut JoinSet<(VmId, Option<KeptReply>)>,
+        in_flight: &mut JoinSet<(VmId, Option<KeptReply>)>,
         asked: &mut BTreeMap<VmId, Instant>,
     ) {
-        if asked.get(&vm).is_none_or(|at| at.elapsed() >= ASKED_LATELY) {
-            self.ask(vm, asking, asked);
+        if asked.get(&vm).is_none_or(|at| at.elapsed() >= REPEAT_AFTER) {
+            self.ask(vm, in_flight, asked);
         }
     }
 
     fn ask(
         &self,
         vm: VmId,
-        asking: &mut JoinSet<(VmId, Option<KeptReply>)>,
+        in_flight: &mut JoinSet<(VmId, Option<KeptReply>)>,
         asked: &mut BTreeMap<VmId, Instant>,
     ) {
         let Some(address) = self.directory.store(vm) else { return };
         asked.insert(vm, Instant::now());
-        asking.spawn(ask_one(self.peers.clone(), vm, address));
+        in_flight.spawn(ask_one(self.peers.clone(), vm, address));
     }
 }
 
 async fn ask_one(peers: PeerClients, vm: VmId, address: SocketAddr) -> (VmId, Option<KeptReply>) {
     let query = KeptQuery { turns: Vec::new() };
-    let reply = peers.ask(address, Method::KeptTurns, &query, TIMEOUT).await;
+    let reply = peers.ask(address, Method::KeptTurns, &query, ASK_TIMEOUT).await;
     (vm, reply.ok())
 }
--- a/crates/gypsumglade/src/gateway/mod.rs
+++ b/crates/gypsumglade/src/gateway/mod.rs
@@ -4,29 +4,30 @@
 //! turn set its tokens aside, place it, send it, relay the answer, settle. What differs from one
 //! platform to another is behind [`Dialect`]. docs/design/provider.md has the reasons.
 
+mod attempt;
+mod buffered;
 mod call;
-mod channels;
+mod connections;
 mod dialect;
-mod follow;
+mod endpoint_sync;
+mod headers;
 mod history_cache;
-mod intake;
+mod ingress;
 mod leader_search;
-mod lines;
-mod opening;
-mod placing;
-mod plain;
+mod placement;
 mod relay;
 mod serve;
 mod settlement;
-mod settling;
+mod settlement_queue;
 mod state;
 mod streaming;
 mod text_client;
 mod turn_client;
 
 pub use dialect::{
-    AnswerHead, CallHead, Dialect, EndpointLoad, Order, PromptPart, Refusal, Standing, TurnHead,
+    AnswerHead, AnswerKind, AttemptHead, CallHead, Dialect, EndpointLoad, PromptPart, Refusal,
+    TurnHead,
 };
-pub use lines::forwarded;
+pub use headers::forwarded_headers;
 pub use serve::{Gateway, GatewayAddresses};
 pub use text_client::TextClient;
--- a/crates/gypsumglade/src/gateway/placing.rs
+++ b/crates/gypsumglade/src/gateway/placement.rs
@@ -19,13 +19,13 @@
 
 use super::call::Call;
 use super::dialect::EndpointLoad;
-use super::state::{Desk, GatewayState};
+use super::state::{GatewayState, RoutingState};
 
 /// Part of the tokens that an answer may have that it is expected to have.
-const OUTPUT_PART: f64 = 0.5;
+const OUTPUT_FRACTION: f64 = 0.5;
 
 /// An attempt at an endpoint, counted as in flight there until it is dropped.
-pub(super) struct Flight {
+pub(super) struct ActiveDispatch {
     state: Arc<GatewayState>,
     pub(super) endpoint: EndpointKey,
     key: Option<DispatchKey>,
@@ -33,9 +33,9 @@
     pub(super) incarnation: u64,
     pub(super) address: SocketAddr,
     /// Prompt tokens that the endpoint was expected to lack.
-    pub(super) unread: u64,
+    pub(super) uncached: u64,
     /// When it was placed.
-    pub(super) placed: Instant,
+    pub(super) started: Instant,
     /// How often this process had stood still by then.
     pub(super) stalls: Stalls,
 }
@@ -62,11 +62,12 @@
 /// Returns what runs and waits at the endpoints of a request's pool.
 pub(super) fn pool_load(state: &GatewayState, call: &Call) -> PoolLoad {
     let now = state.clock.now();
-    let desk = state.desk();
+    let routing = state.routing();
     let model = pool_model(&call.pool);
-    let open = desk.registry.candidates(&model).iter().filter(|key| desk.registry.open(now, **key));
-    let stretch = desk.speeds.get(&call.pool).map_or(1.0, |speed| speed.pace.stretch());
-    let endpoints = open.filter_map(|key| desk.registry.get(*key));
+    let open =
+        routing.registry.candidates(&model).iter().filter(|key| routing.registry.open(now, **key));
+    let stretch = routing.speeds.get(&call.pool).map_or(1.0, |speed| speed.pace.stretch());
+    let endpoints = open.filter_map(|key| routing.registry.get(*key));
     endpoints.fold(PoolLoad { stretch, ..PoolLoad::default() }, |sum, endpoint| PoolLoad {
         calls: sum.calls + u64::from(endpoint.load(now).total),
         slots: sum.slots + u64::from(endpoint.kind.slots()),
@@ -75,57 +76,57 @@
 }
 
 /// What is known of the speed of a pool's engines.
-pub(super) struct Learnt {
+pub(super) struct SpeedEstimate {
     /// Generating.
-    pub(super) cost: Option<BatchCost>,
+    pub(super) decode: Option<BatchCost>,
     /// Seconds to read a prompt token.
-    pub(super) fill: Option<f64>,
+    pub(super) prefill: Option<f64>,
 }
 
 /// Returns what is known of the speed of a call's pool.
-pub(super) fn learnt(state: &GatewayState, call: &Call) -> Learnt {
-    let speed = state.desk().speeds.get(&call.pool).copied().unwrap_or_default();
-    Learnt { cost: speed.batch.cost(call.engine_slots()), fill: speed.fill.token() }
+pub(super) fn speed_estimate(state: &GatewayState, call: &Call) -> SpeedEstimate {
+    let speed = state.routing().speeds.get(&call.pool).copied().unwrap_or_default();
+    SpeedEstimate { decode: speed.decode.cost(call.engine_slots()), prefill: speed.prefill.token() }
 }
 
 /// Notes how long a stream's first event took an engine that had to read this many prompt tokens.
-pub(super) fn note_first(state: &GatewayState, call: &Call, flight: &Flight) {
-    if flight.was_stalled() {
+pub(super) fn record_first_event(state: &GatewayState, call: &Call, dispatch: &ActiveDispatch) {
+    if dispatch.was_stalled() {
         return;
     }
-    let (unread, first) = (flight.unread, flight.placed.elapsed());
-    let mut desk = state.desk();
-    let speed = desk.speeds.entry(call.pool.clone()).or_default();
-    speed.fill.observe(unread as f64, first.as_secs_f64());
+    let (uncached, first) = (dispatch.uncached, dispatch.started.elapsed());
+    let mut routing = state.routing();
+    let speed = routing.speeds.entry(call.pool.clone()).or_default();
+    speed.prefill.observe(uncached as f64, first.as_secs_f64());
 }
 
 /// Notes how fast a stream came.
-pub(super) fn note_speed(
+pub(super) fn record_speed(
     state: &GatewayState,
     call: &Call,
-    flight: &Flight,
+    dispatch: &ActiveDispatch,
     gap: Duration,
     load: EndpointLoad,
 ) {
-    if flight.was_stalled() {
+    if dispatch.was_stalled() {
         return;
     }
     let token = gap.as_secs_f64() / call.event_tokens().max(1) as f64;
     // The request itself is among those running.
     let beside = f64::from(load.running.saturating_sub(1));
-    let mut desk = state.desk();
-    let speed = desk.speeds.entry(call.pool.clone()).or_default();
-    speed.batch.observe(beside, token);
+    let mut routing = state.routing();
+    let speed = routing.speeds.entry(call.pool.clone()).or_default();
+    speed.decode.observe(beside, token);
     speed.pace.observe(gap);
 }
 
 /// Notes where a prompt's start was read last, as the turn group knows it. Other VMs' turns are news
 /// here; of own ones it says what is known.
-pub(super) fn note_run(state: &GatewayState, run: &PromptRun) {
+pub(super) fn record_prompt_run(state: &GatewayState, run: &PromptRun) {
     let now = state.clock.now();
-    let mut desk = state.desk();
-    if let Some(key) = desk.registry.key(&run.endpoint) {
-        desk.registry.expect_prefix(now, key, run.prompt, run.tokens);
+    let mut routing = state.routing();
+    if let Some(key) = routing.registry.key(&run.endpoint) {
+        routing.registry.expect_prefix(now, key, run.prompt, run.tokens);
     }
 }
 
@@ -138,63 +139,63 @@
     call: &Call,
     body: &Bytes,
     excluded: &[EndpointName],
-) -> Result<Flight, Duration> {
+) -> Result<ActiveDispatch, Duration> {
     let now = state.clock.now();
-    let mut desk = state.desk();
-    let desk = &mut *desk;
-    let ask = route_ask(state, desk, call, body, excluded);
-    let choice = desk.router.choose(now, &desk.registry, &ask).map_err(|error| match error {
-        RouteError::NoEndpoint { retry_after, .. } | RouteError::NoneFree { retry_after, .. } => {
-            retry_after
-        }
-    })?;
-    let flight = take_off(state, &mut desk.registry, &desk.watch, now, &choice);
+    let mut routing = state.routing();
+    let routing = &mut *routing;
+    let ask = route_ask(state, routing, call, body, excluded);
+    let choice =
+        routing.router.choose(now, &routing.registry, &ask).map_err(|error| match error {
+            RouteError::NoEndpoint { retry_after, .. }
+            | RouteError::NoneFree { retry_after, .. } => retry_after,
+        })?;
+    let dispatch = start_dispatch(state, &mut routing.registry, &routing.stall_watch, now, &choice);
     for prefix in &ask.shared {
-        desk.registry.expect_prefix(now, choice.endpoint, prefix.hash, prefix.tokens);
+        routing.registry.expect_prefix(now, choice.endpoint, prefix.hash, prefix.tokens);
     }
-    flight.ok_or(NO_ADDRESS_PAUSE)
+    dispatch.ok_or(NO_ADDRESS_RETRY_AFTER)
 }
 
 /// When to come back for an endpoint whose address can't be read: it will not become readable, but
 /// another endpoint may have come.
-const NO_ADDRESS_PAUSE: Duration = Duration::from_secs(1);
+const NO_ADDRESS_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-fn take_off(
+fn start_dispatch(
     state: &Arc<GatewayState>,
     registry: &mut Registry,
-    watch: &StallWatch,
+    stall_watch: &StallWatch,
     now: Time,
     choice: &Choice,
-) -> Option<Flight> {
+) -> Option<ActiveDispatch> {
     let endpoint = registry.get(choice.endpoint)?;
     let (name, incarnation) = (endpoint.name.clone(), endpoint.incarnation);
     let address = endpoint.address.parse().ok()?;
     let load = DispatchLoad { fill_tokens: choice.fill_tokens, alone: false };
     let key = registry.dispatched(now, choice.endpoint, load);
     let state = Arc::clone(state);
-    let stalls = watch.stalls(now);
-    let unread = choice.fill_tokens;
-    Some(Flight {
+    let stalls = stall_watch.stalls(now);
+    let uncached = choice.fill_tokens;
+    Some(ActiveDispatch {
         state,
         endpoint: choice.endpoint,
         key: Some(key),
         name,
         incarnation,
         address,
-        unread,
-        placed: Instant::now(),
+        uncached,
+        started: Instant::now(),
         stalls,
     })
 }
 
 fn route_ask(
     state: &GatewayState,
-    desk: &Desk,
+    routing: &RoutingState,
     call: &Call,
     body: &Bytes,
     excluded: &[EndpointName],
 ) -> RouteAsk {
-    let speed = desk.speeds.get(&call.pool).copied().unwrap_or_default();
+    let speed = routing.speeds.get(&call.pool).copied().unwrap_or_default();
     let engine = call.bundle.pool(&call.pool).is_some_and(|pool| pool.engine.is_some());
     let target = match engine {
         true => Target::Model(pool_model(&call.pool)),
@@ -206,9 +207,9 @@
         program: xxh3_64(key.as_bytes()),
         prompt_tokens: call.head.prompt_tokens,
         prior_tokens: 0,
-        output_guess: (call.head.most_tokens as f64 * OUTPUT_PART) as u64,
-        batch: speed.batch.cost(call.engine_slots()),
-        fill: speed.fill.token(),
+        output_guess: (call.head.max_tokens as f64 * OUTPUT_FRACTION) as u64,
+        batch: speed.decode.cost(call.engine_slots()),
+        fill: speed.prefill.token(),
         bytes: Some(body.len() as u64),
         last: Vec::new(),
         shared: shared_prefixes(call),
@@ -233,26 +234,26 @@
     prefixes.collect()
 }
 
-impl Flight {
+impl ActiveDispatch {
     /// Tells whether this process stood still since the attempt was placed, so that its times say
     /// nothing of the endpoint.
     fn was_stalled(&self) -> bool {
         let now = self.state.clock.now();
-        self.state.desk().watch.stalls(now) != self.stalls
+        self.state.routing().stall_watch.stalls(now) != self.stalls
     }
 
     /// Takes the load that came with an answer.
-    pub(super) fn reported(&self, load: EndpointLoad) {
+    pub(super) fn record_load(&self, load: EndpointLoad) {
         let now = self.state.clock.now();
         let report =
             LoadReport { running: load.running, waiting: load.waiting, ..LoadReport::default() };
-        self.state.desk().registry.reported(now, self.endpoint, report);
+        self.state.routing().registry.reported(now, self.endpoint, report);
     }
 
     /// Notes that the engine has read the prompt.
-    pub(super) fn filled(&self) {
+    pub(super) fn prefilled(&self) {
         if let Some(key) = self.key {
-            self.state.desk().registry.filled(key);
+            self.state.routing().registry.filled(key);
         }
     }
 
@@ -260,7 +261,7 @@
     pub(super) fn finished(mut self) {
         if let Some(key) = self.key.take() {
             let now = self.state.clock.now();
-            self.state.desk().registry.finished(now, key);
+            self.state.routing().registry.finished(now, key);
         }
     }
 
@@ -268,22 +269,22 @@
     pub(super) fn failed(mut self) {
         if let Some(key) = self.key.take() {
             let now = self.state.clock.now();
-            self.state.desk().registry.failed(now, key);
+            self.state.routing().registry.failed(now, key);
         }
     }
 
     /// Ends because another endpoint has the address; this one gets no more work.
     pub(super) fn misdirected(self) {
         let now = self.state.clock.now();
-        self.state.desk().registry.leave(now, &self.name, self.incarnation);
+        self.state.routing().registry.leave(now, &self.name, self.incarnation);
     }
 }
 
-impl Drop for Flight {
+impl Drop for ActiveDispatch {
     fn drop(&mut self) {
         if let Some(key) = self.key.take() {
             let now = self.state.clock.now();
-            self.state.desk().registry.cancelled(now, key);
+            self.state.routing().registry.cancelled(now, key);
         }
     }
 }
--- a/crates/gypsumglade/src/gateway/relay.rs
+++ b/crates/gypsumglade/src/gateway/relay.rs
@@ -11,22 +11,24 @@
 use hyper::body::Incoming;
 use tokio::sync::mpsc;
 
-use super::call::{BrokenOff, Call};
-use super::channels::Channel;
+use super::attempt::{Attempts, EndpointAnswer, send_until_answered};
+use super::call::{Call, IncompleteBody};
+use super::connections::Connection;
 use super::dialect::AnswerHead;
-use super::opening::{Attempts, Opened, open};
-use super::placing::{Flight, learnt, note_first, note_speed};
-use super::settlement::{Ended, Reservation, Used, Waits, settle_later, settle_whole};
+use super::placement::{ActiveDispatch, record_first_event, record_speed, speed_estimate};
+use super::settlement::{
+    CompletedTurn, Reservation, SettleTimes, TurnUsage, settle_completed, settle_in_background,
+};
 use super::state::GatewayState;
 
 /// A piece of a caller's answer.
-pub(super) type RelayFrame = Result<Frame<Bytes>, BrokenOff>;
+pub(super) type RelayFrame = Result<Frame<Bytes>, IncompleteBody>;
 
 /// Where events come from.
 pub(super) struct Source {
     body: Incoming,
-    flight: Flight,
-    channel: Channel,
+    dispatch: ActiveDispatch,
+    connection: Connection,
     head: AnswerHead,
 }
 
@@ -34,17 +36,17 @@
     /// Wraps an endpoint's answer whose head has been read.
     pub(super) fn new(
         body: Incoming,
-        flight: Flight,
-        channel: Channel,
+        dispatch: ActiveDispatch,
+        connection: Connection,
         head: AnswerHead,
     ) -> Source {
-        Source { body, flight, channel, head }
+        Source { body, dispatch, connection, head }
     }
 }
 
 /// How the endpoint's part of a stream ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum End {
+enum StreamEnd {
     /// The endpoint sent all of it.
     Whole,
     /// It broke off.
@@ -55,7 +57,7 @@
 
 /// How a stream's settlement ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Settled {
+enum SettlementEnd {
     /// Nothing of it is left to wait for.
     Durable,
     /// The caller's time was over before.
@@ -72,7 +74,7 @@
     source: Option<Source>,
     scanner: EventScanner,
     /// Read from the endpoint and not passed on yet.
-    ready: Bytes,
+    pending: Bytes,
     events: u64,
     attempts: Attempts,
     pub(super) reservation: Option<Reservation>,
@@ -96,14 +98,14 @@
         body: Bytes,
         source: Source,
     ) -> Relay {
-        let attempts = Attempts { tried: vec![source.flight.name.clone()], runs: 1 };
+        let attempts = Attempts { tried: vec![source.dispatch.name.clone()], runs: 1 };
         Relay {
             state,
             call,
             body,
             source: Some(source),
             scanner: EventScanner::default(),
-            ready: Bytes::new(),
+            pending: Bytes::new(),
             events: 0,
             attempts,
             reservation: None,
@@ -112,16 +114,16 @@
     }
 
     /// Reads up to the end of the first event; false if the endpoint broke off before it.
-    pub(super) async fn read_first(&mut self) -> bool {
-        while self.ready.is_empty() {
-            match self.next_piece().await {
+    pub(super) async fn read_first_event(&mut self) -> bool {
+        while self.pending.is_empty() {
+            match self.next_chunk().await {
                 Some(Ok(completed)) => {
-                    self.ready = completed.bytes;
+                    self.pending = completed.bytes;
                     self.events += completed.events;
                 }
                 // A stream without an event is whole too.
                 None => return true,
-                Some(Err(BrokenOff)) => return false,
+                Some(Err(IncompleteBody)) => return false,
             }
         }
         true
@@ -129,57 +131,57 @@
 
     /// Passes the stream on until it ends, then settles.
     pub(super) async fn run(mut self, caller: mpsc::Sender<RelayFrame>) {
-        let mut end = self.pump(&caller).await;
-        while end == End::Broken && self.resume().await {
-            end = self.pump(&caller).await;
+        let mut end = self.forward_events(&caller).await;
+        while end == StreamEnd::Broken && self.resume().await {
+            end = self.forward_events(&caller).await;
         }
         self.finish(end, &caller).await;
     }
 
-    async fn pump(&mut self, caller: &mpsc::Sender<RelayFrame>) -> End {
+    async fn forward_events(&mut self, caller: &mpsc::Sender<RelayFrame>) -> StreamEnd {
         loop {
-            let ready = std::mem::take(&mut self.ready);
-            if !ready.is_empty() && !self.pass(ready, caller).await {
-                return End::Abandoned;
+            let pending = std::mem::take(&mut self.pending);
+            if !pending.is_empty() && !self.send_to_caller(pending, caller).await {
+                return StreamEnd::Abandoned;
             }
-            let left = self.call.left();
-            let piece = tokio::select! {
-                piece = self.next_piece() => piece,
+            let left = self.call.time_left();
+            let chunk = tokio::select! {
+                chunk = self.next_chunk() => chunk,
                 // A caller that left must not keep an engine at work.
-                () = caller.closed() => return End::Abandoned,
-                () = tokio::time::sleep(left) => return End::Abandoned,
+                () = caller.closed() => return StreamEnd::Abandoned,
+                () = tokio::time::sleep(left) => return StreamEnd::Abandoned,
             };
-            match piece {
+            match chunk {
                 Some(Ok(completed)) => {
-                    self.ready = completed.bytes;
+                    self.pending = completed.bytes;
                     self.events += completed.events;
                 }
-                Some(Err(BrokenOff)) => return End::Broken,
-                None if self.scanner.is_inside() => return End::Broken,
-                None => return End::Whole,
+                Some(Err(IncompleteBody)) => return StreamEnd::Broken,
+                None if self.scanner.is_inside() => return StreamEnd::Broken,
+                None => return StreamEnd::Whole,
             }
         }
     }
 
-    async fn pass(&self, bytes: Bytes, caller: &mpsc::Sender<RelayFrame>) -> bool {
-        let left = self.call.left();
+    async fn send_to_caller(&self, bytes: Bytes, caller: &mpsc::Sender<RelayFrame>) -> bool {
+        let left = self.call.time_left();
         let sending = caller.send(Ok(Frame::data(bytes)));
         matches!(tokio::time::timeout(left, sending).await, Ok(Ok(())))
     }
 
     /// Reads the next piece; nothing at the end of the endpoint's answer.
-    async fn next_piece(&mut self) -> Option<Result<Completed, BrokenOff>> {
+    async fn next_chunk(&mut self) -> Option<Result<Completed, IncompleteBody>> {
         let source = self.source.as_mut()?;
         let frame = match source.body.frame().await? {
             Ok(frame) => frame,
-            Err(_) => return Some(Err(BrokenOff)),
+            Err(_) => return Some(Err(IncompleteBody)),
         };
         let Ok(data) = frame.into_data() else { return Some(Ok(Completed::default())) };
         let before = self.scanner.last_id();
         let completed = self.scanner.feed(&data);
         if before.is_none() && completed.events > 0 {
-            source.flight.filled();
-            note_first(&self.state, &self.call, &source.flight);
+            source.dispatch.prefilled();
+            record_first_event(&self.state, &self.call, &source.dispatch);
         }
         Some(Ok(completed))
     }
@@ -188,86 +190,95 @@
     async fn resume(&mut self) -> bool {
         let resumable = self.call.stream().is_some_and(|stream| stream.resumable);
         if let Some(source) = self.source.take() {
-            source.flight.failed();
+            source.dispatch.failed();
         }
-        if !resumable || !self.attempts.may_repeat(&self.call) {
+        if !resumable || !self.attempts.may_retry(&self.call) {
             return false;
         }
         self.scanner.drop_partial();
         let after = self.scanner.last_id().or(self.call.head.last_event);
         let (state, call) = (Arc::clone(&self.state), Arc::clone(&self.call));
-        let opened = open(&state, &call, &self.body, after, &mut self.attempts).await;
-        let Ok(Opened { response, head, channel, flight }) = opened else { return false };
+        let answer =
+            send_until_answered(&state, &call, &self.body, after, &mut self.attempts).await;
+        let Ok(EndpointAnswer { response, head, connection, dispatch }) = answer else {
+            return false;
+        };
         self.attempts.runs += 1;
         if response.status() != StatusCode::OK {
             return false;
         }
-        self.source = Some(Source::new(response.into_body(), flight, channel, head));
+        self.source = Some(Source::new(response.into_body(), dispatch, connection, head));
         true
     }
 
     /// Learns from a stream how fast its engine generates.
-    fn learn(&self, source: &Source, last: Duration) {
+    fn observe_speed(&self, source: &Source, last: Duration) {
         let Some(events) = u32::try_from(self.events).ok().filter(|events| *events > 1) else {
             return;
         };
         let gap = last.saturating_sub(self.timeline.first) / (events - 1);
         let load = source.head.load.unwrap_or_default();
-        note_speed(&self.state, &self.call, &source.flight, gap, load);
+        record_speed(&self.state, &self.call, &source.dispatch, gap, load);
     }
 
-    async fn finish(mut self, end: End, caller: &mpsc::Sender<RelayFrame>) {
+    async fn finish(mut self, end: StreamEnd, caller: &mpsc::Sender<RelayFrame>) {
         let tokens = self.events * self.call.event_tokens();
         let last = self.call.arrived.elapsed();
         if let Some(source) = &self.source {
-            self.learn(source, last);
+            self.observe_speed(source, last);
         }
         let endpoint = self.attempts.tried.last().cloned();
-        let used = Used { tokens, endpoint: endpoint.clone().filter(|_| self.events > 0) };
-        let unread = self.source.as_ref().map(|source| source.flight.unread);
+        let usage = TurnUsage { tokens, endpoint: endpoint.clone().filter(|_| self.events > 0) };
+        let uncached = self.source.as_ref().map(|source| source.dispatch.uncached);
         if let Some(source) = self.source.take() {
             release(&self.state, source, end);
         }
         let output = self.scanner.into_data();
-        let mut waits = Waits::default();
+        let mut times = SettleTimes::default();
         let settled = match (self.reservation.take(), end) {
-            (None, _) => Settled::Durable,
-            (Some(reservation), End::Whole) => {
-                let ended = Ended { sent: &self.body, output: &output };
-                let settling =
-                    settle_whole(&self.state, &self.call, &reservation, &used, ended, &mut waits);
+            (None, _) => SettlementEnd::Durable,
+            (Some(reservation), StreamEnd::Whole) => {
+                let completed = CompletedTurn { sent: &self.body, output: &output };
+                let settling = settle_completed(
+                    &self.state,
+                    &self.call,
+                    &reservation,
+                    &usage,
+                    completed,
+                    &mut times,
+                );
                 let settled = tokio::select! {
-                    durable = settling => if durable { Settled::Durable } else { Settled::Late },
-                    () = caller.closed() => Settled::Alone,
+                    durable = settling => if durable { SettlementEnd::Durable } else { SettlementEnd::Late },
+                    () = caller.closed() => SettlementEnd::Alone,
                 };
-                if settled != Settled::Durable {
-                    settle_later(&self.state, &reservation, &used);
+                if settled != SettlementEnd::Durable {
+                    settle_in_background(&self.state, &reservation, &usage);
                 }
                 settled
             }
-            (Some(reservation), End::Broken | End::Abandoned) => {
-                settle_later(&self.state, &reservation, &used);
-                Settled::Durable
+            (Some(reservation), StreamEnd::Broken | StreamEnd::Abandoned) => {
+                settle_in_background(&self.state, &reservation, &usage);
+                SettlementEnd::Durable
             }
         };
-        let learnt = learnt(&self.state, &self.call);
+        let estimate = speed_estimate(&self.state, &self.call);
         slog::info!(self.state.log, "stream ended"; "request" => %self.call.head.id,
             "program" => self.call.program(), "session" => self.call.session(),
             "route" => %self.call.route.name, "end" => ?end, "events" => self.events,
-            "finish_ms" => self.call.finish().map(|finish| finish.as_millis() as u64),
-            "prompt" => self.call.head.prompt_tokens, "unread" => unread,
-            "token_us" => micros(learnt.cost.map(|cost| cost.alone)),
-            "slope_us" => micros(learnt.cost.map(|cost| cost.slope)),
-            "fill_us" => micros(learnt.fill),
-            "settled" => settled == Settled::Durable, "settlement" => ?settled,
-            "put_ms" => waits.put.as_millis() as u64,
-            "settle_ms" => waits.settle.as_millis() as u64, "runs" => self.attempts.runs, "endpoint" => endpoint.as_deref(),
+            "finish_ms" => self.call.finish_within().map(|finish| finish.as_millis() as u64),
+            "prompt" => self.call.head.prompt_tokens, "unread" => uncached,
+            "token_us" => micros(estimate.decode.map(|cost| cost.alone)),
+            "slope_us" => micros(estimate.decode.map(|cost| cost.slope)),
+            "fill_us" => micros(estimate.prefill),
+            "settled" => settled == SettlementEnd::Durable, "settlement" => ?settled,
+            "put_ms" => times.put.as_millis() as u64,
+            "settle_ms" => times.settle.as_millis() as u64, "runs" => self.attempts.runs, "endpoint" => endpoint.as_deref(),
             "reserved_ms" => self.timeline.reserved.as_millis() as u64,
             "first_ms" => self.timeline.first.as_millis() as u64,
             "last_ms" => last.as_millis() as u64,
             "ms" => self.call.arrived.elapsed().as_millis() as u64);
-        if end != End::Whole || settled != Settled::Durable {
-            break_off(caller).await;
+        if end != StreamEnd::Whole || settled != SettlementEnd::Durable {
+            abort_answer(caller).await;
         }
     }
 }
@@ -276,22 +287,22 @@
 ///
 /// What was passed on before is flushed first: the connection is cut at the break, and a caller that
 /// may take its stream up again would lose the events that it had not been sent.
-async fn break_off(caller: &mpsc::Sender<RelayFrame>) {
+async fn abort_answer(caller: &mpsc::Sender<RelayFrame>) {
     let flushed = async {
         while caller.capacity() < caller.max_capacity() {
-            tokio::time::sleep(FLUSH_PAUSE).await;
+            tokio::time::sleep(FLUSH_INTERVAL).await;
         }
-        tokio::time::sleep(FLUSH_PAUSE).await;
+        tokio::time::sleep(FLUSH_INTERVAL).await;
     };
     // A caller that reads too slowly, or has gone, is cut all the same.
-    let _ = tokio::time::timeout(FLUSH_WAIT, flushed).await;
-    let _ = caller.send(Err(BrokenOff)).await;
+    let _ = tokio::time::timeout(FLUSH_TIMEOUT, flushed).await;
+    let _ = caller.send(Err(IncompleteBody)).await;
 }
 
 /// Pause between two looks whether a caller's connection has taken all events.
-const FLUSH_PAUSE: Duration = Duration::from_millis(2);
+const FLUSH_INTERVAL: Duration = Duration::from_millis(2);
 /// Longest wait for that: a caller that reads at all takes them in less than a round trip.
-const FLUSH_WAIT: Duration = Duration::from_millis(60);
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(60);
 
 /// Returns seconds as microseconds, for logs.
 fn micros(seconds: Option<f64>) -> Option<f64> {
@@ -299,16 +310,16 @@
 }
 
 /// Ends the attempt at an endpoint, and keeps its connection if the answer was whole.
-fn release(state: &GatewayState, source: Source, end: End) {
-    let Source { flight, channel, head, .. } = source;
+fn release(state: &GatewayState, source: Source, end: StreamEnd) {
+    let Source { dispatch, connection, head, .. } = source;
     match end {
-        End::Whole => {
-            flight.finished();
-            state.channels.keep(channel, &head);
+        StreamEnd::Whole => {
+            dispatch.finished();
+            state.connections.put_back(connection, &head);
         }
-        End::Broken => flight.failed(),
+        StreamEnd::Broken => dispatch.failed(),
         // Dropped: counted out without a verdict, and the connection is closed, which stops the
         // endpoint's work.
-        End::Abandoned => {}
+        StreamEnd::Abandoned => {}
     }
 }
--- a/crates/gypsumglade/src/gateway/serve.rs
+++ b/crates/gypsumglade/src/gateway/serve.rs
@@ -20,14 +20,14 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-use super::channels::Channels;
+use super::connections::ConnectionPool;
 use super::dialect::Dialect;
 use super::history_cache::HistoryCache;
-use super::settling::Settling;
-use super::state::{Desk, GatewayState};
+use super::settlement_queue::SettlementQueue;
+use super::state::{GatewayState, RoutingState};
 use super::text_client::TextClient;
 use super::turn_client::TurnClient;
-use super::{follow, intake};
+use super::{endpoint_sync, ingress};
 use crate::clock::Clock;
 use crate::directory::Directory;
 use crate::discovery::{Discovery, Process, fresh_identity};
@@ -41,9 +41,9 @@
 
 /// Time after a planned stop began until the process ends whatever is still under way. Requests are
 /// taken for three seconds and last four at most; the provider kills a process after eight.
-const LAST_END: Duration = Duration::from_millis(7_500);
+const STOP_TIMEOUT: Duration = Duration::from_millis(7_500);
 /// Pause between two looks for idle connections to endpoints whose time is over.
-const CHANNEL_SWEEP: Duration = Duration::from_secs(1);
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A running gateway.
 pub struct Gateway {
@@ -53,7 +53,7 @@
     metrics: Option<Listener>,
     discovery: Option<Arc<Discovery>>,
     /// Ends the background loops; cancelled last.
-    halt: CancellationToken,
+    shutdown: CancellationToken,
 }
 
 /// Addresses in use, with the ports that the kernel chose.
@@ -75,28 +75,28 @@
         dialect: Arc<dyn Dialect>,
         log: slog::Logger,
     ) -> anyhow::Result<Gateway> {
-        let own = settings.gateway.clone().context("the settings have no `gateway` section")?;
+        let gateway = settings.gateway.clone().context("the settings have no `gateway` section")?;
         let (state, discovery) = gateway_state(settings, dialect, log)?;
         let state = Arc::new(state);
-        let halt = CancellationToken::new();
-        let callers = TcpListener::bind(own.callers).await;
-        let callers = callers.with_context(|| format!("cannot listen on {}", own.callers))?;
+        let shutdown = CancellationToken::new();
+        let callers = TcpListener::bind(gateway.callers).await;
+        let callers = callers.with_context(|| format!("cannot listen on {}", gateway.callers))?;
         let options = listener_options(&state.settings, None)?;
         let ready = ready_routes(&state);
-        let ready = Listener::bind(own.ready, ready, options.clone(), halt.clone()).await?;
+        let ready = Listener::bind(gateway.ready, ready, options.clone(), shutdown.clone()).await?;
         let metrics = match state.settings.listen.metrics {
             Some(address) => {
                 let routes = metrics_routes(&state);
-                Some(Listener::bind(address, routes, options, halt.clone()).await?)
+                Some(Listener::bind(address, routes, options, shutdown.clone()).await?)
             }
             None => None,
         };
         let addresses = GatewayAddresses { callers: callers.local_addr()?, ready: ready.address() };
-        spawn_loops(&state, discovery.as_ref(), &halt);
-        tokio::spawn(intake::accept(Arc::clone(&state), callers));
+        spawn_loops(&state, discovery.as_ref(), &shutdown);
+        tokio::spawn(ingress::accept(Arc::clone(&state), callers));
         slog::info!(state.log, "gateway started"; "vm" => state.vm.0,
             "callers" => %addresses.callers, "ready" => %addresses.ready);
-        Ok(Gateway { state, addresses, ready, metrics, discovery, halt })
+        Ok(Gateway { state, addresses, ready, metrics, discovery, shutdown })
     }
 
     /// Returns the addresses in use.
@@ -119,8 +119,8 @@
         let began = Instant::now();
         state.stop.cancel();
         state.tasks.close();
-        let _ = tokio::time::timeout_at(began + LAST_END, state.tasks.wait()).await;
-        self.halt.cancel();
+        let _ = tokio::time::timeout_at(began + STOP_TIMEOUT, state.tasks.wait()).await;
+        self.shutdown.cancel();
         self.ready.drained().await;
         if let Some(metrics) = self.metrics {
             metrics.drained().await;
@@ -146,12 +146,12 @@
     };
     let registry =
         RegistrySettings { max_lease: MAX_LEASE, health: HEALTH, ..RegistrySettings::default() };
-    let desk = Desk {
+    let routing = RoutingState {
         registry: Registry::new(registry),
         router: Router::new(route_settings(&settings.policy), rand::random()),
         speeds: HashMap::new(),
-        answers: HashMap::new(),
-        watch: StallWatch::new(clock.now()),
+        answer_times: HashMap::new(),
+        stall_watch: StallWatch::new(clock.now()),
     };
     let process = Process { vm, role: Role::Entry, address: settings.listen.peers };
     let (shared, callers) = (Arc::clone(&directory), peers.clone());
@@ -161,7 +161,7 @@
         Arc::clone(&directory),
         peers.clone(),
         settings.vm.region.clone(),
-        settings.gateway.as_ref().map_or(0, |own| own.tolerate as usize) + 1,
+        settings.gateway.as_ref().map_or(0, |gateway| gateway.tolerate as usize) + 1,
     );
     let turns = TurnClient::new(Arc::clone(&directory), peers.clone(), clock, log.clone());
     let tasks = TaskTracker::new();
@@ -171,8 +171,8 @@
         clock,
         config: ConfigView::new(lease, vm, keys, clock.now()),
         dialect,
-        channels: Channels::default(),
-        settling: Settling::new(turns.clone(), tasks.clone(), log.clone()),
+        connections: ConnectionPool::default(),
+        settlements: SettlementQueue::new(turns.clone(), tasks.clone(), log.clone()),
         turns,
         texts,
         histories: HistoryCache::default(),
@@ -180,7 +180,7 @@
         log,
         stop: CancellationToken::new(),
         tasks,
-        desk: Mutex::new(desk),
+        routing: Mutex::new(routing),
         directory,
         peers,
         settings,
@@ -218,44 +218,44 @@
 fn spawn_loops(
     state: &Arc<GatewayState>,
     discovery: Option<&Arc<Discovery>>,
-    halt: &CancellationToken,
+    shutdown: &CancellationToken,
 ) {
     if let Some(discovery) = discovery {
-        tokio::spawn(Arc::clone(discovery).run(halt.clone()));
+        tokio::spawn(Arc::clone(discovery).run(shutdown.clone()));
     }
-    tokio::spawn(follow::follow(Arc::clone(state), halt.clone()));
-    tokio::spawn(renew_config(Arc::clone(state), halt.clone()));
-    tokio::spawn(sweep_channels(Arc::clone(state), halt.clone()));
-    tokio::spawn(watch_stalls(Arc::clone(state), halt.clone()));
+    tokio::spawn(endpoint_sync::run(Arc::clone(state), shutdown.clone()));
+    tokio::spawn(renew_config(Arc::clone(state), shutdown.clone()));
+    tokio::spawn(sweep_connections(Arc::clone(state), shutdown.clone()));
+    tokio::spawn(watch_stalls(Arc::clone(state), shutdown.clone()));
 }
 
-async fn renew_config(state: Arc<GatewayState>, halt: CancellationToken) {
+async fn renew_config(state: Arc<GatewayState>, shutdown: CancellationToken) {
     let me = gypsumglade_core::lease::VmRegion { vm: state.vm, region: state.place.region };
     let renewal = Renewal {
         me,
         directory: Arc::clone(&state.directory),
         peers: state.peers.clone(),
         clock: state.clock,
-        stop: halt,
+        stop: shutdown,
         log: state.log.clone(),
     };
     config::renew(&state.config, &renewal, |_| {}).await;
 }
 
-async fn watch_stalls(state: Arc<GatewayState>, halt: CancellationToken) {
-    while !halt.is_cancelled() {
+async fn watch_stalls(state: Arc<GatewayState>, shutdown: CancellationToken) {
+    while !shutdown.is_cancelled() {
         let now = state.clock.now();
-        state.desk().watch.look(now);
+        state.routing().stall_watch.look(now);
         tokio::time::sleep(stall::TICK).await;
     }
 }
 
-async fn sweep_channels(state: Arc<GatewayState>, halt: CancellationToken) {
-    while !halt.is_cancelled() {
-        state.channels.expire();
+async fn sweep_connections(state: Arc<GatewayState>, shutdown: CancellationToken) {
+    while !shutdown.is_cancelled() {
+        state.connections.close_expired();
         tokio::select! {
-            () = halt.cancelled() => {}
-            () = tokio::time::sleep(CHANNEL_SWEEP) => {}
+            () = shutdown.cancelled() => {}
+            () = tokio::time::sleep(SWEEP_INTERVAL) => {}
         }
     }
 }
--- a/crates/gypsumglade/src/gateway/settlement.rs
+++ b/crates/gypsumglade/src/gateway/settlement.rs
@@ -14,18 +14,18 @@
 
 use super::call::Call;
 use super::dialect::Refusal;
-use super::placing::shared_prefixes;
+use super::placement::shared_prefixes;
 use super::state::GatewayState;
 
 /// Longest wait for the histories of turns before a caller is better off at another VM, as a part of its
 /// time.
-const FETCH_PART: u32 = 4;
+const FETCH_DIVISOR: u32 = 4;
 /// Longest wait for one try at putting a text, before stores are chosen anew.
-const PUT_TRY: Duration = Duration::from_secs(1);
+const PUT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Pause before the next try; it doubles with each, since texts are large and a link may be full.
-const PUT_PAUSE: Duration = Duration::from_millis(50);
+const PUT_BACKOFF: Duration = Duration::from_millis(50);
 /// When to come back while histories can't be had: a store's copy is fetched from others.
-const NO_TEXT_PAUSE: Duration = Duration::from_millis(400);
+const NO_TEXT_RETRY_AFTER: Duration = Duration::from_millis(400);
 
 /// A turn whose tokens are set aside.
 #[derive(Clone, Debug)]
@@ -35,127 +35,132 @@
     /// The whole prompt, where the caller told its parts.
     prompt: Option<SharedPrefix>,
     /// Present where the turn is kept for those that continue it.
-    keeps: Option<Keeping>,
+    retained: Option<RetainedTurn>,
 }
 
 #[derive(Clone, Debug)]
-struct Keeping {
+struct RetainedTurn {
     previous: CompactString,
     input: Bytes,
-    retention: u64,
+    retention_ms: u64,
 }
 
 /// Leave to run a turn.
-pub(super) struct Leave {
+pub(super) struct ReservedTurn {
     /// What to send: everything that precedes, then the turn's own input.
     pub(super) body: Bytes,
     /// Whether the program had a turn before this one.
     pub(super) under_way: bool,
     /// Where the prompt's start was read last.
-    pub(super) ran: Option<PromptRun>,
+    pub(super) last_run: Option<PromptRun>,
     /// What to settle later; nothing for a request without budget whose turns are not kept.
-    pub(super) held: Option<Held>,
+    pub(super) guard: Option<ReservationGuard>,
 }
 
 /// Asks for leave to run a turn.
-pub(super) async fn reserve(state: &Arc<GatewayState>, call: &Call) -> Result<Leave, Refusal> {
-    let keep = call.stream().and_then(|stream| stream.keep_ms);
+pub(super) async fn reserve(
+    state: &Arc<GatewayState>,
+    call: &Call,
+) -> Result<ReservedTurn, Refusal> {
+    let retention_ms = call.stream().and_then(|stream| stream.keep_ms);
     let turn = call.head.turn.clone().unwrap_or_default();
-    if keep.is_none() && turn.budget.is_none() {
+    if retention_ms.is_none() && turn.budget.is_none() {
         let body = call.body.clone();
-        return Ok(Leave { body, under_way: true, ran: None, held: None });
+        return Ok(ReservedTurn { body, under_way: true, last_run: None, guard: None });
     }
-    let keeps = keep.map(|retention| Keeping {
+    let retained = retention_ms.map(|retention_ms| RetainedTurn {
         previous: turn.previous.clone(),
         input: call.body.clone(),
-        retention,
+        retention_ms,
     });
     let client = &state.turns;
     let known = state.histories.get(&turn.previous);
-    let starts = shared_prefixes(call);
+    let prefixes = shared_prefixes(call);
     let reservation = Reservation {
         turn: call.head.id.clone(),
         program: turn.program.clone(),
-        prompt: starts.last().copied(),
-        keeps,
+        prompt: prefixes.last().copied(),
+        retained,
     };
-    let ask = Reserve {
+    let request = Reserve {
         turn: call.head.id.to_string(),
         program: turn.program.to_string(),
         budget: turn.budget,
-        most: call.head.most_tokens,
+        most: call.head.max_tokens,
         previous: turn.previous.to_string(),
         now_ms: 0,
         held: known.is_some(),
-        lasts_ms: u64::try_from(call.left().as_millis()).unwrap_or(u64::MAX),
-        prompts: starts.iter().map(|start| start.hash).collect(),
+        lasts_ms: u64::try_from(call.time_left().as_millis()).unwrap_or(u64::MAX),
+        prompts: prefixes.iter().map(|prefix| prefix.hash).collect(),
     };
-    let need = Need { left: call.left(), bytes: call.body.len(), spread: rand::random() };
-    let ticket = client.admit(need).map_err(|refused| {
+    let need = Need { left: call.time_left(), bytes: call.body.len(), spread: rand::random() };
+    let permit = client.admit(need).map_err(|refused| {
         state.metrics.shed(refused.reason);
-        Refusal::Unavailable { after: refused.after }
+        Refusal::Unavailable { retry_after: refused.retry_after }
     })?;
-    let held = Held { state: Arc::clone(state), reservation: Some(reservation) };
-    let asked = Instant::now();
-    let reply = client.ask_with(ticket, CommandBody::Reserve(ask)).await;
-    note_wait(state, asked, "reserve", outcome(reply.as_ref()));
+    let guard = ReservationGuard { state: Arc::clone(state), reservation: Some(reservation) };
+    let began = Instant::now();
+    let reply = client.ask_with(permit, CommandBody::Reserve(request)).await;
+    record_wait(state, began, "reserve", outcome(reply.as_ref()));
     match reply {
         Some(ReplyBody::Reserved(reserved)) => {
             let chain: Vec<_> = reserved.chain.iter().map(Holding::from_wire).collect();
-            let fetched = Instant::now();
+            let fetch_began = Instant::now();
             let history = match known {
                 Some(history) => Some(history),
-                None => state.texts.fetch(&chain, fetched + call.left() / FETCH_PART).await,
+                None => {
+                    state.texts.fetch(&chain, fetch_began + call.time_left() / FETCH_DIVISOR).await
+                }
             };
             if !chain.is_empty() {
                 let outcome = if history.is_some() { "answered" } else { "silent" };
-                note_wait(state, fetched, "fetch", outcome);
+                record_wait(state, fetch_began, "fetch", outcome);
             }
             let Some(history) = history else {
                 state.metrics.shed("texts_missing");
-                return Err(Refusal::Unavailable { after: NO_TEXT_PAUSE });
+                return Err(Refusal::Unavailable { retry_after: NO_TEXT_RETRY_AFTER });
             };
-            Ok(Leave {
-                body: joined(&history, &call.body),
+            Ok(ReservedTurn {
+                body: concat(&history, &call.body),
                 under_way: reserved.under_way,
-                ran: reserved.ran,
-                held: Some(held),
+                last_run: reserved.ran,
+                guard: Some(guard),
             })
         }
         Some(ReplyBody::Spent(_)) => {
-            held.take();
+            guard.take();
             Err(Refusal::BudgetSpent)
         }
         Some(ReplyBody::Unknown(_)) => {
-            held.take();
+            guard.take();
             Err(Refusal::UnknownTurn)
         }
         _ => {
             state.metrics.shed("group_silent");
-            let left = call.left();
-            Err(Refusal::Unavailable { after: client.pause(Need { left, ..need }) })
+            let left = call.time_left();
+            Err(Refusal::Unavailable { retry_after: client.retry_after(Need { left, ..need }) })
         }
     }
 }
 
 /// A reservation that was made, or may have been. Dropped before its turn runs to a caller, it is settled
 /// to nothing: its tokens would count as used for good.
-pub(super) struct Held {
+pub(super) struct ReservationGuard {
     state: Arc<GatewayState>,
     reservation: Option<Reservation>,
 }
 
-impl Held {
+impl ReservationGuard {
     /// Returns the reservation, to be settled by whoever takes it.
     pub(super) fn take(mut self) -> Option<Reservation> {
         self.reservation.take()
     }
 }
 
-impl Drop for Held {
+impl Drop for ReservationGuard {
     fn drop(&mut self) {
         if let Some(reservation) = self.reservation.take() {
-            settle_later(&self.state, &reservation, &Used::default());
+            settle_in_background(&self.state, &reservation, &TurnUsage::default());
         }
     }
 }
@@ -167,13 +172,13 @@
     }
 }
 
-fn note_wait(state: &GatewayState, began: Instant, step: &'static str, outcome: &'static str) {
+fn record_wait(state: &GatewayState, began: Instant, step: &'static str, outcome: &'static str) {
     state.metrics.turn_wait(began.elapsed().as_secs_f64(), step, outcome);
 }
 
 /// What a turn used.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Used {
+pub(super) struct TurnUsage {
     /// Tokens that were handed to the caller.
     pub(super) tokens: u64,
     /// The engine that read its prompt.
@@ -182,7 +187,7 @@
 
 /// What a stream waited for after its engine had ended it.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Waits {
+pub(super) struct SettleTimes {
     /// Its text was put on disks.
     pub(super) put: Duration,
     /// The group took its settlement.
@@ -193,50 +198,50 @@
 /// A turn that may be continued must be: its caller would go on from it at another VM.
 ///
 /// The answer is ready, so nothing is worth more to its caller than the rest of its time.
-pub(super) async fn settle_whole(
+pub(super) async fn settle_completed(
     state: &GatewayState,
     call: &Call,
     reservation: &Reservation,
-    used: &Used,
-    ended: Ended<'_>,
-    waits: &mut Waits,
+    usage: &TurnUsage,
+    completed: CompletedTurn<'_>,
+    times: &mut SettleTimes,
 ) -> bool {
-    let Some(keeping) = &reservation.keeps else {
-        settle_later(state, reservation, used);
+    let Some(retained) = &reservation.retained else {
+        settle_in_background(state, reservation, usage);
         return true;
     };
-    let Ended { sent, output } = ended;
+    let CompletedTurn { sent, output } = completed;
     let began = Instant::now();
-    let bytes = keeping.input.len() + output.len();
+    let bytes = retained.input.len() + output.len();
     let turn = reservation.turn.to_string();
-    let text = Text { turn, input: keeping.input.clone(), output: output.clone() };
-    let retention = Duration::from_millis(keeping.retention);
+    let text = Text { turn, input: retained.input.clone(), output: output.clone() };
+    let retention = Duration::from_millis(retained.retention_ms);
     let put = put_text(state, call, &reservation.program, text, retention).await;
-    waits.put = began.elapsed();
-    note_wait(state, began, "put", if put.is_some() { "answered" } else { "silent" });
+    times.put = began.elapsed();
+    record_wait(state, began, "put", if put.is_some() { "answered" } else { "silent" });
     let Some(holders) = put else { return false };
     let kept = Kept {
-        previous: keeping.previous.to_string(),
-        retention_ms: keeping.retention,
+        previous: retained.previous.to_string(),
+        retention_ms: retained.retention_ms,
         holders: holders.into_iter().map(|vm| vm.0).collect(),
         bytes: bytes as u64,
     };
-    let settle = settle(reservation, used, Some(kept));
+    let settle = settle_command(reservation, usage, Some(kept));
     let began = Instant::now();
-    let answer = state.turns.ask(CommandBody::Settle(settle), call.left()).await;
-    waits.settle = began.elapsed();
-    note_wait(state, began, "settle", outcome(answer.as_ref()));
+    let answer = state.turns.ask(CommandBody::Settle(settle), call.time_left()).await;
+    times.settle = began.elapsed();
+    record_wait(state, began, "settle", outcome(answer.as_ref()));
     let settled = matches!(answer, Some(ReplyBody::Settled(_)));
     if settled {
-        let history = joined(sent, output);
-        state.histories.put(reservation.turn.clone(), &keeping.previous, history);
+        let history = concat(sent, output);
+        state.histories.put(reservation.turn.clone(), &retained.previous, history);
     }
     settled
 }
 
 /// What a turn was sent with and what it gave.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Ended<'a> {
+pub(super) struct CompletedTurn<'a> {
     /// Everything before it, and its own input.
     pub(super) sent: &'a Bytes,
     /// Its output.
@@ -251,26 +256,31 @@
     text: Text,
     retention: Duration,
 ) -> Option<Vec<VmId>> {
-    let mut pause = PUT_PAUSE;
-    while !call.left().is_zero() {
-        let until = call.until.min(Instant::now() + PUT_TRY);
-        let put = state.texts.put(program, text.clone(), retention, until).await;
+    let mut backoff = PUT_BACKOFF;
+    while !call.time_left().is_zero() {
+        let deadline = call.deadline.min(Instant::now() + PUT_TIMEOUT);
+        let put = state.texts.put(program, text.clone(), retention, deadline).await;
         if put.is_some() {
             return put;
         }
-        tokio::time::sleep(pause.mul_f64(rand::random_range(0.5..1.0)).min(call.left())).await;
-        pause *= 2;
+        tokio::time::sleep(backoff.mul_f64(rand::random_range(0.5..1.0)).min(call.time_left()))
+            .await;
+        backoff *= 2;
     }
     None
 }
 
 /// Settles a turn that is not kept, without a wait.
-pub(super) fn settle_later(state: &GatewayState, reservation: &Reservation, used: &Used) {
-    state.settling.settle(settle(reservation, used, None));
+pub(super) fn settle_in_background(
+    state: &GatewayState,
+    reservation: &Reservation,
+    usage: &TurnUsage,
+) {
+    state.settlements.settle(settle_command(reservation, usage, None));
 }
 
-fn settle(reservation: &Reservation, used: &Used, kept: Option<Kept>) -> Settle {
-    let read = reservation.prompt.zip(used.endpoint.as_ref());
+fn settle_command(reservation: &Reservation, usage: &TurnUsage, kept: Option<Kept>) -> Settle {
+    let read = reservation.prompt.zip(usage.endpoint.as_ref());
     let ran = read.map(|(prompt, endpoint)| PromptRun {
         prompt: prompt.hash,
         endpoint: endpoint.to_string(),
@@ -279,14 +289,14 @@
     Settle {
         turn: reservation.turn.to_string(),
         program: reservation.program.to_string(),
-        tokens: used.tokens,
+        tokens: usage.tokens,
         kept,
         now_ms: 0,
         ran,
     }
 }
 
-fn joined(start: &Bytes, rest: &Bytes) -> Bytes {
+fn concat(start: &Bytes, rest: &Bytes) -> Bytes {
     if start.is_empty() {
         return rest.clone();
     }
--- a/crates/gypsumglade/src/gateway/state.rs
+++ b/crates/gypsumglade/src/gateway/state.rs
@@ -13,10 +13,10 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-use super::channels::Channels;
+use super::connections::ConnectionPool;
 use super::dialect::Dialect;
 use super::history_cache::HistoryCache;
-use super::settling::Settling;
+use super::settlement_queue::SettlementQueue;
 use super::text_client::TextClient;
 use super::turn_client::TurnClient;
 use crate::clock::Clock;
@@ -36,10 +36,10 @@
     pub(super) peers: PeerClients,
     pub(super) config: ConfigView,
     pub(super) dialect: Arc<dyn Dialect>,
-    pub(super) channels: Channels,
+    pub(super) connections: ConnectionPool,
     pub(super) turns: TurnClient,
     /// Settlements that nobody waits for.
-    pub(super) settling: Settling,
+    pub(super) settlements: SettlementQueue,
     pub(super) texts: TextClient,
     pub(super) histories: HistoryCache,
     pub(super) metrics: Metrics,
@@ -48,41 +48,41 @@
     pub(super) stop: CancellationToken,
     /// Connections and relays under way, which a planned stop waits for.
     pub(super) tasks: TaskTracker,
-    pub(super) desk: Mutex<Desk>,
+    pub(super) routing: Mutex<RoutingState>,
 }
 
 /// The routing decisions' state, behind one lock that is never held across a wait.
-pub(super) struct Desk {
+pub(super) struct RoutingState {
     pub(super) registry: Registry,
     pub(super) router: Router,
     /// How fast each pool's engines are.
-    pub(super) speeds: HashMap<CompactString, Speed>,
+    pub(super) speeds: HashMap<CompactString, PoolSpeed>,
     /// How long each route's answers take.
-    pub(super) answers: HashMap<CompactString, AnswerTime>,
-    pub(super) watch: StallWatch,
+    pub(super) answer_times: HashMap<CompactString, AnswerTime>,
+    pub(super) stall_watch: StallWatch,
 }
 
 /// How fast a pool's engines are, as this VM's streams show it.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Speed {
+pub(super) struct PoolSpeed {
     /// Generating now, against idle.
     pub(super) pace: PoolPace,
     /// Generating, by what runs on one engine.
-    pub(super) batch: BatchFit,
+    pub(super) decode: BatchFit,
     /// Reading prompts.
-    pub(super) fill: FillFit,
+    pub(super) prefill: FillFit,
 }
 
 impl GatewayState {
-    pub(super) fn desk(&self) -> MutexGuard<'_, Desk> {
-        self.desk.lock().expect("no panic while held")
+    pub(super) fn routing(&self) -> MutexGuard<'_, RoutingState> {
+        self.routing.lock().expect("no panic while held")
     }
 
     /// Tells whether this VM should get callers: it knows its routes and some endpoint, and does
     /// not stop.
     pub(super) fn is_ready(&self) -> bool {
         let configured = self.config.active(self.clock.now()).is_ok();
-        let served = self.desk().registry.iter().next().is_some();
+        let served = self.routing().registry.iter().next().is_some();
         configured && served && !self.stop.is_cancelled()
     }
 }
--- a/crates/gypsumglade/src/gateway/text_client.rs
+++ b/crates/gypsumglade/src/gateway/text_client.rs
@@ -17,23 +17,23 @@
 use crate::rpc::{Method, PeerClients};
 
 /// Wait for a store to put a text on its disk before another one is asked as well.
-const PUT_PATIENCE: Duration = Duration::from_millis(200);
+const PUT_HEDGE_DELAY: Duration = Duration::from_millis(200);
 /// Longest wait for one store to put a text on its disk.
 const PUT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Wait for a store to give texts before another one is asked as well.
-const FETCH_PATIENCE: Duration = Duration::from_millis(200);
+const FETCH_HEDGE_DELAY: Duration = Duration::from_millis(200);
 /// Longest wait for one store to give texts.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(1);
 /// Bytes of texts that are asked for at one time: far below what one answer may have.
-const FETCH_BYTES: u64 = 4 * 1024 * 1024;
+const MAX_FETCH_BYTES: u64 = 4 * 1024 * 1024;
 /// Calls to one store that may fail before it is given up: one may have broken with its connection.
-const MOST_FAILURES: u32 = 2;
+const MAX_FAILURES: u32 = 2;
 /// Silence after which a store is not chosen.
-const SILENT_AFTER: Duration = Duration::from_secs(5);
+const STALE_AFTER: Duration = Duration::from_secs(5);
 /// Time for which a store that did not answer is chosen last.
-const AVOIDED: Duration = Duration::from_millis(1_500);
+const AVOID_FOR: Duration = Duration::from_millis(1_500);
 /// How much longer than its turn a text is kept before its holder asks about it.
-const GRACE: Duration = Duration::from_secs(15);
+const RETENTION_GRACE: Duration = Duration::from_secs(15);
 
 /// Puts and fetches texts; clones share what they learn.
 #[derive(Clone)]
@@ -44,10 +44,10 @@
     region: CompactString,
     copies: usize,
     /// Stores that did not answer lately.
-    silent: Arc<Mutex<HashMap<VmId, Instant>>>,
+    unresponsive: Arc<Mutex<HashMap<VmId, Instant>>>,
     hedging: RetrySettings,
     /// Hedges that puts have earned: while every store is slow, more would add to what slows them.
-    hedges: Arc<Mutex<RepeatBudget>>,
+    hedge_budget: Arc<Mutex<RepeatBudget>>,
 }
 
 impl TextClient {
@@ -59,10 +59,19 @@
         region: CompactString,
         copies: usize,
     ) -> TextClient {
-        let silent = Arc::default();
+        let unresponsive = Arc::default();
         let hedging = RetrySettings::default();
-        let hedges = Arc::new(Mutex::new(RepeatBudget::full(&hedging)));
-        TextClient { discovery, directory, peers, region, copies, silent, hedging, hedges }
+        let hedge_budget = Arc::new(Mutex::new(RepeatBudget::full(&hedging)));
+        TextClient {
+            discovery,
+            directory,
+            peers,
+            region,
+            copies,
+            unresponsive,
+            hedging,
+            hedge_budget,
+        }
     }
 
     /// Puts a text on as many stores as must have it, and returns them; nothing if `until` passes first.
@@ -71,25 +80,26 @@
         program: &str,
         text: Text,
         retention: Duration,
-        until: Instant,
+        deadline: Instant,
     ) -> Option<Vec<VmId>> {
-        let retention_ms = u64::try_from((retention + GRACE).as_millis()).unwrap_or(u64::MAX);
+        let retention_ms =
+            u64::try_from((retention + RETENTION_GRACE).as_millis()).unwrap_or(u64::MAX);
         let put = Arc::new(TextPut { texts: vec![text], retention_ms });
         let order = self.preferred(program);
         // A turn that is acknowledged with fewer copies is lost with as many disks as must be borne.
         let copies = self.copies;
-        self.hedges().earn(&self.hedging);
+        self.hedge_budget().earn(&self.hedging);
         let mut next = order.into_iter().peekable();
         let mut putting = JoinSet::new();
         let mut holders = Vec::with_capacity(copies);
         let mut asked: Vec<VmId> = next.by_ref().take(copies).collect();
         for &vm in &asked {
-            self.start_put(&mut putting, vm, &put, until);
+            self.start_put(&mut putting, vm, &put, deadline);
         }
-        let mut hedge = Instant::now() + PUT_PATIENCE;
+        let mut hedge = Instant::now() + PUT_HEDGE_DELAY;
         while holders.len() < copies {
-            let hopeful = holders.len() + putting.len() + next.len();
-            if hopeful < copies || Instant::now() >= until {
+            let possible = holders.len() + putting.len() + next.len();
+            if possible < copies || Instant::now() >= deadline {
                 break;
             }
             tokio::select! {
@@ -98,18 +108,18 @@
                     Ok((_, false)) | Err(_) => {
                         if let Some(vm) = next.next() {
                             asked.push(vm);
-                            self.start_put(&mut putting, vm, &put, until);
+                            self.start_put(&mut putting, vm, &put, deadline);
                         }
                     }
                 },
-                () = tokio::time::sleep_until(hedge.min(until)) => {
+                () = tokio::time::sleep_until(hedge.min(deadline)) => {
                     // They are chosen last from now on, until they answer.
-                    asked.iter().filter(|vm| !holders.contains(vm)).for_each(|vm| self.note(*vm, false));
-                    if let Some(vm) = next.next_if(|_| self.hedges().spend()) {
+                    asked.iter().filter(|vm| !holders.contains(vm)).for_each(|vm| self.record_response(*vm, false));
+                    if let Some(vm) = next.next_if(|_| self.hedge_budget().spend()) {
                         asked.push(vm);
-                        self.start_put(&mut putting, vm, &put, until);
+                        self.start_put(&mut putting, vm, &put, deadline);
                     }
-                    hedge = Instant::now() + PUT_PATIENCE;
+                    hedge = Instant::now() + PUT_HEDGE_DELAY;
                 }
             }
         }
@@ -120,39 +130,39 @@
 
     /// Returns the texts of a chain joined, oldest first; nothing once no store is left that may have
     /// what is lacking, or `until` passes.
-    pub async fn fetch(&self, chain: &[Holding], until: Instant) -> Option<Bytes> {
+    pub async fn fetch(&self, chain: &[Holding], deadline: Instant) -> Option<Bytes> {
         let mut found: HashMap<String, Text> = HashMap::new();
-        let mut sources = Sources::default();
-        let mut asking = JoinSet::new();
+        let mut state = FetchState::default();
+        let mut requests = JoinSet::new();
         let mut hedge = Instant::now();
         loop {
             let lacking: Vec<&Holding> =
                 chain.iter().filter(|holding| !found.contains_key(holding.turn.as_str())).collect();
             if lacking.is_empty() {
-                return Some(joined(chain, &found));
+                return Some(concat(chain, &found));
             }
-            if Instant::now() >= until {
+            if Instant::now() >= deadline {
                 return None;
             }
             let due = Instant::now() >= hedge;
-            match self.source(&lacking, &sources) {
-                Some(vm) if due || sources.is_fresh_choice(vm) => {
-                    let turns = sources.begin(vm, &lacking);
-                    asking.spawn(self.clone().ask_texts(vm, turns, until));
-                    hedge = Instant::now() + FETCH_PATIENCE;
+            match self.choose_source(&lacking, &state) {
+                Some(vm) if due || state.may_ask_now(vm) => {
+                    let turns = state.start_request(vm, &lacking);
+                    requests.spawn(self.clone().ask_texts(vm, turns, deadline));
+                    hedge = Instant::now() + FETCH_HEDGE_DELAY;
                 }
-                None if asking.is_empty() => return None,
-                None if due => hedge = Instant::now() + FETCH_PATIENCE,
+                None if requests.is_empty() => return None,
+                None if due => hedge = Instant::now() + FETCH_HEDGE_DELAY,
                 _ => {}
             }
             tokio::select! {
-                Some(answer) = asking.join_next() => {
+                Some(answer) = requests.join_next() => {
                     let Ok(answer) = answer else { continue };
-                    found.extend(sources.end(answer));
+                    found.extend(state.finish_request(answer));
                 }
-                () = tokio::time::sleep_until(hedge.min(until)) => {
+                () = tokio::time::sleep_until(hedge.min(deadline)) => {
                     // They are chosen last from now on, until they answer.
-                    sources.under_way.iter().for_each(|vm| self.note(*vm, false));
+                    state.in_flight.iter().for_each(|vm| self.record_response(*vm, false));
                 }
             }
         }
@@ -160,33 +170,33 @@
 
     /// Returns the store to ask next: of those that may have a lacking text, one that failed least and has
     /// most.
-    fn source(&self, lacking: &[&Holding], sources: &Sources) -> Option<VmId> {
+    fn choose_source(&self, lacking: &[&Holding], state: &FetchState) -> Option<VmId> {
         let mut counts: HashMap<VmId, usize> = HashMap::new();
         for holding in lacking {
-            let holders = holding.holders.iter().filter(|vm| sources.may_have(**vm, &holding.turn));
+            let holders = holding.holders.iter().filter(|vm| state.may_have(**vm, &holding.turn));
             holders.for_each(|vm| *counts.entry(*vm).or_default() += 1);
         }
-        let near: Vec<VmId> = self.near();
+        let near: Vec<VmId> = self.stores_by_region();
         let rank = |vm: VmId| near.iter().position(|other| *other == vm).unwrap_or(usize::MAX);
         let stores = counts.into_iter().filter(|(vm, _)| self.directory.store(*vm).is_some());
         let best = stores.min_by_key(|(vm, count)| {
-            (sources.failures(*vm), self.is_silent(*vm), usize::MAX - count, rank(*vm), *vm)
+            (state.failures(*vm), self.is_unresponsive(*vm), usize::MAX - count, rank(*vm), *vm)
         });
         best.map(|(vm, _)| vm)
     }
 
-    async fn ask_texts(self, source: VmId, turns: Vec<String>, until: Instant) -> Answer {
+    async fn ask_texts(self, source: VmId, turns: Vec<String>, deadline: Instant) -> FetchAnswer {
         let query = TextQuery { turns };
-        let left = until.saturating_duration_since(Instant::now()).min(FETCH_TIMEOUT);
+        let left = deadline.saturating_duration_since(Instant::now()).min(FETCH_TIMEOUT);
         let texts = match self.directory.store(source) {
             Some(address) => {
-                let asking = self.peers.ask::<_, Texts>(address, Method::Texts, &query, left);
-                asking.await.ok().map(|texts| texts.texts)
+                let requests = self.peers.ask::<_, Texts>(address, Method::Texts, &query, left);
+                requests.await.ok().map(|texts| texts.texts)
             }
             None => None,
         };
-        self.note(source, texts.is_some());
-        Answer { source, turns: query.turns, texts }
+        self.record_response(source, texts.is_some());
+        FetchAnswer { source, turns: query.turns, texts }
     }
 
     fn start_put(
@@ -194,14 +204,14 @@
         putting: &mut JoinSet<(VmId, bool)>,
         vm: VmId,
         put: &Arc<TextPut>,
-        until: Instant,
+        deadline: Instant,
     ) {
         let (client, put) = (self.clone(), Arc::clone(put));
         putting.spawn(async move {
             let Some(address) = client.directory.store(vm) else { return (vm, false) };
-            let timeout = until.saturating_duration_since(Instant::now()).min(PUT_TIMEOUT);
+            let timeout = deadline.saturating_duration_since(Instant::now()).min(PUT_TIMEOUT);
             let stored = client.peers.ask(address, Method::PutTexts, put.as_ref(), timeout).await;
-            client.note(vm, stored.is_ok());
+            client.record_response(vm, stored.is_ok());
             // A store whose disk was wiped answers at the same address under another identity.
             (vm, stored.is_ok_and(|stored: TextStored| stored.stored && stored.vm == vm.0))
         });
@@ -209,15 +219,15 @@
 
     /// Returns stores in the order in which they should hold a program's texts, the silent ones last.
     fn preferred(&self, program: &str) -> Vec<VmId> {
-        let mut order = preferred(program, &self.region, &self.known());
-        order.sort_by_key(|vm| self.is_silent(*vm));
+        let mut order = preferred(program, &self.region, &self.known_stores());
+        order.sort_by_key(|vm| self.is_unresponsive(*vm));
         order
     }
 
     /// Returns the stores heard of; where the settings list them, all of them.
-    fn known(&self) -> Vec<Candidate> {
+    fn known_stores(&self) -> Vec<Candidate> {
         if let Some(discovery) = &self.discovery {
-            return discovery.stores_heard(SILENT_AFTER);
+            return discovery.stores_heard(STALE_AFTER);
         }
         let stores = self.directory.stores().into_keys().map(|vm| Candidate {
             vm,
@@ -229,32 +239,32 @@
     }
 
     /// Returns the stores heard of, those of the own region first.
-    fn near(&self) -> Vec<VmId> {
-        let mut stores = self.known();
+    fn stores_by_region(&self) -> Vec<VmId> {
+        let mut stores = self.known_stores();
         stores.sort_by_key(|store| store.region != self.region);
         stores.into_iter().map(|store| store.vm).collect()
     }
 
-    fn hedges(&self) -> MutexGuard<'_, RepeatBudget> {
-        self.hedges.lock().expect("no panic while held")
+    fn hedge_budget(&self) -> MutexGuard<'_, RepeatBudget> {
+        self.hedge_budget.lock().expect("no panic while held")
     }
 
-    fn is_silent(&self, vm: VmId) -> bool {
-        let silent = self.silent.lock().expect("no panic while held");
-        silent.get(&vm).is_some_and(|at| at.elapsed() < AVOIDED)
+    fn is_unresponsive(&self, vm: VmId) -> bool {
+        let unresponsive = self.unresponsive.lock().expect("no panic while held");
+        unresponsive.get(&vm).is_some_and(|at| at.elapsed() < AVOID_FOR)
     }
 
-    fn note(&self, vm: VmId, answered: bool) {
-        let mut silent = self.silent.lock().expect("no panic while held");
+    fn record_response(&self, vm: VmId, answered: bool) {
+        let mut unresponsive = self.unresponsive.lock().expect("no panic while held");
         match answered {
-            true => silent.remove(&vm),
-            false => silent.insert(vm, Instant::now()),
+            true => unresponsive.remove(&vm),
+            false => unresponsive.insert(vm, Instant::now()),
         };
     }
 }
 
 /// What a store answered that was asked for texts.
-struct Answer {
+struct FetchAnswer {
     source: VmId,
     /// The turns that it was asked for.
     turns: Vec<String>,
@@ -264,63 +274,63 @@
 
 /// What one fetch knows of the stores that hold its texts.
 #[derive(Default)]
-struct Sources {
-    under_way: HashSet<VmId>,
+struct FetchState {
+    in_flight: HashSet<VmId>,
     failures: HashMap<VmId, u32>,
     /// Turns whose texts a store answered that it hasn't.
-    absent: HashSet<(VmId, String)>,
+    missing: HashSet<(VmId, String)>,
 }
 
-impl Sources {
+impl FetchState {
     fn failures(&self, vm: VmId) -> u32 {
         self.failures.get(&vm).copied().unwrap_or_default()
     }
 
     /// Tells whether a store may be asked for a turn's text now.
     fn may_have(&self, vm: VmId, turn: &str) -> bool {
-        !self.under_way.contains(&vm)
-            && self.failures(vm) < MOST_FAILURES
-            && !self.absent.contains(&(vm, turn.to_owned()))
+        !self.in_flight.contains(&vm)
+            && self.failures(vm) < MAX_FAILURES
+            && !self.missing.contains(&(vm, turn.to_owned()))
     }
 
     /// Tells whether a store may be asked at once: none is under way, and this one has not just failed.
-    fn is_fresh_choice(&self, vm: VmId) -> bool {
-        self.under_way.is_empty() && self.failures(vm) == 0
+    fn may_ask_now(&self, vm: VmId) -> bool {
+        self.in_flight.is_empty() && self.failures(vm) == 0
     }
 
     /// Returns what to ask a store for, and notes that it is asked.
-    fn begin(&mut self, vm: VmId, lacking: &[&Holding]) -> Vec<String> {
+    fn start_request(&mut self, vm: VmId, lacking: &[&Holding]) -> Vec<String> {
         let mut bytes = 0;
         let held = lacking
             .iter()
             .filter(|holding| holding.holders.contains(&vm) && self.may_have(vm, &holding.turn));
         let part = held.take_while(|holding| {
-            let room = bytes < FETCH_BYTES;
+            let fits = bytes < MAX_FETCH_BYTES;
             bytes += holding.bytes;
-            room
+            fits
         });
         let turns = part.map(|holding| holding.turn.to_string()).collect();
-        self.under_way.insert(vm);
+        self.in_flight.insert(vm);
         turns
     }
 
     /// Takes a store's answer, and returns its texts.
-    fn end(&mut self, answer: Answer) -> HashMap<String, Text> {
+    fn finish_request(&mut self, answer: FetchAnswer) -> HashMap<String, Text> {
         let vm = answer.source;
-        self.under_way.remove(&vm);
+        self.in_flight.remove(&vm);
         let Some(texts) = answer.texts else {
             *self.failures.entry(vm).or_default() += 1;
             return HashMap::new();
         };
         let found: HashMap<String, Text> =
             texts.into_iter().map(|text| (text.turn.clone(), text)).collect();
-        let absent = answer.turns.into_iter().filter(|turn| !found.contains_key(turn));
-        self.absent.extend(absent.map(|turn| (vm, turn)));
+        let missing = answer.turns.into_iter().filter(|turn| !found.contains_key(turn));
+        self.missing.extend(missing.map(|turn| (vm, turn)));
         found
     }
 }
 
-fn joined(chain: &[Holding], found: &HashMap<String, Text>) -> Bytes {
+fn concat(chain: &[Holding], found: &HashMap<String, Text>) -> Bytes {
     let texts = || chain.iter().filter_map(|holding| found.get(holding.turn.as_str()));
     let length = texts().map(|text| text.input.len() + text.output.len()).sum();
     let mut history = BytesMut::with_capacity(length);
--- a/crates/gypsumglade/src/gateway/turn_client.rs
+++ b/crates/gypsumglade/src/gateway/turn_client.rs
@@ -20,11 +20,11 @@
 /// 50 ms; a store that is silent for ten times that is passed over.
 const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 /// Wait for the leader's answer before other stores are asked whether they lead.
-const SLOW_ANSWER: Duration = Duration::from_millis(150);
+const SEARCH_DELAY: Duration = Duration::from_millis(150);
 /// Pause before a leader is asked again that gave no answer.
-const PAUSE: Duration = Duration::from_millis(25);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(25);
 /// The longest it grows to.
-const LONGEST_PAUSE: Duration = Duration::from_millis(400);
+const MAX_BACKOFF: Duration = Duration::from_millis(400);
 
 /// A client of the turn group; clones share what they learn.
 #[derive(Clone)]
@@ -42,19 +42,19 @@
 }
 
 /// Leave to ask the group, for a caller that may be refused.
-pub(super) struct Ticket {
-    asking: Asking,
+pub(super) struct AskPermit {
+    guard: AskGuard,
     /// Longest wait for the answer.
-    pub(super) patience: Duration,
+    pub(super) timeout: Duration,
 }
 
 /// What one try at the leader gave.
-enum Try {
+enum AskOutcome {
     Answered(ReplyBody),
     /// It may have been handled all the same.
     Failed,
     /// Another store leads.
-    Moved,
+    LeaderChanged,
 }
 
 impl TurnClient {
@@ -71,42 +71,44 @@
     }
 
     /// Decides whether a caller may ask now.
-    pub(super) fn admit(&self, need: Need) -> Result<Ticket, Refused> {
+    pub(super) fn admit(&self, need: Need) -> Result<AskPermit, AskRefused> {
         let now = self.shared.clock.now();
         match self.shared.health().admit(now, need) {
             Admission::Ask { ask, patience } => {
-                let asking = Asking { shared: Arc::clone(&self.shared), ask: Some(ask) };
-                Ok(Ticket { asking, patience })
+                let guard = AskGuard { shared: Arc::clone(&self.shared), ask: Some(ask) };
+                Ok(AskPermit { guard, timeout: patience })
+            }
+            Admission::Refuse { after, reason } => {
+                Err(AskRefused { retry_after: after, reason: reason.name() })
             }
-            Admission::Refuse { after, reason } => Err(Refused { after, reason: reason.name() }),
         }
     }
 
     /// Asks with a caller's leave, until its patience is over.
-    pub(super) async fn ask_with(&self, ticket: Ticket, body: CommandBody) -> Option<ReplyBody> {
-        let Ticket { asking, patience } = ticket;
-        self.shared.ask(asking, body, patience).await
+    pub(super) async fn ask_with(&self, permit: AskPermit, body: CommandBody) -> Option<ReplyBody> {
+        let AskPermit { guard, timeout } = permit;
+        self.shared.ask(guard, body, timeout).await
     }
 
     /// Asks until the group answers or `whole` is over. Commands are idempotent by their turn's id,
     /// so asking again is safe.
-    pub(super) async fn ask(&self, body: CommandBody, whole: Duration) -> Option<ReplyBody> {
+    pub(super) async fn ask(&self, body: CommandBody, timeout: Duration) -> Option<ReplyBody> {
         let ask = self.shared.health().begin(self.shared.clock.now(), 0);
-        let asking = Asking { shared: Arc::clone(&self.shared), ask: Some(ask) };
-        self.shared.ask(asking, body, whole).await
+        let guard = AskGuard { shared: Arc::clone(&self.shared), ask: Some(ask) };
+        self.shared.ask(guard, body, timeout).await
     }
 
     /// Returns when a caller that found no answer should come back.
-    pub(super) fn pause(&self, need: Need) -> Duration {
+    pub(super) fn retry_after(&self, need: Need) -> Duration {
         self.shared.health().pause(self.shared.clock.now(), need)
     }
 }
 
 /// A caller that is not to ask the group now.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Refused {
+pub(super) struct AskRefused {
     /// When to come back.
-    pub(super) after: Duration,
+    pub(super) retry_after: Duration,
     /// Name of the reason, for metrics.
     pub(super) reason: &'static str,
 }
@@ -114,14 +116,14 @@
 impl Shared {
     async fn ask(
         self: &Arc<Self>,
-        asking: Asking,
+        guard: AskGuard,
         body: CommandBody,
-        whole: Duration,
+        timeout: Duration,
     ) -> Option<ReplyBody> {
         let command = Command { body: Some(body) };
-        let until = Instant::now() + whole;
-        let answer = tokio::time::timeout_at(until, self.ask_leaders(&command)).await.ok();
-        asking.end(if answer.is_some() { End::Answered } else { End::Silent });
+        let deadline = Instant::now() + timeout;
+        let answer = tokio::time::timeout_at(deadline, self.ask_leader(&command)).await.ok();
+        guard.end(if answer.is_some() { End::Answered } else { End::Silent });
         answer
     }
 
@@ -129,64 +131,66 @@
     ///
     /// Who that is, is looked for once for all asks of this process. Each ask on its own would go from
     /// store to store for as long as an election lasts, and the stores would answer nothing else.
-    async fn ask_leaders(self: &Arc<Self>, command: &Command) -> ReplyBody {
+    async fn ask_leader(self: &Arc<Self>, command: &Command) -> ReplyBody {
         let mut leaders = self.search.subscribe();
-        let mut pause = PAUSE;
+        let mut backoff = INITIAL_BACKOFF;
         loop {
             let known = *leaders.borrow_and_update();
             let target = known.and_then(|vm| Some((vm, self.directory.store(vm)?)));
             let Some((vm, address)) = target else {
-                self.look_for_leader();
+                self.find_leader();
                 // The sender lives as long as this client.
                 let _ = leaders.changed().await;
                 continue;
             };
-            match self.try_one(command, vm, address, &mut leaders).await {
-                Try::Answered(body) => return body,
-                Try::Moved => {}
-                Try::Failed => {
-                    tokio::time::sleep(pause.mul_f64(rand::random_range(0.5..1.0))).await;
-                    pause = (pause * 2).min(LONGEST_PAUSE);
+            match self.ask_once(command, vm, address, &mut leaders).await {
+                AskOutcome::Answered(body) => return body,
+                AskOutcome::LeaderChanged => {}
+                AskOutcome::Failed => {
+                    tokio::time::sleep(backoff.mul_f64(rand::random_range(0.5..1.0))).await;
+                    backoff = (backoff * 2).min(MAX_BACKOFF);
                 }
             }
         }
     }
 
-    async fn try_one(
+    async fn ask_once(
         self: &Arc<Self>,
         command: &Command,
         vm: VmId,
         address: SocketAddr,
         leaders: &mut watch::Receiver<Option<VmId>>,
-    ) -> Try {
+    ) -> AskOutcome {
         let asking = self.peers.ask::<_, Reply>(address, Method::Turn, command, CALL_TIMEOUT);
         tokio::pin!(asking);
-        let slow = tokio::time::sleep(SLOW_ANSWER);
+        let slow = tokio::time::sleep(SEARCH_DELAY);
         tokio::pin!(slow);
-        let mut looked = false;
+        let mut searched = false;
         let reply = loop {
             tokio::select! {
                 reply = &mut asking => break reply,
-                () = &mut slow, if !looked => {
-                    looked = true;
-                    self.look_for_leader();
+                () = &mut slow, if !searched => {
+                    searched = true;
+                    self.find_leader();
                 }
-                moved = leaders.wait_for(|leader| leader.is_some_and(|leader| leader != vm)) => {
+                changed = leaders.wait_for(|leader| leader.is_some_and(|leader| leader != vm)) => {
                     // The command may be handled by both, which its turn's id makes safe.
-                    drop(moved);
-                    return Try::Moved;
+                    drop(changed);
+                    return AskOutcome::LeaderChanged;
                 }
             }
         };
         match reply.map(|reply| reply.body) {
-            Ok(Some(ReplyBody::NotLeader(hint))) => self.search.lost(vm, Some(VmId(hint.leader))),
-            Ok(Some(ReplyBody::Uncertain(_)) | None) | Err(_) => self.search.lost(vm, None),
-            Ok(Some(body)) => return Try::Answered(body),
+            Ok(Some(ReplyBody::NotLeader(hint))) => {
+                self.search.leader_lost(vm, Some(VmId(hint.leader)))
+            }
+            Ok(Some(ReplyBody::Uncertain(_)) | None) | Err(_) => self.search.leader_lost(vm, None),
+            Ok(Some(body)) => return AskOutcome::Answered(body),
         }
-        Try::Failed
+        AskOutcome::Failed
     }
 
-    fn look_for_leader(self: &Arc<Self>) {
+    fn find_leader(self: &Arc<Self>) {
         let shared = Arc::clone(self);
         self.search.start(move || shared.health().found());
     }
@@ -197,17 +201,17 @@
 }
 
 /// An ask that the health counts until its end, or until whoever asks has left.
-struct Asking {
+struct AskGuard {
     shared: Arc<Shared>,
     ask: Option<Ask>,
 }
 
-impl Asking {
+impl AskGuard {
     fn end(mut self, end: End) {
-        self.settle(end);
+        self.record_end(end);
     }
 
-    fn settle(&mut self, end: End) {
+    fn record_end(&mut self, end: End) {
         let Some(ask) = self.ask.take() else { return };
         let change = self.shared.health().end(self.shared.clock.now(), ask, end);
         match change {
@@ -224,8 +228,8 @@
     }
 }
 
-impl Drop for Asking {
+impl Drop for AskGuard {
     fn drop(&mut self) {
-        self.settle(End::Dropped);
+        self.record_end(End::Dropped);
     }
 }
