--- a/crates/core/src/program/admission.rs
+++ b/crates/core/src/program/admission.rs
@@ -1,8 +1,8 @@
-//! Decides what becomes of a request to run a call: answer, propose or park.
+//! Decides whether to answer, propose or park a request to run a call.
 //!
-//! All answers here come from committed state; a proposal is looked at again when it is applied.
-//! What is known of the key goes before every other reason to refuse, for a refusal says that the
-//! call was not run, and the call behind a known key may have been.
+//! Answers are based on committed state; a proposal is checked again when it is applied. A known
+//! idempotency key is checked first: a refusal tells the caller that the call did not run, which
+//! may be wrong for a known key.
 
 use bytes::Bytes;
 
@@ -19,16 +19,16 @@
 use crate::wire::program as wire;
 use crate::wire::program::{Refusal, Reply};
 
-/// What becomes of a request now.
+/// Next step for a request.
 enum Decision {
     Answer(Reply),
     Propose(Box<wire::Begin>),
     Park(QueueKey),
 }
 
-/// What is known of a request's key.
+/// State of a request's idempotency key.
 enum KeyStatus {
-    /// Nothing, or that the call may be granted.
+    /// The key is new, or its call may be granted another attempt.
     Grantable,
     Answer(Reply),
     Running,
@@ -62,23 +62,24 @@
         }
     }
 
-    /// Builds the final answer for a request that will not be looked at again.
+    /// Builds the reply for a request that is given up.
     ///
-    /// One that joined a call under way must not be told that its call was not run.
+    /// If another request runs the call under the same key, the outcome is reported as unknown: a
+    /// refusal would say that the call did not run.
     pub(super) fn final_reply(&self, waiter: &CallWaiter, code: Refusal, detail: &str) -> Reply {
         let known = self.state.find_call(&waiter.request.name, &waiter.request.key);
         match known.map(|call| &self.state.calls[call]) {
             Some(call) if matches!(call.phase, Phase::Running(_)) => {
                 unknown(call, "the call is still under way: ask again under the same key")
             }
-            _ if self.is_proposed(&waiter.request) => {
-                super::replies::unknown_proposed("the call is about to run: ask again")
-            }
+            _ if self.is_proposed(&waiter.request) => super::replies::unknown_proposed(
+                "the call is about to run: ask again under the same key",
+            ),
             _ => refusal(code, detail),
         }
     }
 
-    /// Tells whether another request under the same key is on its way through the log.
+    /// Returns whether a begin under the same key is proposed and not yet committed.
     fn is_proposed(&self, request: &CallRequest) -> bool {
         let same = |name: &QualifiedName, key: &CompactString| {
             *name == request.name && *key == request.key
@@ -126,8 +127,8 @@
             Phase::Ran { answer, status } => {
                 KeyStatus::Answer(recorded(answer, *status, call.turn))
             }
-            // The very ask that was granted comes again from its holder: the grant was lost on
-            // the way, and waiting for it would make the holder wait for itself.
+            // The holder repeats the request that was granted, so the reply was lost. Parking the
+            // repeat would make the holder wait for itself.
             Phase::Running(attempt)
                 if attempt.matches(waiter) && !self.withdrawn.contains(&call.dispatch) =>
             {
@@ -164,7 +165,10 @@
             return Decision::Answer(refusal(Refusal::ProgramEnded, detail));
         }
         if known.is_none() && program.calls.len() >= self.settings.program_keys {
-            return Decision::Answer(refusal(Refusal::TooLarge, "the program has too many keys"));
+            return Decision::Answer(refusal(
+                Refusal::TooLarge,
+                "the program has reached its limit of idempotency keys",
+            ));
         }
         let others = program.running.iter().any(|running| Some(*running) != known);
         if self.settings.safeguards.serial_calls && others {
@@ -196,7 +200,10 @@
         let messages = model.prompt.joined(skip);
         let bytes = program.map_or(0, |program| program.history.len()) + messages.len();
         if bytes > self.settings.history_bytes {
-            return Decision::Answer(refusal(Refusal::TooLarge, "the history is too large"));
+            return Decision::Answer(refusal(
+                Refusal::TooLarge,
+                "the history exceeds its size limit",
+            ));
         }
         let mut begin = begin_entry(waiter);
         begin.turn = next;
@@ -233,8 +240,8 @@
             return Decision::Park(QueueKey::Suspect(digest));
         }
         if isolate && self.state.scores.is_suspect(&digest) {
-            // Many requests share an engine when it dies. Run alone all at once, they would take
-            // as many engines, and the fleet would stand still for its suspects.
+            // One crash can make many requests suspect. Isolating all of them at once would take
+            // too many engines from other requests.
             if self.isolated() >= self.settings.isolated {
                 return Decision::Park(QueueKey::Isolation);
             }
@@ -244,7 +251,7 @@
         Decision::Propose(Box::new(begin))
     }
 
-    /// Returns how many suspects run alone, or are about to.
+    /// Returns the number of suspects that run isolated or are proposed to.
     pub(super) fn isolated(&self) -> usize {
         let proposed = self.pending.values().filter(|pending| match pending {
             PendingProposal::Begin(waiter) => waiter.isolate,
@@ -258,7 +265,7 @@
         digest.is_some_and(|digest| self.state.scores.is_suspect(&digest))
     }
 
-    /// Returns the group time from which a grant without outcome counts as lost.
+    /// Returns the group time at which a grant without an outcome counts as lost.
     fn expiry_ms(&self, now: Time, request: &CallRequest) -> u64 {
         let run_ms = match request.timeout_ms {
             0 => self.settings.dispatch_ms,
@@ -267,7 +274,7 @@
         self.now_ms(now).saturating_add(run_ms).saturating_add(self.settings.grace_ms)
     }
 
-    /// Builds the entry that records an outcome.
+    /// Builds the log entry that records an outcome.
     pub(super) fn settled_entry(&mut self, from: VmId, settle: wire::Settle) -> wire::Settled {
         let crashed = self.crash_shares(&settle);
         let name = QualifiedName::from_wire(settle.program.as_ref());
@@ -303,7 +310,7 @@
     }
 }
 
-/// Fills what every begin has; the rest depends on the kind of call.
+/// Builds a begin with the fields that model calls and service calls have in common.
 fn begin_entry(waiter: &CallWaiter) -> wire::Begin {
     let request = &waiter.request;
     wire::Begin {
--- a/crates/core/src/program/budget.rs
+++ b/crates/core/src/program/budget.rs
@@ -1,18 +1,18 @@
-//! Budgets: reserved before a dispatch, settled after it, and drawn from every ancestor.
+//! Budget amounts and accounts: reserved before a dispatch, settled after it, in every ancestor.
 //!
-//! See docs/design/budget.md for why the reservation is an upper bound and what happens to it
-//! when a dispatch is lost.
+//! See docs/design/budget.md for why a reservation is an upper bound and what happens to it when a
+//! dispatch is lost.
 
 use crate::prelude::*;
 use crate::wire::program as wire;
 
-/// Amounts of the three resources that a budget counts. Time is a deadline, see
+/// Amounts of the three resources that a budget counts. The time limit is a deadline instead; see
 /// docs/design/budget.md.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Amounts {
-    /// Prompt and output tokens together.
+    /// Prompt tokens plus output tokens.
     pub tokens: u64,
-    /// Dispatches, model and service alike.
+    /// Dispatches of model calls and service calls.
     pub calls: u64,
     /// Money in millionths of the bundle's currency.
     pub micros: u64,
@@ -31,20 +31,20 @@
         self.micros = self.micros.saturating_sub(other.micros);
     }
 
-    /// Tells whether every amount is at least that of `other`.
+    /// Returns whether every amount is at least that of `other`.
     pub(super) fn covers(&self, other: Amounts) -> bool {
         let enough = self.tokens >= other.tokens && self.calls >= other.calls;
         enough && self.micros >= other.micros
     }
 
-    /// Cuts every amount to that of `other`.
+    /// Limits every amount to that of `other`.
     pub(super) fn limit(&mut self, other: Amounts) {
         self.tokens = self.tokens.min(other.tokens);
         self.calls = self.calls.min(other.calls);
         self.micros = self.micros.min(other.micros);
     }
 
-    /// Returns every amount divided by `parts`.
+    /// Returns every amount divided by `parts`, rounded down.
     pub(super) fn divided(self, parts: u64) -> Amounts {
         Amounts {
             tokens: self.tokens / parts,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Returns every amount `count` times.
+    /// Returns every amount multiplied by `count`.
     pub(super) fn times(self, count: u64) -> Amounts {
         Amounts {
             tokens: self.tokens.saturating_mul(count),
@@ -62,48 +62,48 @@
         }
     }
 
-    /// Returns the amounts as the wire carries them.
+    /// Converts the amounts to their wire form.
     pub(super) fn to_record(self) -> wire::Spent {
         wire::Spent { tokens: self.tokens, calls: self.calls, micros: self.micros }
     }
 
-    /// Reads amounts off the wire.
+    /// Converts amounts from their wire form.
     pub(super) fn from_record(record: wire::Spent) -> Amounts {
         Amounts { tokens: record.tokens, calls: record.calls, micros: record.micros }
     }
 
-    /// Returns what a settled dispatch consumed.
+    /// Returns what one settled dispatch consumed.
     pub(super) fn from_usage(usage: &wire::Usage) -> Amounts {
         let tokens = usage.prompt_tokens.saturating_add(usage.output_tokens);
         Amounts { tokens, calls: 1, micros: usage.micros }
     }
 }
 
-/// The resource that ran short.
+/// Error for a call that does not fit into the remaining budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BudgetExceeded {
-    /// Too few tokens are left.
+    /// Fewer tokens are left than the call needs.
     #[error("the token budget is used up: {left} left, {needed} needed")]
     Tokens {
         /// Tokens neither spent nor reserved.
         left: u64,
-        /// Tokens that the call needs at the least.
+        /// Least number of tokens that the call needs.
         needed: u64,
     },
     /// No call is left.
     #[error("the call budget is used up")]
     Calls,
-    /// Too little money is left.
+    /// Less money is left than the call may cost.
     #[error("the money budget is used up: {left} left, {needed} needed, in millionths")]
     Micros {
-        /// Money neither spent nor reserved.
+        /// Money neither spent nor reserved, in millionths of the currency.
         left: u64,
-        /// Price ceiling of the call.
+        /// Price ceiling of the call, in millionths of the currency.
         needed: u64,
     },
 }
 
-/// One program's account.
+/// Limits, consumption and reservations of one program, including its descendants.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Account {
     pub(super) limits: wire::Budget,
@@ -112,7 +112,7 @@
 }
 
 impl Account {
-    /// Returns what is left of each resource; a limit of zero stands for no limit.
+    /// Returns what is left of each resource; a limit of zero means unlimited.
     pub(super) fn left(&self) -> Amounts {
         let left = |limit: u64, spent: u64, reserved: u64| match limit {
             0 => u64::MAX,
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Tells whether some resource is spent for good, so that no later call can be granted.
+    /// Returns whether some resource is fully spent, so that no further call can be granted.
     pub(super) fn is_exhausted(&self) -> bool {
         let spent = |limit: u64, spent: u64| limit > 0 && spent >= limit;
         spent(self.limits.tokens, self.spent.tokens)
@@ -133,7 +133,7 @@
             || spent(self.limits.micros, self.spent.micros)
     }
 
-    /// Tells whether `asked` fits, given that its last `spare` tokens may be cut.
+    /// Checks that `needed` fits, where up to `reducible` of its tokens may be left out.
     pub(super) fn check(&self, needed: Amounts, reducible: u64) -> Result<(), BudgetExceeded> {
         let left = self.left();
         let least = needed.tokens.saturating_sub(reducible);
--- a/crates/core/src/program/call_request.rs
+++ b/crates/core/src/program/call_request.rs
@@ -1,4 +1,4 @@
-//! What a caller asks for, model call and service call alike, read once and checked.
+//! Parsed and checked requests to run a model call or a service call.
 
 use bytes::Bytes;
 
@@ -8,7 +8,7 @@
 use crate::prelude::*;
 use crate::wire::program as wire;
 
-/// A request to run a call.
+/// Request to run a call.
 #[derive(Clone, Debug)]
 pub(super) struct CallRequest {
     pub(super) name: QualifiedName,
@@ -19,7 +19,7 @@
     pub(super) budget: wire::Budget,
     pub(super) max_micros: u64,
     pub(super) idle_ms: u64,
-    /// Milliseconds the caller waits; zero for no deadline.
+    /// Milliseconds that the caller still waits; zero for no deadline.
     pub(super) timeout_ms: u64,
     pub(super) nonce: CompactString,
     pub(super) repeatable: bool,
@@ -27,19 +27,19 @@
     pub(super) model: Option<ModelRequest>,
 }
 
-/// What only a model call has.
+/// Fields that only a model call has.
 #[derive(Clone, Debug)]
 pub(super) struct ModelRequest {
     pub(super) prompt: Prompt,
-    /// Zero for the next turn.
+    /// Turn number that the caller gave; zero for the next turn.
     pub(super) turn: u64,
     pub(super) max_output: u64,
-    /// Zero for the bytes of the prompt.
+    /// Upper bound of the prompt tokens; zero uses the size of history and prompt in bytes.
     pub(super) prompt_tokens: u64,
 }
 
 impl CallRequest {
-    /// Reads a model call, or tells what is wrong with it.
+    /// Parses a model call; returns a description of the problem if it is invalid.
     pub(super) fn from_turn(
         turn: &wire::BeginTurn,
         settings: &Settings,
@@ -72,7 +72,7 @@
         Ok(request)
     }
 
-    /// Reads a service call, or tells what is wrong with it.
+    /// Parses a service call; returns a description of the problem if it is invalid.
     pub(super) fn from_call(call: &wire::BeginCall) -> Result<CallRequest, String> {
         let parts =
             [b"call".as_slice(), call.service.as_bytes(), call.operation.as_bytes(), &call.digest];
@@ -94,7 +94,10 @@
         })
     }
 
-    /// Returns the digest of all that an engine would get: the same wherever it is sent from.
+    /// Returns the digest of everything that the engine receives, independent of program and group.
+    ///
+    /// `stored` are the hashes of the program's history, and `skip` is the number of messages of
+    /// the prompt that the history already contains.
     pub(super) fn crash_digest(&self, stored: &[MessageHash], skip: usize) -> MessageHash {
         let Some(model) = &self.model else { return self.content };
         let fresh = model.prompt.hash_bytes(skip);
@@ -106,10 +109,10 @@
 fn checked_name(program: Option<&wire::ProgramRef>, key: &str) -> Result<QualifiedName, String> {
     let name = QualifiedName::from_wire(program);
     if name.org.is_empty() || name.program.is_empty() {
-        return Err("the request names no organisation or no program".into());
+        return Err("the request does not name its organisation and program".into());
     }
     if key.is_empty() {
-        return Err("the request carries no idempotency key".into());
+        return Err("the request has no idempotency key".into());
     }
     Ok(name)
 }
--- a/crates/core/src/program/crashes.rs
+++ b/crates/core/src/program/crashes.rs
@@ -1,4 +1,4 @@
-//! Who was in flight on an endpoint when it died, as far as this leader knows.
+//! Attributes an endpoint's crash to the requests that it was running.
 
 use std::collections::HashMap;
 
@@ -9,45 +9,45 @@
 use crate::prelude::*;
 use crate::wire::program as wire;
 
-/// Where dispatches run and which deaths were scored; a new leader starts with none.
+/// Leader's record of where dispatches run and which crashes were scored; not replicated.
 #[derive(Debug, Default)]
 pub(super) struct CrashTracker {
-    /// Where dispatches run, as their holders told this leader.
+    /// Endpoint of each running dispatch, as reported by its holder.
     running: HashMap<CompactString, EndpointName>,
-    /// Dispatches that an earlier report of the same death has blamed.
+    /// Dispatches that were blamed for a crash, with its endpoint.
     blamed: HashMap<CompactString, EndpointName>,
-    /// How many requests each dead endpoint took with it.
+    /// Number of requests that share the blame for each endpoint's crash.
     request_counts: HashMap<EndpointName, u32>,
 }
 
-/// One request that an endpoint took with it.
+/// Request that was running on an endpoint when it crashed.
 #[derive(Clone, Copy, Debug)]
 struct InFlightRequest {
     digest: Digest,
     isolate: bool,
-    /// An earlier leader granted it, and was told where it runs.
+    /// Whether an earlier leader granted the dispatch, so that this one may not know its endpoint.
     inherited: bool,
 }
 
 impl CrashTracker {
-    /// Notes where a dispatch runs; an endpoint that takes work again lives again.
+    /// Records where a dispatch runs. The endpoint is alive, so an earlier crash is over.
     pub(super) fn start(&mut self, dispatch: &str, endpoint: EndpointName) {
         self.request_counts.remove(&endpoint);
         self.running.insert(dispatch.into(), endpoint);
     }
 
-    /// Forgets a dispatch that is closed.
+    /// Removes a closed dispatch.
     pub(super) fn close(&mut self, dispatch: &str) {
         self.running.remove(dispatch);
         self.blamed.remove(dispatch);
     }
 
-    /// Forgets all, as a leader that ceases to lead does.
+    /// Removes everything, when the replica stops leading.
     pub(super) fn clear(&mut self) {
         *self = CrashTracker::default();
     }
 
-    /// Takes the dispatches that ran on an endpoint, in a fixed order.
+    /// Moves the dispatches that ran on an endpoint to the blamed ones and returns them, sorted.
     fn take_from(&mut self, endpoint: &EndpointName) -> Vec<CompactString> {
         let on_it = self.running.iter().filter(|(_, at)| *at == endpoint);
         let mut taken: Vec<CompactString> = on_it.map(|(dispatch, _)| dispatch.clone()).collect();
@@ -61,11 +61,12 @@
 }
 
 impl Sequencer {
-    /// Shares the blame for an endpoint's death among the requests it was running.
+    /// Divides the blame for an endpoint's crash among the requests that it was running.
     ///
-    /// Each of them will be reported as crashed by its own holder. Only the first report counts
-    /// for those this leader knew to be there, else the last reporter would seem to have been
-    /// alone. A dispatch that an earlier leader was told of takes a share of the same death.
+    /// Each holder reports the crash of its own dispatch. The first report blames all dispatches
+    /// that this leader knows on the endpoint, and later reports of those count for nothing;
+    /// otherwise the last one would seem to have run alone. A dispatch that an earlier leader
+    /// granted gets a share of the same crash when it is reported.
     pub(super) fn crash_shares(&mut self, settle: &wire::Settle) -> Vec<wire::Share> {
         let dispatch = settle.dispatch.as_str();
         if !settle.crashed || self.crashes.blamed.contains_key(dispatch) {
--- a/crates/core/src/program/deadlines.rs
+++ b/crates/core/src/program/deadlines.rs
@@ -1,4 +1,5 @@
-//! What time and departures bring about: deadlines, idle ends, lost grants, releases, retention.
+//! Reactions to time, lost VMs and lost endpoints: deadlines, idle ends, lost dispatches, releases
+//! and retention.
 
 use std::collections::HashMap;
 
@@ -14,7 +15,7 @@
 use crate::wire::program::{EndReason, Refusal};
 
 impl Sequencer {
-    /// Does what is due by now.
+    /// Handles everything that is due at `now`.
     pub(super) fn tick(&mut self, now: Time, out: &mut Vec<Effect>) {
         let Some(lead) = self.leader_state else { return };
         let now_ms = self.now_ms(now);
@@ -38,13 +39,12 @@
         self.release_ended(now, out);
     }
 
-    /// Takes every dispatch of a dead entry VM for lost.
+    /// Proposes every dispatch of a dead entry VM as lost and refuses its waiting requests.
     ///
-    /// Its requests that still wait get no grant: nobody would be there to use it, and the program
-    /// would stand still until it expires.
+    /// A grant to a dead VM would block its program until the grant expires.
     pub(super) fn vm_gone(&mut self, now: Time, vm: VmId, out: &mut Vec<Effect>) {
         for waiter in self.parked.take_from(vm) {
-            let detail = "the VM that asked was declared dead";
+            let detail = "the VM that sent the request was declared dead";
             let reply = self.final_reply(&waiter, Refusal::DeadlinePassed, detail);
             out.push(Effect::Reply { token: waiter.token, reply });
         }
@@ -61,7 +61,7 @@
         self.propose_lost(now, |attempt| attempt.holder == vm, out);
     }
 
-    /// Forgets an endpoint that holds nothing any more.
+    /// Proposes to remove an endpoint that holds no memory of any program any more.
     pub(super) fn endpoint_gone(
         &mut self,
         now: Time,
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Takes a bundle revision into force and lifts what it lifts.
+    /// Adopts a bundle revision and proposes the quarantines that it lifts.
     pub(super) fn configure(
         &mut self,
         now: Time,
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Lifts what the revision in force lifts, once for each revision.
+    /// Proposes the quarantines that the current revision lifts, once for each revision.
     pub(super) fn propose_lift(&mut self, now: Time, out: &mut Vec<Effect>) {
         let revision = self.revision.0;
         if revision > self.state.lifted_revision && !self.lifted_digests.is_empty() {
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Takes over what other groups found, but for digests that the bundle in force lifts.
+    /// Proposes the scores of other groups, except for digests that the current bundle lifts.
     pub(super) fn import_scores(
         &mut self,
         now: Time,
@@ -152,12 +152,11 @@
         self.propose_maintenance(now, Body::Lost(wire::Lost { dispatches }), out);
     }
 
-    /// Sends the releases and cancels of ended programs that are due.
+    /// Sends the releases and cancellations of ended programs that are due.
     ///
-    /// A release is fire and forget on a link that loses messages: one that is sent once and lost
-    /// leaves an engine holding memory for good. So each is repeated until its confirmation is
-    /// committed or the endpoint is gone. None is sent while a dispatch still runs: the engine
-    /// could fill memory again after it freed it, and the confirmation would hide that.
+    /// Messages can be lost, so each release is repeated until its confirmation is committed or
+    /// the endpoint is gone; otherwise an engine might keep the memory for ever. None is sent
+    /// while a dispatch runs, because the engine could fill the memory again after freeing it.
     pub(super) fn release_ended(&mut self, now: Time, out: &mut Vec<Effect>) {
         let now_ms = self.now_ms(now);
         let mut running: Vec<ProgramKey> = self.state.cancelling.iter().copied().collect();
@@ -184,14 +183,16 @@
     }
 }
 
-/// When something was last sent for each program that still needs it.
+/// Group time of the last message sent for each program, for repeating unconfirmed messages.
 #[derive(Debug, Default)]
 pub(super) struct ResendTimers {
     sent: HashMap<ProgramKey, u64>,
 }
 
 impl ResendTimers {
-    /// Returns the programs among `wanted`, which is sorted, for which it is time to send again.
+    /// Returns the programs in `wanted` that are due for a message and marks it as sent.
+    ///
+    /// `wanted` must be sorted; programs that are not in it are removed.
     fn due(&mut self, wanted: &[ProgramKey], now_ms: u64, settings: &Settings) -> Vec<ProgramKey> {
         self.sent.retain(|key, _| wanted.binary_search(key).is_ok());
         let is_due = |sent: Option<&u64>| match sent {
@@ -223,7 +224,7 @@
 }
 
 impl State {
-    /// Returns the open attempts that may be running.
+    /// Returns all running calls with their attempts.
     pub(super) fn running_attempts(&self) -> impl Iterator<Item = (&Call, &Attempt)> {
         let running = self.programs.values().flat_map(|program| program.running.iter());
         running.filter_map(|key| match &self.calls[*key] {
@@ -232,7 +233,7 @@
         })
     }
 
-    /// Returns live programs that ran into their time limit or have been idle for too long.
+    /// Returns the live programs to end because of their time limit or their idle time.
     fn due_programs(&self, now_ms: u64, idle_ms: u64) -> Vec<(ProgramKey, EndReason)> {
         let live = self.programs.iter().filter(|(_, program)| program.ended.is_none());
         let due = live.filter_map(|(key, program)| {
@@ -251,7 +252,7 @@
         due.collect()
     }
 
-    /// Tells whether another group's score adds to what is known here.
+    /// Returns whether another group's score would raise the one in this state.
     fn raises_score(&self, score: &wire::Score) -> bool {
         let Some(digest) = super::quarantine::read_digest(&score.digest) else { return false };
         let known = self.scores.get(&digest);
--- a/crates/core/src/program/early_grants.rs
+++ b/crates/core/src/program/early_grants.rs
@@ -1,7 +1,7 @@
-//! Turns granted out of an escrow, before their begin is committed.
+//! Grants turns from an escrow before their begin is committed.
 //!
-//! Only the leader that holds the escrow does this, only for calls that may be repeated, and only
-//! while nothing else of the program is under way. See docs/design/budget.md.
+//! Only the leader that opened the escrow does this, only for model calls, which may be repeated,
+//! and only while nothing else of the program is pending. See docs/design/budget.md.
 
 use super::escrow::full_reservation;
 use super::interface::{Effect, RequestToken};
@@ -13,19 +13,19 @@
 use crate::wire::program as wire;
 use crate::wire::program::entry::Body as EntryBody;
 
-/// A dispatch that is granted while its begin is on its way through the log.
+/// Dispatch that was granted and whose begin is not applied yet.
 #[derive(Debug)]
 pub(super) struct EarlyGrant {
     pub(super) name: QualifiedName,
     pub(super) key: CompactString,
     holder: VmId,
-    /// The holder was declared dead meanwhile.
+    /// Whether the holder was declared dead after the grant.
     lost: bool,
-    /// Outcomes that overtook the begin.
+    /// Outcomes that were reported before the begin was applied.
     settles: Vec<DeferredSettle>,
 }
 
-/// An outcome that waits until its dispatch is known.
+/// Outcome that is kept until the begin of its dispatch is applied.
 #[derive(Debug)]
 struct DeferredSettle {
     token: RequestToken,
@@ -34,7 +34,7 @@
 }
 
 impl Sequencer {
-    /// Sets what to reserve ahead when the begin waits for its commit.
+    /// Sets the escrow that a model call's begin reserves for later turns.
     pub(super) fn set_ahead(&self, begin: &mut wire::Begin) {
         let turns = self.settings.escrow_turns;
         if turns > 0 && begin.turn > 0 {
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Tells whether a turn may be granted at once.
+    /// Returns whether a turn may be granted before its begin is committed.
     pub(super) fn may_grant_early(
         &self,
         now: Time,
@@ -56,13 +56,13 @@
         }
         let suspect = self.is_suspect(begin);
         let due = self.state.deadline_ms(*key).is_some_and(|due| due <= self.now_ms(now));
-        // The late answer of a lost attempt may be in the log already, and would take the turn.
+        // The late answer of an attempt in doubt may already be in the log and take the turn.
         let usable = !self.invalid_escrows.contains(&waiter.request.name)
             && !self.state.has_turn_in_doubt(*key, begin.turn);
         usable && !suspect && !due && self.state.programs[*key].escrow_covers(lead.term, begin)
     }
 
-    /// Grants a turn out of the escrow and proposes its begin.
+    /// Grants a turn from the escrow and proposes its begin.
     pub(super) fn grant_early(
         &mut self,
         now: Time,
@@ -83,7 +83,7 @@
         self.propose(now, EntryBody::Begin(begin), PendingProposal::EarlyBegin(dispatch), out);
     }
 
-    /// Keeps an outcome that came before its begin was applied; hands any other back.
+    /// Keeps an outcome whose begin is not applied yet; returns any other.
     pub(super) fn defer_settle(
         &mut self,
         token: RequestToken,
@@ -97,7 +97,7 @@
         None
     }
 
-    /// Goes on with what waited for the begin of a dispatch.
+    /// Proposes the outcomes, and the loss of the holder, that waited for a dispatch's begin.
     pub(super) fn early_applied(&mut self, now: Time, dispatch: &str, out: &mut Vec<Effect>) {
         let Some(early) = self.early_grants.remove(dispatch) else { return };
         self.pending_programs.remove(&early.name);
@@ -109,10 +109,10 @@
         }
     }
 
-    /// Gives up on the escrow of a program whose early begin failed.
+    /// Marks the escrow of a program as invalid after the proposal of an early begin failed.
     ///
-    /// The grant is out and no record of it will be: what is left of the escrow no longer says
-    /// what is left of the budget.
+    /// The dispatch may run although its begin may never be recorded, so the escrow overstates the
+    /// remaining budget.
     pub(super) fn early_failed(&mut self, dispatch: &str, out: &mut Vec<Effect>) {
         let Some(early) = self.early_grants.remove(dispatch) else { return };
         self.pending_programs.remove(&early.name);
@@ -122,20 +122,20 @@
         out.extend(replies.map(|token| Effect::Reply { token, reply: reply.clone() }));
     }
 
-    /// Notes that the holder of an early grant died.
+    /// Marks the early grants of a dead VM as lost.
     pub(super) fn mark_early_lost(&mut self, vm: VmId) {
         let theirs = self.early_grants.values_mut().filter(|early| early.holder == vm);
         theirs.for_each(|early| early.lost = true);
     }
 
-    /// Forgets all early grants and returns the settles that wait for them.
+    /// Removes all early grants and returns the requests whose outcomes waited for them.
     pub(super) fn clear_early_grants(&mut self) -> Vec<RequestToken> {
         self.invalid_escrows.clear();
         let settles = self.early_grants.drain().flat_map(|(_, early)| early.settles);
         settles.map(|settle| settle.token).collect()
     }
 
-    /// Proposes to close the escrows that serve nobody any more.
+    /// Proposes to close the escrows that are no longer useful.
     pub(super) fn close_escrows(&mut self, now: Time, out: &mut Vec<Effect>) {
         let now_ms = self.now_ms(now);
         let programs = self.state.programs.values();
@@ -157,7 +157,8 @@
         }
     }
 
-    /// An escrow is over with its program, when it is tainted, or when its family may need it.
+    /// Returns whether to close a program's escrow: the program has ended, the escrow is invalid, or
+    /// the program is idle and shares its budget with a parent or children.
     fn should_close_escrow(&self, program: &Program, now_ms: u64) -> bool {
         let busy = self.pending_programs.contains(&program.name) || !program.running.is_empty();
         if program.escrow.is_none() || busy {
--- a/crates/core/src/program/escrow.rs
+++ b/crates/core/src/program/escrow.rs
@@ -1,31 +1,31 @@
-//! Escrow: budget reserved ahead, out of which the leader grants turns without waiting.
+//! Escrow: budget reserved in advance, from which the leader grants turns without waiting.
 //!
 //! The first turn of a program waits for its commit and reserves more than it needs. Later turns
-//! are granted out of that at once, while their begin is still on its way through the log. See
-//! docs/design/budget.md for what becomes of the escrow when the leader changes.
+//! are granted from that reserve at once, before their begin is committed. See
+//! docs/design/budget.md for what happens to the escrow when the leader changes.
 
 use super::budget::Amounts;
 use super::state::{Applied, Attempt, CallKey, Phase, Program, ProgramKey, QualifiedName, State};
 use crate::wire::program as wire;
 
-/// Share of what is left in an account that an escrow may hold: one part in this many.
+/// An escrow may hold at most this fraction (one part in eight) of an account's remaining budget.
 const ESCROW_DIVISOR: u64 = 8;
 
-/// Budget reserved ahead for one program; it counts as held in every ancestor.
+/// Budget reserved in advance for one program; counts as reserved in every ancestor too.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Escrow {
-    /// Term of the leader that may grant out of it.
+    /// Term of the leader that may grant turns from the escrow.
     pub(super) term: u64,
     pub(super) amounts: Amounts,
 }
 
 impl State {
-    /// Records a turn that its leader granted out of the escrow before this entry was committed.
+    /// Records a turn that its leader granted from the escrow before this entry was committed.
     ///
-    /// It is running whatever happened meanwhile, also if the program ended, so it is recorded
-    /// all the same: only then can it be settled, cancelled and counted. But if its turn is taken,
-    /// it would put a second answer into the history. Then it only counts as spent, and its settle
-    /// is refused. The leader grants nothing early while that can happen; this makes sure of it.
+    /// The dispatch may already run, so it is recorded even if the program has ended; otherwise it
+    /// could not be settled, cancelled or charged. If its turn is already taken, it must not add a
+    /// second answer to the history: its reservation is charged and its settle will be refused.
+    /// The leader avoids that case; this is the replicated check.
     pub(super) fn begin_escrowed(&mut self, begin: &wire::Begin) -> Applied {
         let name = QualifiedName::from_wire(begin.program.as_ref());
         let Some(program) = self.names.get(&name).copied() else { return Applied::Done };
@@ -48,7 +48,7 @@
         Applied::Granted(call)
     }
 
-    /// Tells whether a lost attempt may yet be settled as the given turn.
+    /// Returns whether an attempt in doubt may still be settled as the given turn.
     pub(super) fn has_turn_in_doubt(&self, program: ProgramKey, turn: u64) -> bool {
         let mut calls = self.programs[program].calls.values().map(|call| &self.calls[*call]);
         calls.any(|call| call.turn == turn && matches!(call.phase, Phase::InDoubt(_)))
@@ -61,7 +61,7 @@
         answered || begin.turn != found.history.turns() + 1
     }
 
-    /// Reserves ahead for later turns, as far as every ancestor can spare it.
+    /// Reserves budget for later turns, limited by the remaining budget of every ancestor.
     pub(super) fn open_escrow(&mut self, program: ProgramKey, begin: &wire::Begin) {
         let Some(ahead) = begin.ahead else { return };
         let mut amounts = Amounts::from_record(ahead);
@@ -76,23 +76,23 @@
         self.programs[program].escrow = Some(Escrow { term: self.term, amounts });
     }
 
-    /// Closes the escrow that a waiting begin finds.
+    /// Closes the escrow that exists when a begin is applied.
     ///
-    /// The leader of an earlier term may have granted a turn out of it whose begin never reached
-    /// the log. Given back, the same budget would be granted twice; so it counts as spent.
+    /// A leader of an earlier term may have granted a turn from the escrow whose begin never
+    /// reached the log. Its escrow is charged as spent, so that no budget is granted twice.
     pub(super) fn close_previous_escrow(&mut self, program: ProgramKey) {
         let escrow = self.programs[program].escrow;
         let old = escrow.is_some_and(|escrow| escrow.term != self.term);
         self.remove_escrow(program, old && self.safeguards.spend_escrow);
     }
 
-    /// Applies the closing that a leader asks for.
+    /// Applies the closing of an escrow that a leader proposed.
     pub(super) fn close_escrow(&mut self, close: &wire::CloseEscrow) -> Applied {
         let name = QualifiedName::from_wire(close.program.as_ref());
         let Some(program) = self.names.get(&name).copied() else { return Applied::Done };
         let found = &self.programs[program];
         let old = found.escrow.is_some_and(|escrow| escrow.term != self.term);
-        // A call under way shows that nothing else was granted; its settle closes the escrow.
+        // While a call runs, nothing else was granted; its settle closes the escrow.
         if old && !found.running.is_empty() {
             return Applied::Done;
         }
@@ -101,12 +101,10 @@
         Applied::Done
     }
 
-    /// Gives back what an attempt did not use: to the escrow that it came from, if its leader
-    /// still leads.
+    /// Returns the unused part of an attempt's reservation to the escrow it was taken from.
     ///
-    /// After a leader change the escrow is closed, and nothing of it is lost: the attempt was
-    /// under way from its begin until now, so its leader granted nothing else meanwhile. That
-    /// does not hold of an attempt that was lost in between.
+    /// After a leader change the escrow is closed and its rest becomes available again: while the
+    /// attempt ran, its leader granted nothing else. That does not hold for an attempt in doubt.
     pub(super) fn return_unused(&mut self, call: CallKey, attempt: &Attempt, used: Amounts) {
         let program = self.calls[call].program;
         let Some(escrow) = self.programs[program].escrow else { return };
@@ -126,7 +124,7 @@
         }
     }
 
-    /// Counts amounts as held in the program and its ancestors.
+    /// Adds to the reserved amounts of the program and its ancestors.
     pub(super) fn add_reserved(&mut self, program: ProgramKey, amounts: Amounts) {
         for key in self.charged_programs(program) {
             self.programs[key].account.reserved.add(amounts);
@@ -153,7 +151,7 @@
 }
 
 impl Program {
-    /// Tells whether the leader of a term may grant the begin out of the escrow.
+    /// Returns whether the leader of `term` may grant the begin from the escrow.
     pub(super) fn escrow_covers(&self, term: u64, begin: &wire::Begin) -> bool {
         let covers =
             |escrow: Escrow| escrow.term == term && escrow.amounts.covers(full_reservation(begin));
@@ -161,7 +159,7 @@
     }
 }
 
-/// Returns what a begin reserves when nothing of it is cut.
+/// Returns the reservation of a begin before its output bound is reduced.
 pub(super) fn full_reservation(begin: &wire::Begin) -> Amounts {
     let tokens = begin.prompt_tokens.saturating_add(begin.max_output);
     Amounts { tokens, calls: 1, micros: begin.max_micros }
--- a/crates/core/src/program/history.rs
+++ b/crates/core/src/program/history.rs
@@ -1,8 +1,7 @@
-//! A program's history: bytes by turn, and the hashes that comparisons need.
+//! History of a program: the messages of each turn, and their hashes for comparisons.
 //!
-//! This is the only place that holds history bytes. The first version keeps them in memory; a
-//! version that keeps log positions replaces [`History::assemble`] and nothing else, since
-//! comparisons, budgets and order use the hashes and lengths alone.
+//! This is the only place that holds the bytes of finished turns, all in memory. Comparisons,
+//! budgets and turn order use only hashes and lengths.
 
 use bytes::{BufMut, Bytes, BytesMut};
 
@@ -13,14 +12,14 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct History {
     segments: Vec<Bytes>,
-    /// Messages in each segment.
+    /// Number of messages in each segment.
     counts: Vec<u32>,
     hashes: Vec<MessageHash>,
     len: usize,
 }
 
 impl History {
-    /// Appends a finished turn: canonical messages joined by commas, with their hashes.
+    /// Appends a finished turn: canonical messages joined with commas, and their hashes.
     pub(super) fn append(&mut self, messages: Bytes, hashes: &[u8]) {
         let fresh = hashes.chunks_exact(HASH_LEN).map(|h| {
             let mut hash = MessageHash::default();
@@ -34,7 +33,7 @@
         self.segments.push(messages);
     }
 
-    /// Returns how many turns are finished.
+    /// Returns the number of finished turns.
     pub(super) fn turns(&self) -> u64 {
         self.segments.len() as u64
     }
@@ -44,12 +43,13 @@
         &self.hashes
     }
 
-    /// Returns the bytes of all messages, an upper bound of their tokens.
+    /// Returns the size of all messages in bytes, which is an upper bound of their tokens.
     pub(super) fn len(&self) -> usize {
         self.len
     }
 
-    /// Returns the history followed by `fresh` as a JSON array, and the length of the old part.
+    /// Returns the history followed by `fresh` as a JSON array, and the length in bytes of the part
+    /// before `fresh`.
     pub(super) fn assemble(&self, fresh: &[u8]) -> (Bytes, u64) {
         let mut out = BytesMut::with_capacity(self.len + fresh.len() + 2);
         out.put_u8(b'[');
@@ -81,7 +81,7 @@
         records
     }
 
-    /// Returns the bytes of memory that this history takes, the bytes themselves included.
+    /// Returns the size of the history in memory, messages and index, in bytes.
     pub(super) fn memory(&self) -> usize {
         let index = self.segments.capacity() * size_of::<Bytes>()
             + self.counts.capacity() * size_of::<u32>()
--- a/crates/core/src/program/interface.rs
+++ b/crates/core/src/program/interface.rs
@@ -1,4 +1,4 @@
-//! What a sequencer is told and what it asks for.
+//! Inputs and effects of a sequencer.
 
 use bytes::Bytes;
 
@@ -6,120 +6,121 @@
 use crate::wire::program as wire;
 use crate::wire::program::Reply;
 
-/// Names a request so that its reply finds back; the daemon counts them up.
+/// Identifies a request until its reply; the daemon assigns increasing numbers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestToken(pub u64);
 
-/// Names a proposal so that its failure finds back.
+/// Identifies a proposal, so that its failure can be reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ProposalId(pub u64);
 
-/// What the daemon tells a sequencer.
+/// Input from the daemon to a sequencer.
 #[expect(clippy::large_enum_variant, reason = "requests are the bulk of all inputs")]
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
-    /// An entry VM asks for something.
+    /// An entry VM sent a request.
     Request {
-        /// Comes back with the one reply.
+        /// Token that the one reply carries.
         token: RequestToken,
-        /// The VM that asks; it alone may settle what it is granted.
+        /// VM that sent the request; only this VM may settle what it is granted.
         from: VmId,
-        /// What it asks.
+        /// The request.
         request: wire::Request,
     },
-    /// The log committed an entry; all are fed, in order, on every replica.
+    /// The log committed an entry. Every replica gets all entries in order.
     Committed {
-        /// Place in the log.
+        /// Log index of the entry.
         index: u64,
-        /// The entry as proposed.
+        /// Encoded entry, as proposed.
         data: Bytes,
     },
     /// A snapshot replaces the state up to `index`.
     Restored {
-        /// Last place in the log that the snapshot covers.
+        /// Last log index that the snapshot covers.
         index: u64,
-        /// What [`State::snapshot`](super::State::snapshot) gave.
+        /// Snapshot made by [`State::snapshot`](super::State::snapshot).
         data: Bytes,
     },
-    /// This replica leads. Repeat [`Input::VmGone`] for every VM that is dead by now.
+    /// This replica became the leader. The daemon repeats [`Input::VmGone`] for every dead VM.
     Leading {
-        /// The leader's term.
+        /// Term of the leadership.
         term: u64,
     },
-    /// This replica does not lead, or no longer.
+    /// This replica is not, or no longer, the leader.
     Following {
-        /// The leader's store VM when known.
+        /// Store VM of the leader, if known.
         leader: Option<VmId>,
     },
-    /// A proposal will not be committed by this leader; it may still be committed by a later one.
+    /// This leader will not commit the proposal; a later leader may still commit it.
     ProposalFailed {
-        /// The proposal.
+        /// The failed proposal.
         proposal: ProposalId,
     },
-    /// A bundle revision is in force.
+    /// A bundle revision came into force.
     Config {
-        /// Its number.
+        /// Number of the revision.
         revision: RevisionNumber,
-        /// Digests that it lifts from quarantine.
+        /// Digests that the revision lifts from quarantine.
         lifted: Vec<Bytes>,
     },
-    /// Membership declared an entry VM dead, or saw it restart.
+    /// Membership declared an entry VM dead or saw it restart.
     VmGone {
-        /// The VM.
+        /// The dead or restarted VM.
         vm: VmId,
     },
-    /// An endpoint's lease ran out, or it restarted: it holds no memory of any program.
+    /// An endpoint's lease expired or it restarted, so it holds no memory of any program.
     EndpointGone {
-        /// The endpoint.
+        /// Name of the endpoint.
         endpoint: EndpointName,
     },
-    /// Crash scores that other groups found.
+    /// Crash scores from other groups.
     Scores {
-        /// The scores.
+        /// Scores to merge.
         scores: Vec<wire::Score>,
     },
-    /// Time passed; fed every few tens of milliseconds.
+    /// Time passed. The daemon sends one every few tens of milliseconds.
     Tick,
 }
 
-/// What a sequencer asks of the daemon.
+/// Action that a sequencer asks the daemon to perform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Propose an entry to the log.
     Propose {
-        /// Names it in [`Input::ProposalFailed`].
+        /// Identifies the proposal in [`Input::ProposalFailed`].
         proposal: ProposalId,
-        /// The entry.
+        /// Encoded entry.
         data: Bytes,
     },
-    /// Answer a request.
+    /// Reply to a request.
     Reply {
-        /// The request.
+        /// Token of the request.
         token: RequestToken,
-        /// The answer.
+        /// The reply.
         reply: Reply,
     },
-    /// Tell an endpoint to free a program's memory. Repeated until it confirms; an endpoint that
-    /// is not known any more is answered by [`Input::EndpointGone`].
+    /// Tell an endpoint to free a program's memory. Repeated until the endpoint confirms; for an
+    /// endpoint that no longer exists, the daemon sends [`Input::EndpointGone`].
     Release {
-        /// What to free, and where.
+        /// Program and endpoint.
         release: wire::Release,
     },
-    /// Tell an entry VM to cancel a dispatch of a program that ended.
+    /// Tell an entry VM to cancel a dispatch of an ended program.
     Cancel {
-        /// The dispatch.
+        /// Id of the dispatch.
         dispatch: CompactString,
-        /// Its holder.
+        /// VM that holds the dispatch.
         vm: VmId,
     },
-    /// Stop this replica: its state can no longer follow the log. It answers nothing from now on.
+    /// Stop this replica, because it cannot read an entry or a snapshot. It refuses all requests
+    /// until a readable snapshot arrives.
     Halt {
-        /// What could not be read, for the operators.
+        /// Description of what could not be read, for operators.
         reason: String,
     },
-    /// Tell the other groups what is known of a request that crashes endpoints.
+    /// Send a changed crash score to the other groups.
     Scored {
-        /// The score.
+        /// Score of the request digest.
         score: wire::Score,
     },
 }
--- a/crates/core/src/program/journal.rs
+++ b/crates/core/src/program/journal.rs
@@ -1,7 +1,7 @@
-//! Begin, settle, lose and end: the entries that make the call journal.
+//! Applies begin entries: creates programs, reserves budget and opens attempts.
 //!
-//! The order of these entries in the log is the only order there is. A begin that finds the state
-//! other than its proposer saw it changes nothing and is looked at again. See
+//! The log decides the order of calls. If the state has changed since a begin was proposed, so that
+//! it no longer fits, no attempt is opened and the request is decided again. See
 //! docs/design/journal.md.
 
 use bytes::Bytes;
@@ -20,7 +20,7 @@
 use crate::wire::program::{EndReason, Refusal};
 
 impl State {
-    /// Records the intent to run a call and reserves its budget, or tells why not.
+    /// Records the intent to run a call and reserves its budget, or returns why it cannot run.
     pub(super) fn begin(&mut self, begin: &wire::Begin) -> Applied {
         if begin.escrowed {
             return self.begin_escrowed(begin);
@@ -41,7 +41,7 @@
         Applied::Granted(self.insert_attempt(program, begin, reserved))
     }
 
-    /// Returns the program of a begin, and creates it if this is its first call.
+    /// Returns the program of a begin, creating it for its first call.
     fn open_program(&mut self, begin: &wire::Begin) -> Result<ProgramKey, wire::Refused> {
         let name = QualifiedName::from_wire(begin.program.as_ref());
         if let Some(key) = self.names.get(&name) {
@@ -73,9 +73,9 @@
 
     /// Returns the parent of a new program.
     ///
-    /// A child's id must carry its root's, else the two could live in different groups and no
-    /// single log would see both reservations; and an id with a separator must have a parent,
-    /// else a sub-agent could begin with a budget of its own.
+    /// A child's id must start with the root's id, so that both are in one group and one log orders
+    /// their reservations. An id with a separator must name a parent, so that a sub-agent cannot
+    /// get a budget of its own.
     fn parent_of(
         &self,
         name: &QualifiedName,
@@ -102,7 +102,9 @@
         Ok(Some(key))
     }
 
-    /// Tells whether a begin may go ahead as far as order, key and crash scores say.
+    /// Checks a begin against its key, the program's state, the turn order and the crash scores.
+    ///
+    /// Ends the program if its deadline has passed.
     fn check_begin(&mut self, program: ProgramKey, begin: &wire::Begin) -> Result<(), Applied> {
         if let Some(call) = self.programs[program].calls.get(begin.key.as_str()).copied() {
             self.check_key(call, begin)?;
@@ -123,7 +125,7 @@
         self.check_crashes(begin)
     }
 
-    /// Tells whether the call behind a known key may be granted again.
+    /// Checks that the call of a known key may be granted another attempt.
     fn check_key(&self, call: CallKey, begin: &wire::Begin) -> Result<(), Applied> {
         let found = &self.calls[call];
         if self.safeguards.bind_content && found.content[..] != begin.content[..] {
@@ -136,11 +138,14 @@
         }
     }
 
-    /// Refuses quarantined requests, and a second run of a suspect beside its first.
+    /// Refuses quarantined requests, and postpones a suspect while another copy of it runs.
     fn check_crashes(&self, begin: &wire::Begin) -> Result<(), Applied> {
         let Some(digest) = read_digest(&begin.digest) else { return Ok(()) };
         if self.scores.get(&digest).quarantined {
-            return Err(Applied::Refused(refused(Refusal::Quarantined, "crashed its endpoints")));
+            return Err(Applied::Refused(refused(
+                Refusal::Quarantined,
+                "this request crashed the endpoints that ran it",
+            )));
         }
         let duplicate = self.in_flight.get(&digest).is_some_and(|n| *n > 0);
         if self.safeguards.isolate_suspects && self.scores.is_suspect(&digest) && duplicate {
@@ -149,9 +154,9 @@
         Ok(())
     }
 
-    /// Reserves what the call may consume at most, in the program and in every ancestor.
+    /// Reserves the most that the call may consume, in the program and in every ancestor.
     ///
-    /// The output bound is cut to what the tightest of them has left, but never to nothing.
+    /// The output bound is reduced to the smallest remaining token budget, but not below one token.
     fn reserve(&mut self, key: ProgramKey, begin: &wire::Begin) -> Result<Amounts, BudgetExceeded> {
         let lineage = self.charged_programs(key);
         let mut reserved = full_reservation(begin);
@@ -166,7 +171,7 @@
         Ok(reserved)
     }
 
-    /// Refuses for want of budget, and ends the program whose budget is spent for good.
+    /// Builds the refusal for a missing budget and ends programs whose budget is exhausted.
     fn refuse_budget(&mut self, program: ProgramKey, exceeded: BudgetExceeded) -> wire::Refused {
         self.end_if_exhausted(program);
         refused(Refusal::BudgetExceeded, exceeded)
--- a/crates/core/src/program/leadership.rs
+++ b/crates/core/src/program/leadership.rs
@@ -1,4 +1,4 @@
-//! What changes when a replica begins or ceases to lead, and the group's time.
+//! Start and end of leadership, and the group time.
 
 use super::interface::{Effect, RequestToken};
 use super::parked_requests::QueueKey;
@@ -11,12 +11,14 @@
 use crate::wire::program::reply::Body as ReplyBody;
 use crate::wire::program::{Refusal, Reply};
 
-/// The leader's clock and term.
+/// Term of the current leadership and the base of its group time.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LeaderState {
     pub(super) term: u64,
+    /// Group time when this replica became the leader.
     base_ms: u64,
     since: Time,
+    /// Whether the barrier is applied, so that the state holds all entries of earlier terms.
     pub(super) ready: bool,
 }
 
@@ -41,7 +43,7 @@
         self.wake(now, &QueueKey::LeaderReady, out);
     }
 
-    /// Drops all that a leader alone knows and sends its waiters to the next leader.
+    /// Drops the leader's bookkeeping and refuses all open requests, naming the new leader if known.
     pub(super) fn become_follower(&mut self, leader: Option<VmId>, out: &mut Vec<Effect>) {
         self.leader = leader;
         self.leader_state = None;
@@ -62,7 +64,7 @@
         self.dead_vms.clear();
     }
 
-    /// Proposes the barrier again if it failed while this replica went on leading.
+    /// Proposes the barrier again if it failed while this replica still leads.
     pub(super) fn renew_barrier(&mut self, now: Time, out: &mut Vec<Effect>) {
         let waiting =
             self.pending.values().any(|pending| matches!(pending, PendingProposal::Barrier));
@@ -78,10 +80,10 @@
         reply(ReplyBody::Refused(refused))
     }
 
-    /// Returns the group's time: it goes on where the last entry left it, and never backwards.
+    /// Returns the group time in milliseconds, which never goes backwards.
     ///
-    /// Monotonic clocks of two VMs share no start, so a new leader counts on from the state's
-    /// clock. The time for which a group had no leader is not counted against its programs.
+    /// The monotonic clocks of two VMs have different origins, so a new leader continues from the
+    /// time of the last entry. Time without a leader does not count against programs.
     pub(super) fn now_ms(&self, now: Time) -> u64 {
         let Some(lead) = self.leader_state else { return self.state.clock_ms() };
         let elapsed = now.since(lead.since).as_millis() as u64;
--- a/crates/core/src/program/messages.rs
+++ b/crates/core/src/program/messages.rs
@@ -1,38 +1,38 @@
-//! Chat messages as the history compares and stores them.
+//! Parses, compares and hashes chat messages.
 //!
-//! A caller may send the whole history or just the new messages; [`compare_history`] tells which
-//! it did. Messages are compared by meaning: client libraries reorder fields, add nulls and drop
-//! decorations when they send an answer back.
+//! A caller may send the whole history or only the new messages; [`compare_history`] tells them
+//! apart. Messages are compared by meaning, because client libraries reorder fields, add nulls and
+//! drop fields when they send an answer back.
 
 use bytes::{BufMut, Bytes, BytesMut};
 use serde_json::Value;
 use xxhash_rust::xxh3::Xxh3;
 
-/// Hash of one message's meaning; see [`message_hash`].
+/// Hash of one message; see [`message_hash`] for what it covers.
 pub(super) type MessageHash = [u8; HASH_LEN];
 
-/// Bytes of a [`MessageHash`].
+/// Length of a [`MessageHash`] in bytes.
 pub(super) const HASH_LEN: usize = 16;
 
 /// Fields that engines add to an answer and that callers may drop when they send it back.
 const ENGINE_FIELDS: [&str; 4] = ["annotations", "reasoning", "reasoning_content", "refusal"];
 
-/// A request's messages, parsed once.
+/// Parsed messages of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Prompt {
-    /// Canonical JSON of each message.
+    /// Canonical JSON text of each message.
     pub texts: Vec<Bytes>,
     pub(super) hashes: Vec<MessageHash>,
     roles: Vec<Role>,
 }
 
 impl Prompt {
-    /// Returns the messages from `start` on, joined by commas.
+    /// Returns the messages from `start` on, joined with commas.
     pub(super) fn joined(&self, start: usize) -> Bytes {
         join(&self.texts[start.min(self.texts.len())..])
     }
 
-    /// Returns the hashes of the messages from `start` on, one after the other.
+    /// Returns the concatenated hashes of the messages from `start` on.
     pub(super) fn hash_bytes(&self, start: usize) -> Bytes {
         Bytes::from(self.hashes[start.min(self.hashes.len())..].concat())
     }
@@ -45,7 +45,7 @@
     Other,
 }
 
-/// Where a whole history that a caller sent parts from the stored one.
+/// Error for a full history that differs from the stored one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error(
     "message {index} differs from the stored history of {stored} messages: send only the new \
@@ -54,11 +54,13 @@
 pub struct HistoryConflict {
     /// Index of the first message that differs.
     pub index: usize,
-    /// Messages in the stored history.
+    /// Number of messages in the stored history.
     pub stored: usize,
 }
 
-/// Parses a JSON array of chat messages, or tells what is wrong with it.
+/// Parses a JSON array of chat messages.
+///
+/// Returns a description of the problem if the JSON is malformed or an item is not an object.
 pub fn parse_messages(json: &[u8]) -> Result<Prompt, String> {
     let value: Value = serde_json::from_slice(json).map_err(|e| format!("messages: {e}"))?;
     let Value::Array(items) = value else {
@@ -76,11 +78,11 @@
     Ok(prompt)
 }
 
-/// Returns how many of the prompt's messages the stored history already holds.
+/// Returns how many leading messages of the prompt the stored history already contains.
 ///
-/// A whole history holds every stored answer, so a prompt that neither starts with the stored
-/// messages nor carries an assistant's message is taken as new messages only. A prompt that looks
-/// whole and differs is refused: appending it would mix two conversations.
+/// A full history contains the stored answers, so a prompt that does not start with the stored
+/// messages and has no assistant message counts as new messages only. A prompt that looks like a
+/// full history but differs is refused, because appending it would mix two conversations.
 pub fn compare_history(
     stored: &[[u8; HASH_LEN]],
     prompt: &Prompt,
@@ -101,9 +103,9 @@
     Ok(0)
 }
 
-/// Returns the answer's message from a response body in the published chat shape.
+/// Extracts the assistant's message from a chat completion response.
 ///
-/// A bare message is taken as it is, so that stand-ins need no envelope.
+/// A bare message is also accepted, so that stand-ins need no envelope.
 pub(super) fn answer_message(body: &[u8]) -> Option<Value> {
     let mut value: Value = serde_json::from_slice(body).ok()?;
     if let Some(message) = value.pointer_mut("/choices/0/message") {
@@ -112,14 +114,14 @@
     value.get("role").is_some().then_some(value)
 }
 
-/// Serialises a value with its object keys in order, so that equal values give equal bytes.
+/// Serialises a value with sorted object keys, so that equal values give equal bytes.
 pub(super) fn canonical(value: &Value) -> Bytes {
     let mut out = BytesMut::new();
     write_canonical(value, &mut out);
     out.freeze()
 }
 
-/// Hashes what a message means: its fields in order, without nulls, empty lists and decorations.
+/// Hashes a message's fields in canonical order, without nulls, empty lists and [`ENGINE_FIELDS`].
 pub(super) fn message_hash(message: &Value) -> MessageHash {
     let mut kept = message.clone();
     if let Value::Object(fields) = &mut kept {
@@ -131,7 +133,7 @@
     fingerprint(&[&canonical(&kept)])
 }
 
-/// Hashes a list of byte strings; lengths are part of the hash, so boundaries count.
+/// Hashes a list of byte strings; their lengths are hashed too, so that boundaries matter.
 pub(super) fn fingerprint(parts: &[&[u8]]) -> MessageHash {
     let mut hash = Xxh3::new();
     for part in parts {
@@ -141,7 +143,7 @@
     hash.digest128().to_le_bytes()
 }
 
-/// Joins canonical messages by commas, the form in which the history keeps them.
+/// Joins canonical messages with commas, the form in which the history stores them.
 pub(super) fn join(texts: &[Bytes]) -> Bytes {
     let len = texts.iter().map(|text| text.len() + 1).sum();
     let mut out = BytesMut::with_capacity(len);
--- a/crates/core/src/program/mod.rs
+++ b/crates/core/src/program/mod.rs
@@ -1,9 +1,9 @@
-//! State machine of a program group: order, history, budget, journal, ends.
+//! State machine of a program group: turn order, history, budgets, call journal and program ends.
 //!
-//! Two values make a group. [`State`] is replicated and deterministic: it applies log entries and
-//! decides everything that must survive. [`Sequencer`] runs on the leader, owns a state and turns
-//! requests into proposals and replies. Every decision is taken when an entry is applied, never
-//! when it is proposed, so that the log's order alone settles races. See
+//! [`State`] is replicated and deterministic: it applies log entries and holds everything that must
+//! survive a leader change. [`Sequencer`] owns the state of one replica and, while that replica
+//! leads, turns requests into proposals and replies. Binding decisions are made when an entry is
+//! applied, not when it is proposed, so that the order of the log resolves races. See
 //! docs/design/programs.md and docs/design/journal.md.
 
 mod admission;
@@ -42,10 +42,11 @@
 /// Separates a child's id from its ancestors' in a program id.
 pub const CHILD_SEPARATOR: char = '/';
 
-/// Returns the root of a program's family: the part of its id before the first separator.
+/// Returns the id of the root program: the part before the first separator.
 ///
-/// A child's id is `<root>/<suffix>`, and slots are taken of the root alone. A whole family
-/// therefore lives in one group, where one log orders all reservations against its budgets.
+/// A child's id is `<root>/<suffix>`, and the slot is computed from the root alone. A program and
+/// its descendants therefore share one group, whose log orders all reservations against their
+/// budgets.
 pub fn root_of(program: &str) -> &str {
     program.split(CHILD_SEPARATOR).next().unwrap_or(program)
 }
--- a/crates/core/src/program/parked_requests.rs
+++ b/crates/core/src/program/parked_requests.rs
@@ -1,4 +1,4 @@
-//! Requests that cannot go yet: bounded queues by what they wait for.
+//! Bounded queues of requests that cannot be proposed yet, by what they wait for.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -8,30 +8,30 @@
 use super::state::QualifiedName;
 use crate::prelude::*;
 
-/// What a parked request waits for.
+/// Identifies a queue by what its requests wait for.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) enum QueueKey {
-    /// An earlier request of its program.
+    /// An earlier request of the same program.
     Program(QualifiedName),
-    /// The other run of a crash suspect.
+    /// The end of another run of the same crash suspect.
     Suspect(Digest),
-    /// An engine to itself, since others have theirs.
+    /// A free place among the suspects that may run isolated at the same time.
     Isolation,
-    /// A new leader that has yet to see all that its predecessors committed.
+    /// The commit of a new leader's barrier.
     LeaderReady,
 }
 
-/// All parked requests, in their order of arrival within each queue.
+/// All parked requests; each queue keeps the order of arrival.
 #[derive(Debug, Default)]
 pub(super) struct ParkedRequests {
     queues: HashMap<QueueKey, VecDeque<CallWaiter>>,
     len: usize,
-    /// No parked request is due before this group time.
+    /// Lower bound of all deadlines, in group time.
     earliest_ms: u64,
 }
 
 impl ParkedRequests {
-    /// Parks a request, or hands it back when its queue or the whole is full.
+    /// Parks a request, or returns it if its queue or the total limit is full.
     pub(super) fn park(
         &mut self,
         queue: QueueKey,
@@ -57,14 +57,14 @@
         Ok(())
     }
 
-    /// Takes all requests of one queue.
+    /// Removes and returns all requests of one queue.
     pub(super) fn take(&mut self, queue: &QueueKey) -> VecDeque<CallWaiter> {
         let taken = self.queues.remove(queue).unwrap_or_default();
         self.len -= taken.len();
         taken
     }
 
-    /// Takes the requests whose deadline has passed.
+    /// Removes and returns the requests whose deadline has passed.
     pub(super) fn take_expired(&mut self, now_ms: u64) -> Vec<CallWaiter> {
         if self.len == 0 || now_ms < self.earliest_ms {
             return vec![];
@@ -84,7 +84,7 @@
         due
     }
 
-    /// Takes the requests of one VM, in the order of arrival.
+    /// Removes and returns the requests of one VM, in order of arrival.
     pub(super) fn take_from(&mut self, vm: VmId) -> Vec<CallWaiter> {
         let mut taken = vec![];
         for queue in self.queues.values_mut() {
@@ -99,7 +99,7 @@
         taken
     }
 
-    /// Takes everything, in the order of arrival.
+    /// Removes and returns all requests, in order of arrival.
     pub(super) fn take_all(&mut self) -> Vec<CallWaiter> {
         self.len = 0;
         let mut all: Vec<CallWaiter> = self.queues.drain().flat_map(|(_, queue)| queue).collect();
@@ -107,12 +107,12 @@
         all
     }
 
-    /// Returns the programs that requests wait for, in a fixed order.
+    /// Returns the keys of all program queues, sorted.
     pub(super) fn program_queues(&self) -> Vec<QueueKey> {
         self.queues_matching(|queue| matches!(queue, QueueKey::Program(_)))
     }
 
-    /// Returns what crash suspects wait for, in a fixed order.
+    /// Returns the keys of the queues that crash suspects wait in, sorted.
     pub(super) fn suspect_queues(&self) -> Vec<QueueKey> {
         self.queues_matching(|queue| matches!(queue, QueueKey::Suspect(_) | QueueKey::Isolation))
     }
@@ -124,7 +124,7 @@
         queues
     }
 
-    /// Returns how many requests are parked.
+    /// Returns the number of parked requests.
     pub(super) fn len(&self) -> usize {
         self.len
     }
--- a/crates/core/src/program/proposals.rs
+++ b/crates/core/src/program/proposals.rs
@@ -1,4 +1,4 @@
-//! Proposals under way, and what becomes of their askers once they are committed or fail.
+//! Pending proposals, and the replies to their requests once they are committed or fail.
 
 use bytes::Bytes;
 use prost::Message;
@@ -14,18 +14,18 @@
 use crate::wire::program::reply::Body as ReplyBody;
 use crate::wire::program::{Refusal, Reply};
 
-/// What waits for a proposal.
+/// What to do once a proposal is committed or fails.
 #[derive(Debug)]
 pub(super) enum PendingProposal {
     Begin(Box<CallWaiter>),
-    /// A begin whose caller was told that it is not run, before it was committed.
+    /// A begin whose caller was already told that the call does not run.
     Withdrawn(QualifiedName),
-    /// A begin whose grant is already given.
+    /// A begin whose dispatch was granted before the commit.
     EarlyBegin(CompactString),
-    /// The closing of a program's escrow.
+    /// Closes a program's escrow.
     CloseEscrow(QualifiedName),
     Reply(RequestToken),
-    /// The first entry of a leader: once it is committed, so is all that came before.
+    /// First entry of a leader; once it is committed, so are all entries of earlier terms.
     Barrier,
     Maintenance,
 }
@@ -86,7 +86,7 @@
         proposal
     }
 
-    /// Answers whoever waited for a proposal that is committed now.
+    /// Replies to the request whose proposal was committed and applied.
     pub(super) fn complete(
         &mut self,
         now: Time,
@@ -150,17 +150,17 @@
         }
     }
 
-    /// Answers the begins that wait for the log beyond their callers' deadlines.
+    /// Refuses the begins that are not committed by their callers' deadlines.
     ///
-    /// A leader that lost its quorum without noticing would else keep its callers waiting for as
-    /// long as the network is parted. That they are not run is true: the grant is this leader's
-    /// to give, and it gives none to a caller that was answered.
+    /// Otherwise a leader that was cut off from its quorum would keep callers waiting until the
+    /// partition ends. The refusal is correct: a call runs only once its holder has the grant, and
+    /// this leader sends none for a refused request.
     pub(super) fn withdraw_expired(&mut self, now: Time, out: &mut Vec<Effect>) {
         let now_ms = self.now_ms(now);
         self.withdraw_pending(|waiter| waiter.deadline_ms <= now_ms, out);
     }
 
-    /// Answers the begins of a VM that died; it would not use a grant.
+    /// Refuses the pending begins of a dead VM, which could not use a grant.
     pub(super) fn withdraw_from(&mut self, vm: VmId, out: &mut Vec<Effect>) {
         self.withdraw_pending(|waiter| waiter.from == vm, out);
     }
@@ -185,10 +185,10 @@
         );
     }
 
-    /// Takes back an intent for which this leader never gave a grant.
+    /// Settles a committed begin as not run, since this leader never granted it.
     ///
-    /// Without this the key would stay in doubt for good though nothing was sent. A repeat of the
-    /// ask must not be granted before that is committed: it would run what the entry calls unrun.
+    /// Otherwise the key would be in doubt although nothing was sent. Until the settle is
+    /// committed, a repeated request must not be granted: it would run a call recorded as not run.
     fn withdraw(&mut self, now: Time, call: CallKey, out: &mut Vec<Effect>) {
         let call = &self.state.calls[call];
         let Phase::Running(attempt) = &call.phase else { return };
--- a/crates/core/src/program/replies.rs
+++ b/crates/core/src/program/replies.rs
@@ -11,38 +11,38 @@
 use crate::wire::program::Refusal;
 use crate::wire::program::reply::Body;
 
-/// Builds a refusal; its detail tells the caller what to do.
+/// Builds a refusal; `detail` is the explanation that the caller gets.
 pub fn refused(code: Refusal, detail: impl Display) -> wire::Refused {
     wire::Refused { code: code.into(), detail: detail.to_string(), leader: 0, retry_ms: 0 }
 }
 
-/// Wraps a reply's body.
+/// Wraps a body in a reply.
 pub(super) fn reply(body: Body) -> wire::Reply {
     wire::Reply { body: Some(body) }
 }
 
-/// Builds the reply that refuses a request.
+/// Builds a reply that refuses a request.
 pub(super) fn refusal(code: Refusal, detail: impl Display) -> wire::Reply {
     reply(Body::Refused(refused(code, detail)))
 }
 
-/// Builds the reply for a call whose outcome is not known.
+/// Builds the reply for a call whose outcome is unknown.
 pub(super) fn unknown(call: &Call, detail: &str) -> wire::Reply {
     let dispatch = call.dispatch.to_string();
     reply(Body::Unknown(wire::Unknown { dispatch, detail: detail.into() }))
 }
 
-/// Builds the reply for a call whose begin is on its way, so that its dispatch has no record yet.
+/// Builds the reply for a call whose begin is proposed and whose dispatch is not recorded yet.
 pub(super) fn unknown_proposed(detail: &str) -> wire::Reply {
     reply(Body::Unknown(wire::Unknown { dispatch: String::new(), detail: detail.into() }))
 }
 
-/// Builds the reply that hands out a recorded answer.
+/// Builds the reply with a recorded answer.
 pub(super) fn recorded(answer: &Bytes, status: u32, turn: u64) -> wire::Reply {
     reply(Body::Recorded(wire::Recorded { answer: answer.clone(), status, turn }))
 }
 
-/// Builds the grant of a call that is running; nothing else may be granted.
+/// Builds the grant of a running call; returns `None` in any other phase.
 pub(super) fn grant(state: &State, key: CallKey) -> Option<wire::Reply> {
     let call = &state.calls[key];
     let Phase::Running(attempt) = &call.phase else { return None };
@@ -65,7 +65,7 @@
     })))
 }
 
-/// Builds the grant of a begin that is not applied yet.
+/// Builds the grant of a begin that is proposed but not applied.
 pub(super) fn early_grant(state: &State, begin: &wire::Begin) -> wire::Reply {
     let name = QualifiedName::from_wire(begin.program.as_ref());
     let program = state.find(&name);
@@ -90,7 +90,7 @@
     }))
 }
 
-/// Reads a content fingerprint off the wire.
+/// Reads a content hash from the wire; one of the wrong length reads as zeros.
 pub(super) fn read_hash(bytes: &[u8]) -> [u8; HASH_LEN] {
     bytes.try_into().unwrap_or_default()
 }
--- a/crates/core/src/program/sequencer.rs
+++ b/crates/core/src/program/sequencer.rs
@@ -1,7 +1,7 @@
-//! The leader's front of a program group: requests in, proposals and replies out.
+//! Handles the requests of a program group: takes inputs, emits proposals and replies.
 //!
-//! Nothing here survives a leader change, and nothing needs to: what a caller was promised is in
-//! the [`State`]. See docs/design/programs.md.
+//! Bookkeeping outside the [`State`] is discarded on a leader change. Everything that a caller was
+//! promised is in the replicated state. See docs/design/programs.md.
 
 use std::collections::{HashMap, HashSet};
 
@@ -28,19 +28,21 @@
 use crate::wire::program::reply::Body as ReplyBody;
 use crate::wire::program::request::Body as RequestBody;
 
-/// A request to run a call, on its way to an answer.
+/// Request to run a call that has not been answered yet.
 #[derive(Clone, Debug)]
 pub(super) struct CallWaiter {
     pub(super) token: RequestToken,
     pub(super) from: VmId,
-    /// Group time at which the caller gives up.
+    /// Group time at which the caller stops waiting.
     pub(super) deadline_ms: u64,
     pub(super) request: CallRequest,
-    /// The request is a crash suspect and takes an engine to itself.
+    /// Whether the request is a crash suspect that needs an engine to itself.
     pub(super) isolate: bool,
 }
 
-/// Front of one replica of a program group.
+/// Request handling and state of one replica of a program group.
+///
+/// Has no clock and does no I/O: [`Sequencer::step`] takes the time and an input and returns effects.
 #[derive(Debug)]
 pub struct Sequencer {
     pub(super) settings: Settings,
@@ -56,14 +58,14 @@
     pub(super) pending: HashMap<ProposalId, PendingProposal>,
     pub(super) maintenance: HashSet<ProposalId>,
     pub(super) parked: ParkedRequests,
-    /// Programs with a begin on its way through the log.
+    /// Programs for which a begin or the closing of an escrow is proposed and not yet committed.
     pub(super) pending_programs: HashSet<QualifiedName>,
     pub(super) crashes: CrashTracker,
-    /// Dispatches that this leader takes back; none of them may be granted.
+    /// Dispatches that this leader is withdrawing and must not grant.
     pub(super) withdrawn: HashSet<CompactString>,
-    /// Dispatches granted out of an escrow whose begin is not applied yet.
+    /// Dispatches that were granted from an escrow and whose begin is not applied yet.
     pub(super) early_grants: HashMap<CompactString, EarlyGrant>,
-    /// Programs whose escrow says more than is left, since an early begin failed.
+    /// Programs whose escrow overstates the remaining budget because an early begin failed.
     pub(super) invalid_escrows: HashSet<QualifiedName>,
     pub(super) dead_vms: Vec<VmId>,
     pub(super) release_timers: ResendTimers,
@@ -73,7 +75,7 @@
 }
 
 impl Sequencer {
-    /// Returns the front of a replica whose log is empty.
+    /// Returns the sequencer of a replica whose log is empty.
     pub fn new(group: GroupId, settings: Settings) -> Sequencer {
         let state = State::with_safeguards(settings.safeguards);
         Sequencer {
@@ -108,17 +110,17 @@
         &self.state
     }
 
-    /// Returns the log index up to which the state was applied.
+    /// Returns the log index of the last applied entry.
     pub fn applied(&self) -> u64 {
         self.applied
     }
 
-    /// Returns how many requests are parked.
+    /// Returns the number of requests that wait in a queue before they are proposed.
     pub fn parked_count(&self) -> usize {
         self.parked.len()
     }
 
-    /// Takes one input and appends what is to be done about it.
+    /// Handles one input and appends the resulting effects to `out`.
     pub fn step(&mut self, now: Time, input: Input, out: &mut Vec<Effect>) {
         if self.halted && !matches!(input, Input::Request { .. } | Input::Restored { .. }) {
             return;
@@ -140,7 +142,7 @@
         }
     }
 
-    /// Returns a dispatch id that no other leader, term or group ever gives.
+    /// Returns a new dispatch id; the group and the term make it unique across leaders.
     pub(super) fn next_dispatch(&mut self) -> CompactString {
         self.last_dispatch += 1;
         let term = self.leader_state.map_or(0, |lead| lead.term);
@@ -222,8 +224,10 @@
         self.propose(now, EntryBody::Settled(settled), PendingProposal::Reply(token), out);
     }
 
-    /// Notes where a dispatch runs. An endpoint that the program never ran on is committed before
-    /// the reply: after the first byte, only the group can know whose memory it holds.
+    /// Records where a dispatch runs.
+    ///
+    /// The first dispatch of a program on an endpoint is committed before the reply, so that the
+    /// group knows of the endpoint's memory even if the entry VM dies after sending the request.
     fn record_started(
         &mut self,
         now: Time,
@@ -247,7 +251,9 @@
     fn committed(&mut self, now: Time, index: u64, data: Bytes, out: &mut Vec<Effect>) {
         let entry = match wire::Entry::decode(data) {
             Ok(entry) => entry,
-            Err(error) => return self.halt(format!("entry {index}: {error}"), out),
+            Err(error) => {
+                return self.halt(format!("cannot decode log entry {index}: {error}"), out);
+            }
         };
         self.applied = index;
         let applied = self.state.apply(&entry);
@@ -271,21 +277,22 @@
                 self.applied = index;
                 self.halted = false;
             }
-            Err(error) => self.halt(format!("snapshot up to {index}: {error}"), out),
+            Err(error) => {
+                self.halt(format!("cannot restore the snapshot of log index {index}: {error}"), out)
+            }
         }
     }
 
-    /// Stops for good, until a snapshot that can be read replaces the state.
+    /// Stops handling inputs until a readable snapshot replaces the state.
     ///
-    /// A replica that skipped what it cannot read would part from the others unseen, and answer
-    /// from a state that nobody agreed on.
+    /// A replica that skipped an unreadable entry would silently diverge from the others.
     fn halt(&mut self, reason: String, out: &mut Vec<Effect>) {
         self.become_follower(None, out);
         self.halted = true;
         out.push(Effect::Halt { reason });
     }
 
-    /// Wakes the requests that an entry may have made room for.
+    /// Decides again the parked requests that an applied entry may have unblocked.
     fn wake_after(&mut self, now: Time, entry: &wire::Entry, out: &mut Vec<Effect>) {
         match wake_scope(&entry.body) {
             WakeScope::None => {}
@@ -311,7 +318,7 @@
         }
     }
 
-    /// Forgets what only concerns dispatches that are closed now.
+    /// Removes what is tracked for the dispatches that an entry closed.
     fn drop_closed(&mut self, entry: &wire::Entry) {
         let closed: Vec<&str> = match &entry.body {
             Some(EntryBody::Settled(settled)) => vec![&settled.dispatch],
@@ -333,7 +340,7 @@
     }
 }
 
-/// Whose requests an entry may have made room for.
+/// Parked requests that an entry may have unblocked.
 enum WakeScope {
     None,
     Program(QualifiedName),
@@ -345,9 +352,9 @@
         Some(EntryBody::Begin(begin)) => begin.program.as_ref(),
         Some(EntryBody::Settled(settled)) => settled.program.as_ref(),
         Some(EntryBody::CloseEscrow(close)) => close.program.as_ref(),
-        // These may concern whole families.
+        // These may affect several programs.
         Some(EntryBody::End(_) | EntryBody::Lost(_)) => return WakeScope::All,
-        // A lift or a new score changes what suspects wait for.
+        // Lifted quarantines and new scores change what suspects wait for.
         Some(EntryBody::Lifted(_) | EntryBody::Scores(_)) => return WakeScope::All,
         _ => return WakeScope::None,
     };
--- a/crates/core/src/program/settings.rs
+++ b/crates/core/src/program/settings.rs
@@ -1,50 +1,50 @@
-//! Settings of the program group, with their defaults in one place.
+//! Settings of a program group and their defaults.
 
 use crate::prelude::*;
 
-/// Bounds and periods of a [`Sequencer`](super::Sequencer).
+/// Limits and intervals of a [`Sequencer`](super::Sequencer).
 ///
-/// Only the leader reads them: whatever they decide reaches the replicas as log entries, so
-/// replicas with other settings still agree.
+/// Only the leader reads them. Their effects reach the replicas as log entries, so replicas with
+/// different settings still agree.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// Milliseconds a request without a deadline of its own may wait.
+    /// Milliseconds that a request without a deadline may wait.
     pub park_ms: u64,
-    /// Most requests that wait for one program.
+    /// Maximum number of requests that wait for one program, or for one crash suspect.
     pub park_program: usize,
-    /// Most requests that wait in the whole group.
+    /// Maximum number of waiting requests in the group.
     pub park_total: usize,
-    /// Milliseconds after its deadline at which a dispatch without outcome counts as lost.
+    /// Milliseconds after its deadline until a dispatch without an outcome counts as lost.
     pub grace_ms: u64,
-    /// Milliseconds a dispatch without a deadline may run.
+    /// Milliseconds that a dispatch without a deadline may run.
     pub dispatch_ms: u64,
-    /// Idle milliseconds after which a program ends when its caller named none.
+    /// Idle time in milliseconds after which a program ends, unless its caller set one.
     pub idle_ms: u64,
-    /// Milliseconds between two sends of an unconfirmed release.
+    /// Milliseconds between repeats of an unconfirmed release or cancellation.
     pub release_ms: u64,
-    /// Most crash suspects that run alone at once in this group; each takes an engine to itself.
+    /// Maximum number of crash suspects that run isolated at the same time, one to an engine.
     pub isolated: usize,
-    /// Milliseconds that an ended program and its keys are kept.
+    /// Milliseconds that an ended program and its idempotency keys are kept.
     pub retain_ms: u64,
-    /// Milliseconds that a crash suspect's score is kept.
+    /// Milliseconds that the score of a crash suspect is kept.
     pub suspect_ms: u64,
-    /// Milliseconds between two looks for what is due.
+    /// Milliseconds between two scans for expired dispatches and programs.
     pub scan_ms: u64,
-    /// Milliseconds after which the group's time is made durable while programs are alive.
+    /// Milliseconds without an entry after which the group time is committed, while programs live.
     pub clock_ms: u64,
-    /// Tokens that a model call may generate when its caller set no bound.
+    /// Output tokens of a model call whose caller set no limit.
     pub output_tokens: u64,
-    /// Turns for which budget is reserved ahead, so that they are granted without waiting for the
-    /// log; zero waits for every turn.
+    /// Number of turns for which an escrow reserves budget, so that they are granted before their
+    /// begin is committed; zero turns escrows off.
     pub escrow_turns: u64,
-    /// Milliseconds after which an idle program of a family gives its escrow back.
+    /// Idle time in milliseconds after which a program with a parent or children loses its escrow.
     pub escrow_ms: u64,
-    /// Most bytes of one program's history.
+    /// Maximum size of one program's history in bytes.
     pub history_bytes: usize,
-    /// Most idempotency keys of one program.
+    /// Maximum number of idempotency keys of one program.
     pub program_keys: usize,
-    /// Safeguards that tests switch off one at a time.
+    /// Safeguards, which tests turn off one at a time.
     #[doc(hidden)]
     #[serde(skip)]
     pub safeguards: Safeguards,
@@ -75,29 +75,29 @@
     }
 }
 
-/// Safeguards by name; each is on outside tests, and a named test fails when it is off.
+/// Safeguards that tests turn off to show that the checks notice it; all are on otherwise.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Safeguards {
     /// The intent of a call is committed before its grant is sent.
     pub intent_first: bool,
-    /// A request waits while another of its program is under way.
+    /// A request waits while another call of its program runs.
     pub serial_calls: bool,
-    /// A call whose outcome is in doubt is never granted again.
+    /// A call in doubt that may not be repeated is never granted again.
     pub doubt_final: bool,
     /// Only the VM that holds a grant may settle it.
     pub holder_only: bool,
-    /// A reservation is taken from every ancestor.
+    /// A reservation counts against every ancestor.
     pub charge_ancestors: bool,
-    /// A release is repeated until it is confirmed.
+    /// Releases and cancellations are repeated.
     pub repeat_release: bool,
-    /// A key that comes back with other content is refused.
+    /// A key that is reused for a different request is refused.
     pub bind_content: bool,
-    /// A dispatch that was lost keeps its reservation.
+    /// A call in doubt is charged its reservation.
     pub keep_doubtful: bool,
-    /// An escrow of an earlier leader counts as spent.
+    /// The escrow of an earlier leader is charged as spent.
     pub spend_escrow: bool,
-    /// A crash suspect runs alone, and one at a time.
+    /// A crash suspect runs on an engine of its own, one copy at a time.
     pub isolate_suspects: bool,
 }
 
--- a/crates/core/src/program/settlement.rs
+++ b/crates/core/src/program/settlement.rs
@@ -1,7 +1,7 @@
-//! Settle, lose and end: the entries that close what a begin opened.
+//! Applies the entries that close attempts and end programs.
 //!
-//! See docs/design/journal.md for who may say what, and docs/design/budget.md for what becomes of
-//! a reservation.
+//! See docs/design/journal.md for who may report an outcome, and docs/design/budget.md for what
+//! happens to a reservation.
 
 use bytes::Bytes;
 
@@ -15,7 +15,7 @@
 use crate::wire::program::{EndReason, Refusal};
 
 impl State {
-    /// Records the outcome of a dispatch. A settle that was applied before is confirmed again.
+    /// Records the outcome of a dispatch. A repeated settle is confirmed and changes nothing.
     pub(super) fn settle(&mut self, settled: &wire::Settled) -> Applied {
         let name = QualifiedName::from_wire(settled.program.as_ref());
         let Some(call) = self.find_dispatch(&name, &settled.dispatch) else {
@@ -42,7 +42,7 @@
         Applied::Settled(scores)
     }
 
-    /// Takes dispatches for lost: their outcome is in doubt from now on.
+    /// Marks dispatches as lost, which puts their calls in doubt.
     pub(super) fn mark_lost(&mut self, lost: &wire::Lost) -> Applied {
         for lost in &lost.dispatches {
             let name = QualifiedName::from_wire(lost.program.as_ref());
@@ -53,7 +53,7 @@
         Applied::Done
     }
 
-    /// Ends a program by its name.
+    /// Ends the program that an end entry names.
     pub(super) fn end_named(&mut self, end: &wire::End) -> Applied {
         let name = QualifiedName::from_wire(end.program.as_ref());
         let Some(key) = self.names.get(&name).copied() else {
@@ -63,7 +63,7 @@
         Applied::Done
     }
 
-    /// Ends a program and its descendants; the first reason stays.
+    /// Ends a program and its descendants. A program that has ended keeps its first reason.
     pub(super) fn end(&mut self, key: ProgramKey, reason: EndReason) {
         let at_ms = self.clock_ms;
         let program = &mut self.programs[key];
@@ -81,16 +81,17 @@
         }
     }
 
-    /// Tells whether the service itself told that a call in doubt was done.
+    /// Returns whether the service itself confirmed that a call in doubt was done.
     ///
-    /// Its word that it knows nothing of the call proves nothing: the holder may be paused with
-    /// the request in its hands.
+    /// If the service does not know the call, that proves nothing: a paused holder may still send
+    /// the request.
     fn is_confirmed_by_service(&self, call: CallKey, settled: &wire::Settled) -> bool {
         let in_doubt = matches!(self.calls[call].phase, Phase::InDoubt(_));
         in_doubt && settled.inquired && settled.outcome() == Outcome::Done
     }
 
-    /// Tells whether a lost turn can no longer be taken over: its place is taken or being filled.
+    /// Returns whether a turn in doubt can no longer be settled: another attempt has answered it, or
+    /// another call of the program is running.
     fn is_superseded(&self, call: CallKey) -> bool {
         let found = &self.calls[call];
         let program = &self.programs[found.program];
@@ -99,7 +100,7 @@
         in_doubt && found.turn > 0 && (found.turn != next || !program.running.is_empty())
     }
 
-    /// Moves a call out of its open phase, as its holder says.
+    /// Moves a call out of its open phase according to the reported outcome.
     fn close(&mut self, call: CallKey, settled: &wire::Settled, attempt: Attempt) {
         match settled.outcome() {
             Outcome::Done => self.close_ran(call, settled, attempt),
@@ -115,7 +116,7 @@
         self.charge(call, used);
         self.return_unused(call, &attempt, used);
         let found = &mut self.calls[call];
-        // A slice would keep the whole log entry in memory for as long as the key lives.
+        // Copied, since a slice would keep the whole log entry in memory.
         let answer = Bytes::copy_from_slice(&settled.answer);
         found.phase = Phase::Ran { answer, status: settled.status };
         let turn = found.turn;
@@ -139,8 +140,8 @@
         self.calls[call].phase = Phase::NotRun;
     }
 
-    /// Puts a running call in doubt. Its reservation stays spent, for it may have run, unless the
-    /// holder itself tells what was consumed.
+    /// Puts a running call in doubt and charges it: the usage that the holder reported, or else
+    /// the whole reservation, since the call may have run.
     fn mark_in_doubt(&mut self, call: CallKey, usage: Option<&wire::Usage>) {
         let Phase::Running(attempt) = self.calls[call].phase.clone() else { return };
         self.release_reservation(call, &attempt);
@@ -154,8 +155,8 @@
         self.calls[call].phase = Phase::InDoubt(Box::new(kept));
     }
 
-    /// Gives back a reservation: out of what is held while the call runs, and out of what is
-    /// spent once it was in doubt.
+    /// Removes an attempt's reservation: from the reserved amounts while the call runs, and from
+    /// the spent amounts once it is in doubt. Also ends the tracking of a running call.
     fn release_reservation(&mut self, call: CallKey, attempt: &Attempt) {
         let in_doubt = matches!(self.calls[call].phase, Phase::InDoubt(_));
         let program = self.calls[call].program;
@@ -197,7 +198,7 @@
         lineage
     }
 
-    /// Ends every program of the lineage that can never be granted another call.
+    /// Ends the program and each ancestor whose budget is exhausted and has nothing reserved.
     pub(super) fn end_if_exhausted(&mut self, program: ProgramKey) {
         for key in self.lineage(program) {
             let found = &self.programs[key];
@@ -207,14 +208,16 @@
         }
     }
 
-    /// Keeps a program and its ancestors from counting as idle.
+    /// Restarts the idle time of a program and its ancestors.
     pub(super) fn mark_active(&mut self, program: ProgramKey) {
         for key in self.lineage(program) {
             self.programs[key].active_ms = self.clock_ms;
         }
     }
 
-    /// Clears or blames requests for what the settle says of its endpoint.
+    /// Updates crash scores: clears the request after an answer, and blames those that crashed.
+    ///
+    /// Returns the scores that changed by blame.
     fn score(&mut self, settled: &wire::Settled, attempt: &Attempt) -> Vec<wire::Score> {
         if settled.outcome() == Outcome::Done
             && let Some(digest) = attempt.digest
--- a/crates/core/src/program/snapshot.rs
+++ b/crates/core/src/program/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots of a group's state: equal states give equal bytes on every replica.
+//! Snapshots of a group's state. Equal states give equal bytes on every replica.
 
 use std::collections::HashMap;
 
@@ -20,16 +20,16 @@
 /// Why a snapshot could not be restored.
 #[derive(Debug, thiserror::Error)]
 pub enum RestoreError {
-    /// The bytes are no snapshot: the file is damaged or of another kind.
+    /// The bytes are damaged or not a snapshot.
     #[error("the snapshot cannot be read: {0}")]
     Decode(#[from] prost::DecodeError),
-    /// A child is recorded without its parent.
+    /// A program names a parent that the snapshot does not contain.
     #[error("the snapshot holds program {0} without its parent {1}")]
     Orphan(ProgramName, ProgramName),
 }
 
 impl State {
-    /// Returns the whole state as bytes.
+    /// Encodes the whole state.
     pub fn snapshot(&self) -> Bytes {
         let mut keys: Vec<ProgramKey> = self.programs.keys().collect();
         keys.sort_by(|a, b| self.programs[*a].name.cmp(&self.programs[*b].name));
@@ -42,7 +42,7 @@
         Bytes::from(snapshot.encode_to_vec())
     }
 
-    /// Replaces the whole state by that of a snapshot; on an error nothing changes.
+    /// Replaces the whole state with a snapshot; on an error the state stays unchanged.
     pub fn restore(&mut self, bytes: &Bytes) -> Result<(), RestoreError> {
         let snapshot = wire::Snapshot::decode(bytes.clone())?;
         let mut fresh = State::with_safeguards(self.safeguards);
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Takes up a running attempt again: its reservation and its flight are derived state.
+    /// Rebuilds the derived state of a running attempt, which a snapshot does not contain.
     fn resume(&mut self, program: ProgramKey, call: CallKey, attempt: &Attempt) {
         self.programs[program].running.push(call);
         if self.programs[program].ended.is_some() {
--- a/crates/core/src/program/state.rs
+++ b/crates/core/src/program/state.rs
@@ -16,68 +16,68 @@
 use crate::wire::program::entry::Body;
 
 new_key_type! {
-    /// A program in the state's arena.
+    /// Key of a program within the state of one replica.
     pub struct ProgramKey;
-    /// A call in the state's arena: one idempotency key of one program.
+    /// Key of a call, that is of one idempotency key of one program, within the state.
     pub struct CallKey;
 }
 
-/// Names a program. Two organisations' programs never meet, whatever they are called.
+/// Program id qualified by its organisation; ids are unique only within one organisation.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct QualifiedName {
-    /// The organisation that began the program.
+    /// Organisation that started the program.
     pub org: OrgName,
-    /// The program's id within it.
+    /// Program id within the organisation.
     pub program: ProgramName,
 }
 
 impl QualifiedName {
-    /// Reads a name off the wire; an absent one is empty.
+    /// Converts a wire reference; a missing reference gives an empty name.
     pub fn from_wire(reference: Option<&wire::ProgramRef>) -> QualifiedName {
         let Some(reference) = reference else { return QualifiedName::default() };
         QualifiedName { org: (&reference.org).into(), program: (&reference.program).into() }
     }
 
-    /// Returns the name as messages carry it.
+    /// Converts the name to its wire form.
     pub fn to_wire(&self) -> wire::ProgramRef {
         wire::ProgramRef { org: self.org.to_string(), program: self.program.to_string() }
     }
 }
 
-/// What an entry did, for the leader that waits for it.
+/// Result of applying an entry, from which the leader builds its reply.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Applied {
-    /// The entry took effect and nobody waits for more.
+    /// The entry was applied and has no further result.
     Done,
-    /// The dispatch may run.
+    /// A dispatch of this call was granted.
     Granted(CallKey),
-    /// The request is refused for good.
+    /// The request was refused and must not be proposed again.
     Refused(wire::Refused),
-    /// The state had moved on: the request must be looked at again.
+    /// The state changed between proposal and application: the request must be decided again.
     Retry,
-    /// An outcome was recorded; the scores that it changed are attached.
+    /// An outcome was recorded; holds the crash scores that changed.
     Settled(Vec<wire::Score>),
 }
 
-/// Where a call stands.
+/// Phase of a call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Phase {
-    /// A dispatch may be running; its holder alone knows.
+    /// A dispatch is recorded and its outcome has not been reported.
     Running(Box<Attempt>),
-    /// It ran, and this is its answer.
+    /// The call ran and its answer is recorded.
     Ran {
-        /// The endpoint's answer.
+        /// Response body of the endpoint.
         answer: Bytes,
-        /// The answer's HTTP status.
+        /// HTTP status of the response.
         status: u32,
     },
-    /// It was proved not to have run; the next attempt may be granted.
+    /// The call is known not to have run; another attempt may be granted.
     NotRun,
-    /// The holder is lost, so that it may have run or may still run.
+    /// The outcome is unknown: the dispatch may have run or may still run.
     InDoubt(Box<Attempt>),
 }
 
-/// The open attempt of a call.
+/// Attempt of a call whose outcome is not final.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Attempt {
     pub(super) holder: VmId,
@@ -89,27 +89,27 @@
     pub(super) expires_ms: u64,
     pub(super) digest: Option<Digest>,
     pub(super) isolate: bool,
-    /// Term of the leader that granted it.
+    /// Term of the leader that granted the attempt.
     pub(super) term: u64,
-    /// Reserved out of the program's escrow, to which the unused part returns.
+    /// Whether the reservation was taken from the program's escrow, to which the rest returns.
     pub(super) escrowed: bool,
 }
 
-/// One idempotency key of a program.
+/// State of one idempotency key of a program.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct Call {
     pub(super) program: ProgramKey,
     pub(super) key: CompactString,
     pub(super) content: MessageHash,
     pub(super) dispatch: CompactString,
-    /// Zero for a service call.
+    /// Turn number; zero for a service call.
     pub(super) turn: u64,
     pub(super) attempt: u32,
     pub(super) repeatable: bool,
     pub(super) phase: Phase,
 }
 
-/// A program under way or ended.
+/// Program that is live, or has ended and is still retained.
 #[derive(Clone, Debug)]
 pub(super) struct Program {
     pub(super) name: QualifiedName,
@@ -122,7 +122,7 @@
     pub(super) history: History,
     pub(super) calls: HashMap<CompactString, CallKey>,
     pub(super) running: Vec<CallKey>,
-    /// Endpoints that may hold the program's memory, the latest first.
+    /// Endpoints that may hold memory of the program, most recent first.
     pub(super) endpoints: Vec<EndpointName>,
     pub(super) ended: Option<Ended>,
     pub(super) escrow: Option<Escrow>,
@@ -135,24 +135,25 @@
     pub(super) at_ms: u64,
 }
 
-/// All programs of one group.
+/// Replicated state of one program group.
 #[derive(Clone, Debug, Default)]
 pub struct State {
     pub(super) clock_ms: u64,
     pub(super) programs: SlotMap<ProgramKey, Program>,
     pub(super) names: HashMap<QualifiedName, ProgramKey>,
     pub(super) calls: SlotMap<CallKey, Call>,
-    /// How many running calls carry a crash digest.
+    /// Number of running calls by crash digest.
     pub(super) in_flight: HashMap<Digest, u32>,
-    /// How many running calls have an engine to themselves.
+    /// Number of running calls that have an engine to themselves.
     pub(super) isolated: usize,
     pub(super) scores: Scores,
-    /// Programs that ended and whose memory some endpoint may still hold.
+    /// Ended programs of which some endpoint may still hold memory.
     pub(super) releasing: HashSet<ProgramKey>,
-    /// Programs that ended with a dispatch still under way.
+    /// Ended programs with a running dispatch.
     pub(super) cancelling: HashSet<ProgramKey>,
+    /// Latest bundle revision whose lifted quarantines were applied.
     pub(super) lifted_revision: u64,
-    /// Term of the entry that is being applied.
+    /// Term of the entry that was applied last.
     pub(super) term: u64,
     pub(super) safeguards: Safeguards,
 }
@@ -163,13 +164,13 @@
         State::default()
     }
 
-    /// Returns an empty state with some safeguards off, for tests of the safeguards.
+    /// Returns an empty state with the given safeguards; tests turn some of them off.
     #[doc(hidden)]
     pub fn with_safeguards(safeguards: Safeguards) -> State {
         State { safeguards, ..State::default() }
     }
 
-    /// Applies one entry of the log. Every replica that applied the same entries holds the same.
+    /// Applies one log entry. Replicas that applied the same entries hold equal states.
     pub fn apply(&mut self, entry: &wire::Entry) -> Applied {
         self.clock_ms = self.clock_ms.max(entry.at_ms);
         self.term = entry.term;
@@ -188,59 +189,59 @@
         }
     }
 
-    /// Returns the group's time: that of the latest entry, in milliseconds.
+    /// Returns the group time of the latest entry in milliseconds.
     pub fn clock_ms(&self) -> u64 {
         self.clock_ms
     }
 
-    /// Returns how many programs are held, ended ones included.
+    /// Returns the number of programs, including ended ones that are retained.
     pub fn program_count(&self) -> usize {
         self.programs.len()
     }
 
-    /// Returns how many idempotency keys are held.
+    /// Returns the number of idempotency keys of all programs.
     pub fn call_count(&self) -> usize {
         self.calls.len()
     }
 
-    /// Tells whether the program is known and has not ended.
+    /// Returns whether the program exists and has not ended.
     pub fn is_alive(&self, name: &QualifiedName) -> bool {
         self.find(name).is_some_and(|p| p.ended.is_none())
     }
 
-    /// Returns the time from a live program's first call to its last answer.
+    /// Returns the time from the first call of a live program to its last activity.
     pub fn latency(&self, name: &QualifiedName) -> Option<Duration> {
         let program = self.find(name).filter(|_| self.is_alive(name))?;
         Some(Duration::from_millis(program.active_ms.saturating_sub(program.started_ms)))
     }
 
-    /// Tells whether an endpoint may rightly hold memory of the program: it is under way, or it
-    /// ended and a dispatch still runs, whose prefix an engine would only file again.
+    /// Returns whether an endpoint may still hold memory of the program: the program is live, or
+    /// one of its dispatches still runs and would fill the engine's cache again.
     pub fn may_hold_memory(&self, name: &QualifiedName) -> bool {
         self.find(name).is_some_and(|p| p.ended.is_none() || !p.running.is_empty())
     }
 
-    /// Returns what the program and its descendants consumed for good, and what is reserved.
+    /// Returns the amounts that the program and its descendants have spent and have reserved.
     pub fn consumed(&self, name: &QualifiedName) -> Option<(Amounts, Amounts)> {
         self.find(name).map(|p| (p.account.spent, p.account.reserved))
     }
 
-    /// Returns the whole history of a program as a JSON array.
+    /// Returns the history of a program as a JSON array of messages.
     pub fn history(&self, name: &QualifiedName) -> Option<Bytes> {
         self.find(name).map(|p| p.history.assemble(&[]).0)
     }
 
-    /// Returns the bytes of memory of the program's history, its index included.
+    /// Returns the size in memory of the program's history and its index in bytes.
     pub fn history_memory(&self, name: &QualifiedName) -> Option<usize> {
         self.find(name).map(|p| p.history.memory())
     }
 
-    /// Tells whether a dispatch is the latest of some key of the program.
+    /// Returns whether `dispatch` is the latest dispatch of one of the program's keys.
     pub fn knows_dispatch(&self, name: &QualifiedName, dispatch: &str) -> bool {
         self.find_dispatch(name, dispatch).is_some()
     }
 
-    /// Returns where the call behind a key stands.
+    /// Returns the phase of the call with the given idempotency key.
     pub fn phase(&self, name: &QualifiedName, key: &str) -> Option<&Phase> {
         let call = self.find(name)?.calls.get(key)?;
         Some(&self.calls[*call].phase)
@@ -266,7 +267,7 @@
             .or_else(|| program.calls.values().copied().find(is_it))
     }
 
-    /// Returns the program and its ancestors, itself first.
+    /// Returns the program followed by its ancestors, nearest first.
     pub(super) fn lineage(&self, program: ProgramKey) -> Vec<ProgramKey> {
         self.ancestry(program).collect()
     }
@@ -275,7 +276,7 @@
         std::iter::successors(Some(program), |key| self.programs[*key].parent)
     }
 
-    /// Returns the group time at which the program or an ancestor reaches its time limit.
+    /// Returns the earliest group time at which the program or an ancestor reaches its time limit.
     pub(super) fn deadline_ms(&self, program: ProgramKey) -> Option<u64> {
         let limits = self.ancestry(program).filter_map(|key| {
             let program = &self.programs[key];
@@ -293,7 +294,7 @@
         Applied::Done
     }
 
-    /// Records that an endpoint may hold memory of the program, also of one that has ended.
+    /// Records that an endpoint may hold memory of the program, which may have ended.
     pub(super) fn add_endpoint(&mut self, key: ProgramKey, endpoint: &str) {
         if endpoint.is_empty() {
             return;
@@ -367,7 +368,7 @@
 }
 
 impl Program {
-    /// Tells whether retention allows to forget the program: nothing of it is open any more.
+    /// Returns whether the program ended before `before_ms` and nothing refers to it any more.
     pub(super) fn is_removable(&self, before_ms: u64) -> bool {
         let old = self.ended.is_some_and(|ended| ended.at_ms < before_ms);
         let closed = self.running.is_empty() && self.escrow.is_none();
