--- a/crates/core/src/program/budget.rs
+++ b/crates/core/src/program/budget.rs
@@ -106,8 +106,11 @@
 /// Limits, consumption and reservations of one program, including its descendants.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Account {
+    /// Limits of the program; zero means unlimited.
     pub(super) limits: wire::Budget,
+    /// Consumption of settled calls and of calls in doubt.
     pub(super) spent: Amounts,
+    /// Reservations of running calls and of escrows.
     pub(super) reserved: Amounts,
 }
 
--- a/crates/core/src/program/early_grants.rs
+++ b/crates/core/src/program/early_grants.rs
@@ -157,8 +157,8 @@
         }
     }
 
-    /// Returns whether to close a program's escrow: the program has ended, the escrow is invalid, or
-    /// the program is idle and shares its budget with a parent or children.
+    /// Returns whether to close a program's escrow: the program has ended, the escrow is invalid,
+    /// or the program is idle and shares its budget with a parent or children.
     fn should_close_escrow(&self, program: &Program, now_ms: u64) -> bool {
         let busy = self.pending_programs.contains(&program.name) || !program.running.is_empty();
         if program.escrow.is_none() || busy {
--- a/crates/core/src/program/escrow.rs
+++ b/crates/core/src/program/escrow.rs
@@ -8,7 +8,7 @@
 use super::state::{Applied, Attempt, CallKey, Phase, Program, ProgramKey, QualifiedName, State};
 use crate::wire::program as wire;
 
-/// An escrow may hold at most this fraction (one part in eight) of an account's remaining budget.
+/// Divisor of an account's remaining budget; the quotient bounds what one escrow may hold.
 const ESCROW_DIVISOR: u64 = 8;
 
 /// Budget reserved in advance for one program; counts as reserved in every ancestor too.
@@ -16,6 +16,7 @@
 pub(super) struct Escrow {
     /// Term of the leader that may grant turns from the escrow.
     pub(super) term: u64,
+    /// Amounts that are reserved and not granted yet.
     pub(super) amounts: Amounts,
 }
 
--- a/crates/core/src/program/leadership.rs
+++ b/crates/core/src/program/leadership.rs
@@ -43,7 +43,7 @@
         self.wake(now, &QueueKey::LeaderReady, out);
     }
 
-    /// Drops the leader's bookkeeping and refuses all open requests, naming the new leader if known.
+    /// Drops the leader's bookkeeping and refuses all open requests, naming the leader if known.
     pub(super) fn become_follower(&mut self, leader: Option<VmId>, out: &mut Vec<Effect>) {
         self.leader = leader;
         self.leader_state = None;
--- a/crates/core/src/program/messages.rs
+++ b/crates/core/src/program/messages.rs
@@ -80,9 +80,10 @@
 
 /// Returns how many leading messages of the prompt the stored history already contains.
 ///
-/// A full history contains the stored answers, so a prompt that does not start with the stored
-/// messages and has no assistant message counts as new messages only. A prompt that looks like a
-/// full history but differs is refused, because appending it would mix two conversations.
+/// A prompt that starts with the stored messages is a full history. A prompt that differs from them
+/// but has an assistant's message, or starts with the same message and is not just one user
+/// message, is refused: appending it would mix two conversations. Any other prompt counts as new
+/// messages only.
 pub fn compare_history(
     stored: &[[u8; HASH_LEN]],
     prompt: &Prompt,
--- a/crates/core/src/program/parked_requests.rs
+++ b/crates/core/src/program/parked_requests.rs
@@ -1,4 +1,4 @@
-//! Bounded queues of requests that cannot be proposed yet, by what they wait for.
+//! Bounded queues of requests that cannot be proposed yet, keyed by what they wait for.
 
 use std::collections::{HashMap, VecDeque};
 
--- a/crates/core/src/program/proposals.rs
+++ b/crates/core/src/program/proposals.rs
@@ -17,6 +17,7 @@
 /// What to do once a proposal is committed or fails.
 #[derive(Debug)]
 pub(super) enum PendingProposal {
+    /// A begin whose request waits for the commit.
     Begin(Box<CallWaiter>),
     /// A begin whose caller was already told that the call does not run.
     Withdrawn(QualifiedName),
@@ -24,9 +25,11 @@
     EarlyBegin(CompactString),
     /// Closes a program's escrow.
     CloseEscrow(QualifiedName),
+    /// A request that is answered once its entry is applied.
     Reply(RequestToken),
     /// First entry of a leader; once it is committed, so are all entries of earlier terms.
     Barrier,
+    /// An entry that no request waits for.
     Maintenance,
 }
 
--- a/crates/core/src/program/quarantine.rs
+++ b/crates/core/src/program/quarantine.rs
@@ -60,7 +60,7 @@
         Some(record(&digest, score))
     }
 
-    /// Removes the score of a request that was answered. A quarantine stays until a bundle lifts it.
+    /// Removes the score of a request that was answered. A quarantine stays until it is lifted.
     ///
     /// Returns whether a score was removed.
     pub(super) fn clear(&mut self, digest: &Digest) -> bool {
--- a/crates/core/src/program/sequencer.rs
+++ b/crates/core/src/program/sequencer.rs
@@ -42,20 +42,24 @@
 
 /// Request handling and state of one replica of a program group.
 ///
-/// Has no clock and does no I/O: [`Sequencer::step`] takes the time and an input and returns effects.
+/// Does no I/O: [`Sequencer::step`] takes the time and an input, and returns effects.
 #[derive(Debug)]
 pub struct Sequencer {
     pub(super) settings: Settings,
     pub(super) group: GroupId,
     pub(super) state: State,
     pub(super) leader_state: Option<LeaderState>,
+    /// Store VM of the leader, if this replica follows one.
     pub(super) leader: Option<VmId>,
     applied: u64,
+    /// Bundle revision in force; requests under an older one are refused.
     pub(super) revision: RevisionNumber,
+    /// Digests that the revision in force lifts from quarantine.
     pub(super) lifted_digests: Vec<Bytes>,
     pub(super) last_proposal: u64,
     last_dispatch: u64,
     pub(super) pending: HashMap<ProposalId, PendingProposal>,
+    /// Pending proposals that no request waits for.
     pub(super) maintenance: HashSet<ProposalId>,
     pub(super) parked: ParkedRequests,
     /// Programs for which a begin or the closing of an escrow is proposed and not yet committed.
@@ -67,10 +71,13 @@
     pub(super) early_grants: HashMap<CompactString, EarlyGrant>,
     /// Programs whose escrow overstates the remaining budget because an early begin failed.
     pub(super) invalid_escrows: HashSet<QualifiedName>,
+    /// VMs declared dead before this leader was ready.
     pub(super) dead_vms: Vec<VmId>,
     pub(super) release_timers: ResendTimers,
     pub(super) cancel_timers: ResendTimers,
+    /// Group time of the last scan for due work.
     pub(super) scanned_ms: u64,
+    /// Whether the replica stopped at an unreadable entry or snapshot.
     halted: bool,
 }
 
--- a/crates/core/src/program/settings.rs
+++ b/crates/core/src/program/settings.rs
@@ -93,7 +93,7 @@
     pub repeat_release: bool,
     /// A key that is reused for a different request is refused.
     pub bind_content: bool,
-    /// A call in doubt is charged its reservation.
+    /// A call in doubt is charged, since it may have run.
     pub keep_doubtful: bool,
     /// The escrow of an earlier leader is charged as spent.
     pub spend_escrow: bool,
--- a/crates/core/src/program/settlement.rs
+++ b/crates/core/src/program/settlement.rs
@@ -15,7 +15,8 @@
 use crate::wire::program::{EndReason, Refusal};
 
 impl State {
-    /// Records the outcome of a dispatch. A repeated settle is confirmed and changes nothing.
+    /// Records the outcome of a dispatch. A settle of a call that is already closed is confirmed
+    /// without changing the recorded outcome.
     pub(super) fn settle(&mut self, settled: &wire::Settled) -> Applied {
         let name = QualifiedName::from_wire(settled.program.as_ref());
         let Some(call) = self.find_dispatch(&name, &settled.dispatch) else {
@@ -90,8 +91,8 @@
         in_doubt && settled.inquired && settled.outcome() == Outcome::Done
     }
 
-    /// Returns whether a turn in doubt can no longer be settled: another attempt has answered it, or
-    /// another call of the program is running.
+    /// Returns whether a turn in doubt can no longer be settled: another attempt has answered it,
+    /// or another call of the program is running.
     fn is_superseded(&self, call: CallKey) -> bool {
         let found = &self.calls[call];
         let program = &self.programs[found.program];
--- a/crates/core/src/program/state.rs
+++ b/crates/core/src/program/state.rs
@@ -80,12 +80,15 @@
 /// Attempt of a call whose outcome is not final.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Attempt {
+    /// VM that received the grant and reports the outcome.
     pub(super) holder: VmId,
+    /// Identifies the granted request, so that a repeat of it gets the same grant.
     pub(super) nonce: CompactString,
     pub(super) messages: Bytes,
     pub(super) hashes: Bytes,
     pub(super) reserved: Amounts,
     pub(super) max_output: u64,
+    /// Group time at which the attempt counts as lost.
     pub(super) expires_ms: u64,
     pub(super) digest: Option<Digest>,
     pub(super) isolate: bool,
@@ -100,7 +103,9 @@
 pub(super) struct Call {
     pub(super) program: ProgramKey,
     pub(super) key: CompactString,
+    /// Hash of the request that the key was first used for.
     pub(super) content: MessageHash,
+    /// Id of the latest dispatch.
     pub(super) dispatch: CompactString,
     /// Turn number; zero for a service call.
     pub(super) turn: u64,
@@ -117,7 +122,9 @@
     pub(super) children: Vec<ProgramKey>,
     pub(super) account: Account,
     pub(super) started_ms: u64,
+    /// Group time of the last begin or settle of the program or a descendant.
     pub(super) active_ms: u64,
+    /// Idle time after which the program ends; zero for the default of the settings.
     pub(super) idle_ms: u64,
     pub(super) history: History,
     pub(super) calls: HashMap<CompactString, CallKey>,
