--- a/crates/core/src/program/crashes.rs
+++ b/crates/core/src/program/crashes.rs
@@ -49,8 +49,9 @@
 
     /// Moves the dispatches that ran on an endpoint to the blamed ones and returns them, sorted.
     fn take_from(&mut self, endpoint: &EndpointName) -> Vec<CompactString> {
-        let on_it = self.running.iter().filter(|(_, at)| *at == endpoint);
-        let mut taken: Vec<CompactString> = on_it.map(|(dispatch, _)| dispatch.clone()).collect();
+        let on_endpoint = self.running.iter().filter(|(_, at)| *at == endpoint);
+        let mut taken: Vec<CompactString> =
+            on_endpoint.map(|(dispatch, _)| dispatch.clone()).collect();
         taken.sort();
         for dispatch in &taken {
             self.running.remove(dispatch);
--- a/crates/core/src/program/messages.rs
+++ b/crates/core/src/program/messages.rs
@@ -95,9 +95,9 @@
         return Ok(stored.len());
     }
     let same_start = prompt.hashes[0] == stored[0];
-    let lone_user = prompt.hashes.len() == 1 && prompt.roles[0] == Role::User;
+    let single_user = prompt.hashes.len() == 1 && prompt.roles[0] == Role::User;
     let answered = prompt.roles.contains(&Role::Assistant);
-    if answered || (same_start && !lone_user) {
+    if answered || (same_start && !single_user) {
         let equal = prompt.hashes.iter().zip(stored).take_while(|(a, b)| a == b).count();
         return Err(HistoryConflict { index: equal, stored: stored.len() });
     }
--- a/crates/core/src/program/state.rs
+++ b/crates/core/src/program/state.rs
@@ -265,13 +265,13 @@
     /// Returns the call whose latest attempt is `dispatch`.
     pub(super) fn find_dispatch(&self, name: &QualifiedName, dispatch: &str) -> Option<CallKey> {
         let program = self.find(name)?;
-        let is_it = |call: &CallKey| self.calls[*call].dispatch == dispatch;
+        let is_latest = |call: &CallKey| self.calls[*call].dispatch == dispatch;
         program
             .running
             .iter()
             .copied()
-            .find(is_it)
-            .or_else(|| program.calls.values().copied().find(is_it))
+            .find(is_latest)
+            .or_else(|| program.calls.values().copied().find(is_latest))
     }
 
     /// Returns the program followed by its ancestors, nearest first.
