--- a/crates/core/src/lease/grants.rs
+++ b/crates/core/src/lease/grants.rs
@@ -1,4 +1,4 @@
-//! The granting side: which VM may still act on which revision, and until when.
+//! Granting side of the configuration lease: which VMs may act on which revision, and until when.
 
 use std::collections::BTreeMap;
 
@@ -6,23 +6,24 @@
 use crate::prelude::*;
 use crate::wire::control::{ConfirmRequest, LeaseGrant};
 
-/// Leases that one process granted. Volatile: a new leader starts with an empty one and waits.
+/// Leases that a process has granted. They aren't stored: a new leader starts without any and waits
+/// for a grace period.
 #[derive(Clone, Debug)]
 pub struct ConfigGrants {
     settings: LeaseSettings,
     records: BTreeMap<VmId, Record>,
-    /// Until then, leases that an earlier leader granted may be running unseen.
+    /// Until then, leases that an earlier leader granted may be running.
     grace_until: Time,
 }
 
-/// What one VM was granted.
+/// Leases granted to one VM and the revision that it confirmed.
 #[derive(Clone, Debug, Default)]
 struct Record {
     confirmed: RevisionNumber,
     leases: Vec<GrantedLease>,
 }
 
-/// The VM, or one it relays to, may act on `revision` or a newer one until `until`.
+/// Permission of a VM and its downstream VMs to act on `revision` or a newer one until `until`.
 #[derive(Clone, Copy, Debug)]
 struct GrantedLease {
     incarnation: u64,
@@ -33,46 +34,46 @@
 /// Whether a revision is in force everywhere.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum InForce {
-    /// No VM acts on an older revision, nor ever will again.
+    /// No VM acts on an older revision, now or later.
     Yes,
-    /// These may still act on an older revision.
+    /// Leases for older revisions may still be running.
     Waiting(Waiting),
 }
 
-/// What a revision waits for before it is in force everywhere.
+/// Leases that must expire before a revision is in force everywhere.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Waiting {
-    /// VMs, with the VMs they relay to, that hold an older lease.
+    /// VMs that hold a lease for an older revision, or whose downstream VMs do.
     pub vms: Vec<VmId>,
-    /// When the last of those leases is over, even if no VM is heard from again.
+    /// When the last of these leases has expired, even if no VM responds.
     pub until: Time,
 }
 
-/// What the granting side knows of one VM.
+/// Lease of one VM, as known to its granter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct VmStatus {
-    /// The VM.
+    /// VM that holds the lease.
     pub vm: VmId,
-    /// Revision that it last confirmed.
+    /// Latest revision that the VM has confirmed.
     pub confirmed: RevisionNumber,
-    /// Lowest revision that it or a VM behind it may act on; `None` if no lease is running.
+    /// Lowest revision that the VM or its downstream VMs may act on; `None` if no lease is running.
     pub floor: Option<RevisionNumber>,
-    /// When its last lease is surely over.
+    /// When the VM's last lease has expired.
     pub until: Time,
 }
 
 impl ConfigGrants {
-    /// Starts the granting side of a relay, whose own lease already bounds what it grants.
+    /// Creates the grants of a relay, which are limited by the relay's own lease.
     pub fn new(settings: LeaseSettings) -> ConfigGrants {
         ConfigGrants { settings, records: BTreeMap::new(), grace_until: Time::ZERO }
     }
 
-    /// Starts the granting side of a new control leader.
+    /// Creates the grants of a new control leader.
     ///
-    /// Its predecessor's leases are unknown to it, and a VM that holds one may be cut off and
-    /// acting on an older revision. Nothing is in force until a whole lease has passed. The
-    /// caller grants only while it holds its leadership lease, so no grant of the predecessor is
-    /// younger than `now`.
+    /// The leader doesn't know the leases that its predecessor granted, and their holders may be
+    /// cut off and acting on an older revision. No revision is in force until a whole lease has
+    /// passed. The caller must grant only while it holds its leadership lease, so that no grant of
+    /// the predecessor is later than `now`.
     pub fn for_leader(settings: LeaseSettings, now: Time) -> ConfigGrants {
         let mut grants = ConfigGrants::new(settings);
         if settings.mutation != Mutation::NoGracePeriod {
@@ -81,10 +82,11 @@
         grants
     }
 
-    /// Takes a VM's confirmation and grants it a lease if it acts on `current`.
+    /// Records a VM's confirmation and grants a lease if the VM has applied `current`.
     ///
-    /// `limit` is what the granter's own lease has left; the leader passes the whole length.
-    /// Returns `None` if the VM must apply another revision first, or nothing is left.
+    /// `limit` is the remaining time of the granter's own lease; the leader passes the length of a
+    /// whole lease. Returns `None` if the VM must apply another revision first, or if no time
+    /// remains.
     pub fn grant(
         &mut self,
         request: &ConfirmRequest,
@@ -109,11 +111,11 @@
         Some(LeaseGrant { revision: current.0, micros })
     }
 
-    /// Raises the VM's outstanding leases to the floor that it confirms.
+    /// Raises the revision of the VM's running leases to the confirmed floor.
     ///
-    /// They are raised and not dropped: the lease goes on under the newer revision, so a later
-    /// one must still wait for it. Leases of an earlier life stay as they are, since the new
-    /// process knows nothing of the VMs that its earlier life relayed to.
+    /// The leases aren't removed: they go on under the newer revision, so a later revision must
+    /// still wait for them. Leases of an earlier incarnation stay unchanged, since the new process
+    /// doesn't know to which VMs the earlier one granted leases.
     fn confirm(&mut self, request: &ConfirmRequest, now: Time) {
         let floor = RevisionNumber(request.floor);
         let record = self.records.entry(VmId(request.vm)).or_default();
@@ -127,8 +129,8 @@
         }
     }
 
-    /// Returns the lowest revision that this process, acting on `own`, or a VM behind it may act
-    /// on: what a relay confirms to its own granter.
+    /// Returns the lowest revision that this process, which acts on `own`, or a downstream VM may
+    /// act on. A relay confirms it to its own granter.
     pub fn floor(&self, own: RevisionNumber, now: Time) -> RevisionNumber {
         if self.settings.mutation == Mutation::RelayHidesChildren {
             return own;
@@ -137,8 +139,8 @@
         floors.min().map_or(own, |floor| floor.min(own))
     }
 
-    /// Tells whether `revision`, which the caller has committed and applied, is in force
-    /// everywhere. Once it is, it stays so, whoever leads.
+    /// Returns whether `revision`, which the caller has committed and applied, is in force
+    /// everywhere. Once in force, a revision stays so under any leader.
     pub fn in_force(&self, revision: RevisionNumber, now: Time) -> InForce {
         if self.settings.mutation == Mutation::NoExpiryWait {
             return InForce::Yes;
@@ -153,7 +155,7 @@
         if waiting.until > now { InForce::Waiting(waiting) } else { InForce::Yes }
     }
 
-    /// Returns what is known of each VM that asked here.
+    /// Returns the status of each VM that has requested a lease here.
     pub fn status(&self, now: Time) -> Vec<VmStatus> {
         let status = |(vm, record): (&VmId, &Record)| VmStatus {
             vm: *vm,
@@ -164,7 +166,7 @@
         self.records.iter().map(status).collect()
     }
 
-    /// Forgets VMs whose leases are over, so that the map doesn't grow with replaced VMs.
+    /// Removes VMs whose leases have expired, so that replaced VMs don't accumulate.
     pub fn expire(&mut self, now: Time) {
         self.records.retain(|_, record| record.leases.iter().any(|lease| lease.until > now));
     }
--- a/crates/core/src/lease/holder.rs
+++ b/crates/core/src/lease/holder.rs
@@ -1,4 +1,4 @@
-//! The holding side: an entry VM's right to take new work.
+//! Holding side of the configuration lease: an entry VM's permission to take new work.
 
 use std::collections::VecDeque;
 
@@ -7,19 +7,19 @@
 use crate::wire::control::confirm_reply::Body;
 use crate::wire::control::{ConfirmReply, ConfirmRequest, Update};
 
-/// Requests whose replies may still come; older ones count as lost.
+/// Maximum number of outstanding requests. Replies to older ones are ignored.
 const MAX_PENDING: usize = 8;
 
-/// How many times more often a VM asks while nobody serves it: every 0.1 s with the shortest interval
-/// in use. Most such requests go to VMs that can't serve either, and few to the leader.
+/// Factor by which requests are more frequent while none is served. Few of the additional requests
+/// reach the leader.
 const RETRY_SPEEDUP: u32 = 4;
 
-/// How many intervals ago a relay may have had its own lease renewed and still count as in touch with
-/// the stores. The last of three relays on a path is two behind the first.
+/// Maximum age of the lease of a relay that is in touch with the stores, in request intervals. The
+/// last of three relays on a path is two intervals behind the first.
 const FRESH_INTERVALS: u32 = 3;
 
-/// One VM's configuration lease. It keeps nothing over a restart: a VM that starts has no lease
-/// and takes no work until it has confirmed the current revision.
+/// Configuration lease of one VM. It isn't stored: a VM that starts takes no work until it has
+/// confirmed the current revision.
 #[derive(Clone, Debug)]
 pub struct ConfigLease {
     settings: LeaseSettings,
@@ -33,29 +33,29 @@
     failures: usize,
 }
 
-/// A request without a reply yet.
+/// A request without a reply.
 #[derive(Clone, Copy, Debug)]
 struct Pending {
     ask: u64,
     sent: Time,
 }
 
-/// What a reply asks of its receiver.
+/// What the receiver of a reply must do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ReplyAction {
-    /// The lease was renewed.
+    /// Nothing; the lease was renewed.
     Renewed,
-    /// This revision must be applied, then the lease is asked for again.
+    /// Apply this revision and request the lease again.
     Apply(Box<Update>),
-    /// The asked VM can't serve; another one is asked next.
+    /// Ask another VM next, since the asked one can't serve requests.
     Unavailable,
-    /// The reply answers nothing that was asked, or came too late.
+    /// Nothing; the reply matches no outstanding request or doesn't grant the applied revision.
     Ignored,
 }
 
 impl ConfigLease {
-    /// Starts without a revision and without a lease. `incarnation` must differ from that of the
-    /// VM's earlier processes.
+    /// Creates a lease without a revision. `incarnation` must differ from those of the VM's earlier
+    /// processes.
     pub fn new(settings: LeaseSettings, vm: VmId, incarnation: u64, now: Time) -> ConfigLease {
         ConfigLease {
             settings,
@@ -70,20 +70,21 @@
         }
     }
 
-    /// Returns the revision under which new work may be taken now, or `None` when none may.
+    /// Returns the revision under which new work may be taken now, or `None` if no work may be
+    /// taken.
     ///
-    /// It is asked before each piece of work and again after any wait, since the process may
-    /// have been paused beyond its lease.
+    /// Check this before each piece of work and again after any wait, since the process may have
+    /// been paused until after the end of its lease.
     pub fn working_revision(&self, now: Time) -> Option<RevisionNumber> {
         (now < self.until).then_some(self.applied)
     }
 
-    /// Returns the newest revision applied, zero for none.
+    /// Returns the latest applied revision, or zero if there is none.
     pub fn applied(&self) -> RevisionNumber {
         self.applied
     }
 
-    /// Returns how long the lease still runs.
+    /// Returns the remaining time of the lease.
     pub fn remaining(&self, now: Time) -> Duration {
         self.until.since(now)
     }
@@ -93,15 +94,18 @@
         self.due
     }
 
-    /// Returns how many requests in a row went unserved, or were served by one that is itself behind:
-    /// the place in the list of upstreams to
-    /// ask next.
+    /// Returns the number of consecutive requests that failed or were answered by a VM that is
+    /// itself cut off.
+    ///
+    /// It selects the next VM to ask in the list of upstreams.
     pub fn failures(&self) -> usize {
         self.failures
     }
 
-    /// Makes the next request if one is due. `floor` is the lowest revision that VMs behind this
-    /// one may act on, or the applied one if there are none.
+    /// Returns the next request if it is due.
+    ///
+    /// `floor` is the lowest revision that downstream VMs may act on, or the applied one if there
+    /// are none.
     pub fn next_request(&mut self, floor: RevisionNumber, now: Time) -> Option<ConfirmRequest> {
         if now < self.due {
             return None;
@@ -121,7 +125,7 @@
         })
     }
 
-    /// Takes a reply, whenever it comes and in whatever order.
+    /// Handles a reply. Replies may arrive at any time and in any order.
     pub fn handle_reply(&mut self, reply: ConfirmReply, now: Time) -> ReplyAction {
         let Some(index) = self.pending.iter().position(|pending| pending.ask == reply.ask) else {
             return ReplyAction::Ignored;
@@ -144,7 +148,7 @@
         }
     }
 
-    /// Notes that a request got no reply.
+    /// Records that a request got no reply.
     pub fn request_failed(&mut self, ask: u64) {
         let before = self.pending.len();
         self.pending.retain(|pending| pending.ask != ask);
@@ -153,11 +157,11 @@
         }
     }
 
-    /// Applies a verified revision and makes the next request due at once. Returns false, and
-    /// changes nothing, for one that isn't newer: a late reply or a relay that lags must never
-    /// bring an old bundle back.
+    /// Records that a verified revision was applied and makes the next request due at once.
     ///
-    /// The lease goes on under the newer revision: the granter counts it until its end anyway.
+    /// Returns false and changes nothing if the revision isn't newer, so that a late reply or a
+    /// relay that lags can't restore an old bundle. The lease goes on under the newer revision,
+    /// since the granter counts it until its end anyway.
     pub fn apply(&mut self, revision: RevisionNumber, now: Time) -> bool {
         if revision <= self.applied && self.settings.mutation != Mutation::AllowDowngrade {
             return false;
@@ -167,7 +171,7 @@
         true
     }
 
-    /// Makes the next request due at once if `revision`, heard of from another VM, is newer.
+    /// Makes the next request due at once if `revision`, learnt from another VM, is newer.
     pub fn hint(&mut self, revision: RevisionNumber, now: Time) {
         if revision > self.applied {
             self.make_due(now);
@@ -176,9 +180,8 @@
 
     /// Returns the time until the next request.
     ///
-    /// A VM without a lease serves nobody: after all processes were killed, the VMs asked up to
-    /// 0.8 s after the control group had its leader. One whose last request nobody served may lag
-    /// behind a new revision.
+    /// It is shorter while no request is served: a VM without a lease takes no work, and one whose
+    /// last request failed may lag behind a new revision.
     fn request_interval(&self, now: Time) -> Duration {
         let interval = self.settings.interval();
         let served = now < self.until && self.failures == 0;
@@ -190,14 +193,14 @@
         self.due = self.due.min(now);
     }
 
-    /// The lease counts from the request: the reply may have been under way for any time, and
-    /// counting from it would let the lease outlive the granter's record of it.
+    /// Extends the lease, counted from the request. The reply may have been delayed by any time,
+    /// and a lease counted from it could outlive the granter's record of it.
     fn renew(&mut self, pending: Pending, length: Duration, now: Time) {
         let from_reply = self.settings.mutation == Mutation::CountFromReply;
         let start = if from_reply { now } else { pending.sent };
         self.until = self.until.max(start + length);
-        // A relay that is cut off passes on what its lease has left, and may be many seconds behind:
-        // the next request goes further up.
+        // A relay that is cut off grants what remains of its own lease and may lag far behind. This
+        // counts as a failure, so that the next request goes to a VM further upstream.
         let age = self.settings.length().saturating_sub(length);
         let fresh = age <= self.settings.interval() * FRESH_INTERVALS;
         self.failures = if fresh { 0 } else { self.failures + 1 };
--- a/crates/core/src/lease/mod.rs
+++ b/crates/core/src/lease/mod.rs
@@ -1,9 +1,8 @@
-//! Configuration lease of an entry VM: it takes new work only under a fresh revision.
+//! Configuration lease: an entry VM takes new work only under a lease for a current revision.
 //!
-//! The control leader grants leases, entry VMs hold them, and entry VMs relay them to others, so
-//! that the leader's cost doesn't grow with the number of VMs. A revision is in force everywhere
-//! once no lease under an older one can still be running; docs/design/lease.md works out why
-//! that is a fact and not a guess.
+//! The control leader grants leases to entry VMs, and these relay them to others, so that the
+//! leader's load doesn't grow with the number of VMs. A revision is in force everywhere once no
+//! lease for an older one can still be running. docs/design/lease.md explains why this is certain.
 
 mod grants;
 mod holder;
@@ -17,25 +16,25 @@
 
 use crate::prelude::*;
 
-/// Times of the configuration lease. Every VM of a deployment must have the same.
+/// Timing of the configuration lease. Every VM of a deployment must use the same values.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LeaseSettings {
-    /// Milliseconds that a lease runs from the moment its holder asked for it.
+    /// Length of a lease in milliseconds, counted from its holder's request.
     pub length_ms: u64,
-    /// Milliseconds between two requests of a holder.
+    /// Interval between two requests of a holder, in milliseconds.
     pub interval_ms: u64,
-    /// Bound on the drift of any VM's clock rate, in millionths.
+    /// Maximum error of any VM's clock rate, in parts per million.
     pub drift_ppm: u32,
-    /// Safeguard switched off by a test.
+    /// Safeguard that a test disables.
     #[doc(hidden)]
     #[serde(skip)]
     pub mutation: Mutation,
 }
 
 impl Default for LeaseSettings {
-    /// With 12 s allowed until a revision is in force, a lease of 6 s leaves time for the commit
-    /// and for a change of leader.
+    /// A revision should be in force within 12 s. A lease of 6 s leaves time for the commit and a
+    /// change of leader.
     fn default() -> LeaseSettings {
         LeaseSettings {
             length_ms: 6_000,
@@ -47,18 +46,18 @@
 }
 
 impl LeaseSettings {
-    /// Returns the time a lease runs on its holder's clock.
+    /// Returns the length of a lease on its holder's clock.
     pub fn length(&self) -> Duration {
         Duration::from_millis(self.length_ms)
     }
 
-    /// Returns the time between two requests.
+    /// Returns the interval between two requests of a holder.
     pub fn interval(&self) -> Duration {
         Duration::from_millis(self.interval_ms)
     }
 
-    /// Returns how long a granter waits on its own clock until a lease of `length` is surely
-    /// over, when the holder's clock may run slow and its own fast, each by the bound.
+    /// Returns how long a granter must wait on its own clock until a lease of `length` has expired,
+    /// if the holder's clock runs slow and the granter's fast, each by the maximum error.
     pub fn expiry_wait(&self, length: Duration) -> Duration {
         const WHOLE: u128 = 1_000_000;
         if self.mutation == Mutation::IgnoreDrift {
@@ -70,27 +69,27 @@
     }
 }
 
-/// A safeguard switched off, so that a test can prove that it would notice. Never set outside
-/// tests.
+/// A safeguard that a test disables, to check that the resulting failure is detected. Never set
+/// outside tests.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Mutation {
     #[default]
     None,
-    /// A revision counts as in force without waiting for silent VMs.
+    /// A revision counts as in force before the leases for older ones have expired.
     NoExpiryWait,
-    /// Clock drift isn't allowed for.
+    /// Errors of clock rates are ignored.
     IgnoreDrift,
-    /// A new leader doesn't wait for its predecessor's leases.
+    /// A new leader doesn't wait for its predecessor's leases to expire.
     NoGracePeriod,
-    /// A holder applies an older revision.
+    /// A holder applies older revisions.
     AllowDowngrade,
-    /// A relay grants whole leases whatever its own has left.
+    /// A relay grants leases that outlast its own.
     RelayIgnoresLimit,
-    /// A relay confirms for itself only.
+    /// A relay confirms its own revision, whatever its downstream VMs act on.
     RelayHidesChildren,
-    /// A holder counts its lease from the reply, not from its request.
+    /// A holder counts its lease from the reply instead of the request.
     CountFromReply,
-    /// A confirmation of a restarted VM covers what its earlier life granted.
+    /// The confirmation of a restarted VM also covers leases of its earlier processes.
     IgnoreIncarnation,
 }
--- a/crates/core/src/lease/relay.rs
+++ b/crates/core/src/lease/relay.rs
@@ -1,4 +1,5 @@
-//! An entry VM's whole part in distribution: it holds a lease and grants from it to others.
+//! Distribution of revisions by an entry VM, which holds a lease and grants leases to downstream
+//! VMs.
 
 use super::{ConfigGrants, ConfigLease, LeaseSettings, ReplyAction};
 use crate::bundle::{Bundle, OperatorKeys};
@@ -7,34 +8,36 @@
 use crate::wire::control::confirm_reply::Body;
 use crate::wire::control::{ConfirmReply, ConfirmRequest, Unavailable};
 
-/// Earlier revisions that a relay keeps to make deltas from.
+/// Number of earlier revisions that a relay keeps to compute deltas.
 const KEPT_REVISIONS: usize = 8;
 
-/// Why an update wasn't applied. The lease isn't renewed then, so the VM stops taking work.
+/// Reason why an update was not applied. The lease isn't renewed either, so the VM stops taking
+/// work.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RelayError {
-    /// The update changes a revision that this VM doesn't have; the whole is fetched next.
-    #[error("the update doesn't fit the revision held here; fetching the whole bundle")]
+    /// The update is a delta to a revision that this VM doesn't have. The whole bundle is requested
+    /// next.
+    #[error("the delta doesn't apply to this VM's revision; requesting the whole bundle")]
     DeltaMismatch,
-    /// The revision doesn't verify with this VM's settings.
-    #[error("revision refused: {0}; check this VM's operator keys")]
+    /// The revision can't be verified with this VM's operator keys.
+    #[error("revision verification failed: {0}; check this VM's operator keys")]
     Refused(#[from] RevisionError),
 }
 
-/// Lease, grants and content of one entry VM.
+/// Lease, grants and revisions of one entry VM.
 #[derive(Clone, Debug)]
 pub struct Relay {
     lease: ConfigLease,
     grants: ConfigGrants,
     history: History,
-    /// The last delta didn't fit, so the next request asks for the whole.
+    /// Whether the last delta didn't apply, so that the next request asks for the whole bundle.
     needs_full: bool,
-    /// Floor of the last request.
+    /// Floor in the last request.
     reported_floor: RevisionNumber,
 }
 
 impl Relay {
-    /// Starts without a revision.
+    /// Creates a relay without a revision.
     pub fn new(settings: LeaseSettings, vm: VmId, incarnation: u64, now: Time) -> Relay {
         Relay {
             lease: ConfigLease::new(settings, vm, incarnation, now),
@@ -45,22 +48,22 @@
         }
     }
 
-    /// Returns the lease, to see whether work may be taken.
+    /// Returns this VM's lease.
     pub fn lease(&self) -> &ConfigLease {
         &self.lease
     }
 
-    /// Returns the grants to VMs behind this one.
+    /// Returns the leases granted to downstream VMs.
     pub fn grants(&self) -> &ConfigGrants {
         &self.grants
     }
 
-    /// Returns the revision applied here.
+    /// Returns the applied revision.
     pub fn current(&self) -> Option<&Revision> {
         self.history.current()
     }
 
-    /// Makes the next request if one is due.
+    /// Returns the next request if it is due.
     pub fn next_request(&mut self, now: Time) -> Option<ConfirmRequest> {
         self.grants.expire(now);
         let floor = self.grants.floor(self.lease.applied(), now);
@@ -72,11 +75,12 @@
         Some(request)
     }
 
-    /// Takes a reply; returns the bundle to act on from now if it brought a newer one.
+    /// Handles a reply. Returns the bundle to act on from now on if the reply contained a newer
+    /// one.
     ///
     /// # Errors
     ///
-    /// Returns why an update was not applied.
+    /// Returns the reason why an update was not applied.
     pub fn handle_reply(
         &mut self,
         reply: ConfirmReply,
@@ -100,18 +104,20 @@
         Ok(Some(bundle))
     }
 
-    /// Notes that a request got no reply.
+    /// Records that a request got no reply.
     pub fn request_failed(&mut self, ask: u64) {
         self.lease.request_failed(ask);
     }
 
-    /// Asks at once if `revision`, heard of from another VM, is newer.
+    /// Makes the next request due at once if `revision`, learnt from another VM, is newer.
     pub fn hint(&mut self, revision: RevisionNumber, now: Time) {
         self.lease.hint(revision, now);
     }
 
-    /// Answers a VM behind this one, within what the own lease has left. Once the last VM behind
-    /// has left an older revision, that is told at once, since an operator is waiting for it.
+    /// Answers a downstream VM, within the remaining time of this VM's own lease.
+    ///
+    /// Once the floor has risen, the next request is due at once, since an operator may be waiting
+    /// for the revision to be in force.
     pub fn serve(&mut self, request: &ConfirmRequest, now: Time) -> ConfirmReply {
         let limit = self.lease.remaining(now);
         let reply = serve(&self.history, &mut self.grants, limit, request, now);
@@ -122,9 +128,10 @@
     }
 }
 
-/// Answers a confirmation out of `history`: a lease, the newer revision, or neither. The leader
-/// calls it with its whole lease length as `limit`, while its leadership lease holds, and checks
-/// that again before it sends the reply.
+/// Answers a confirmation with a lease, a newer revision, or neither.
+///
+/// The leader passes the length of a whole lease as `limit`. It must hold its leadership lease, and
+/// must check that again before it sends the reply.
 pub fn serve(
     history: &History,
     grants: &mut ConfigGrants,
--- a/crates/core/src/lease/tree.rs
+++ b/crates/core/src/lease/tree.rs
@@ -1,35 +1,37 @@
-//! Whom an entry VM asks for its lease: a tree within each region, the control leader above.
+//! Upstreams of an entry VM: a tree within each region, with the control leader above the roots.
 //!
-//! Each VM works the tree out alone from its view of the members. Views may differ for a while;
-//! a parent always has a lower number than its child, so no cycle can form, and a lease passed
-//! along any path only gets shorter, so a wrong parent costs time and never safety.
+//! Each VM computes the tree from its own view of the members, and views may differ for a while. A
+//! parent always has a lower number than its child, so there are no cycles. A lease only gets
+//! shorter along a path, so a wrong parent costs time but not safety.
 
 use crate::prelude::*;
 
-/// Most VMs that ask one relay.
+/// Maximum number of VMs that ask one relay.
 pub const FAN_OUT: usize = 16;
 
-/// A live VM as the tree needs it.
+/// A live VM and its region.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct VmRegion {
-    /// The VM.
+    /// The live VM.
     pub vm: VmId,
-    /// Its region.
+    /// Region that the VM runs in.
     pub region: RegionId,
 }
 
-/// Whom to ask.
+/// A granter that a VM can request its lease from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Upstream {
-    /// The control group's leader.
+    /// The leader of the control group.
     Control,
     /// Another entry VM.
     Vm(VmId),
 }
 
-/// Returns whom `me` asks, in order of preference: its parent, then each ancestor, then the
-/// control leader. Only the first VM of a region asks the leader, so a change crosses the paid
-/// link once for each region.
+/// Returns the upstreams of `me` in order of preference: its parent, further ancestors, the control
+/// leader.
+///
+/// Only the first VM of a region prefers the leader, so a new revision crosses the paid link
+/// between regions once for each region.
 pub fn upstreams(me: VmRegion, members: &[VmRegion]) -> Vec<Upstream> {
     let mut region: Vec<VmId> =
         members.iter().filter(|other| other.region == me.region).map(|other| other.vm).collect();
--- a/crates/core/src/orders/lease.rs
+++ b/crates/core/src/orders/lease.rs
@@ -1,19 +1,18 @@
-//! Who may give orders, and with which fencing numbers.
+//! Order lease: who may give orders, and with which fencing tokens.
 
 use super::Mutation;
 use crate::lease::LeaseSettings;
 use crate::prelude::*;
 use crate::wire::control::{OrderLease, TakeOrderLease};
 
-/// Times of the order lease. Every VM of a deployment must have the same.
+/// Timing of the order lease. Every VM of a deployment must use the same values.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OrderSettings {
-    /// Length of the lease, its renewal and the bound on clock drift.
+    /// Length and renewal interval of the lease, and the maximum error of clock rates.
     pub lease: LeaseSettings,
-    /// Longest time from giving an order until it has arrived or surely never will: the sender
-    /// gives up its connection by then.
+    /// Time after which a sender gives up an order that has not arrived, by closing its connection.
     pub delivery_timeout: Duration,
-    /// Safeguard switched off by a test.
+    /// Safeguard that a test disables.
     #[doc(hidden)]
     pub mutation: Mutation,
 }
@@ -28,11 +27,12 @@
     }
 }
 
-/// Orders of one kind of endpoint: a later order has a higher number, over all holders.
+/// Fencing token of an order. For each kind of endpoint, later orders have higher tokens, across
+/// all holders.
 ///
-/// The lease's number is the upper half, so that the first order of a new holder passes all of
-/// the earlier one's; the lower half counts within the lease, so that an endpoint also refuses
-/// an order overtaken by a later one of the same holder.
+/// The upper half is the number of the lease, so that the first order of a new holder supersedes
+/// all orders of the earlier one. The lower half counts orders within the lease, so that an
+/// endpoint also refuses an order overtaken by a later one of the same holder.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -40,22 +40,24 @@
 pub struct FencingToken(pub u64);
 
 impl FencingToken {
-    /// Returns the number of one order under a lease.
+    /// Returns the token of an order under a lease.
     pub fn new(lease: u32, sequence: u32) -> FencingToken {
         FencingToken(u64::from(lease) << 32 | u64::from(sequence))
     }
 }
 
-/// The granting side, on the control leader. Volatile: a new leader starts one and waits.
+/// Granting side of the order lease, on the control leader. It isn't stored: a new leader waits
+/// until any lease of its predecessor has expired.
 #[derive(Clone, Debug)]
 pub struct OrderGrants {
     settings: OrderSettings,
-    /// Until then the recorded holder may be giving orders.
+    /// Until then, the recorded holder may give orders.
     until: Time,
 }
 
 impl OrderGrants {
-    /// Starts with a new control leader, whose predecessor may just have renewed the lease.
+    /// Creates the grants of a new control leader, whose predecessor may just have renewed the
+    /// lease.
     pub fn for_leader(settings: OrderSettings, now: Time) -> OrderGrants {
         let length = settings.lease.length();
         let skip = settings.mutation == Mutation::NoGracePeriod;
@@ -63,14 +65,15 @@
         OrderGrants { settings, until }
     }
 
-    /// Returns true if the log may give the lease to `taker`: it is free, over, or its own.
+    /// Returns whether `taker` may be given the lease: it is free, has expired, or belongs to
+    /// `taker`.
     pub fn may_take(&self, held: Option<&OrderLease>, taker: &TakeOrderLease, now: Time) -> bool {
         let own = held.is_none_or(|held| is_holder(held, taker));
         own || now >= self.until || self.settings.mutation == Mutation::TakeRunningLease
     }
 
-    /// Renews the lease of the VM that the log names; returns how long it runs from the moment
-    /// the VM asked, or `None` for any other.
+    /// Renews the lease if `asker` is its recorded holder. Returns its length, counted from the
+    /// request, or `None` for any other VM.
     pub fn renew(
         &mut self,
         held: &OrderLease,
@@ -90,22 +93,23 @@
     held.vm == asker.vm && held.incarnation == asker.incarnation
 }
 
-/// The holding side: gives numbers to orders while its lease runs.
+/// Holding side of the order lease, which issues fencing tokens while the lease is valid.
 #[derive(Clone, Debug)]
 pub struct OrderHolder {
     settings: OrderSettings,
     lease: u32,
     sequence: u32,
     until: Time,
-    /// From then on, orders may go to endpoints that ignore fencing.
+    /// From then on, orders may be sent to endpoints that ignore fencing tokens.
     unfenced_from: Time,
 }
 
 impl OrderHolder {
-    /// Starts with the lease number that the log gave this VM, at the time it learnt of it.
+    /// Creates the holder of lease number `lease`, at the time when this VM learnt of it.
     ///
-    /// The log gave it once the earlier lease was over, so an order of the earlier holder was
-    /// given before, and is over after the longest flight.
+    /// The lease was given only after the earlier one had expired, so orders of the earlier holder
+    /// have arrived or been given up once the delivery timeout has passed, even with errors of
+    /// clock rates.
     pub fn new(settings: OrderSettings, lease: u32, now: Time) -> OrderHolder {
         let wait = settings.lease.expiry_wait(settings.delivery_timeout);
         let skip = settings.mutation == Mutation::NoExpiryWait;
@@ -113,20 +117,21 @@
         OrderHolder { settings, lease, sequence: 0, until: Time::ZERO, unfenced_from }
     }
 
-    /// Takes a renewal asked for at `asked`.
+    /// Extends the lease by a renewal that was requested at `asked`.
     pub fn renewed(&mut self, asked: Time, length: Duration) {
         self.until = self.until.max(asked + length);
     }
 
-    /// Returns the number for an order to an endpoint, or `None` if none may be given now. The
-    /// order must be sent at once, and given up after the longest flight.
+    /// Returns the token of an order to an endpoint, or `None` if no order may be given now.
+    ///
+    /// The order must be sent at once and given up after the delivery timeout.
     pub fn next_token(&mut self, checks_fencing: bool, now: Time) -> Option<FencingToken> {
         let held = now < self.until || self.settings.mutation == Mutation::IgnoreLease;
         let safe = checks_fencing || now >= self.unfenced_from;
         if !held || !safe {
             return None;
         }
-        // With every number used up, the VM takes a new lease by restarting its part.
+        // Once all tokens are used, no order is given until the VM has taken a new lease.
         self.sequence = self.sequence.checked_add(1)?;
         Some(FencingToken::new(self.lease, self.sequence))
     }
--- a/crates/core/src/orders/load_limiter.rs
+++ b/crates/core/src/orders/load_limiter.rs
@@ -1,11 +1,12 @@
-//! How fast endpoints may fetch weights from the rate-limited weight store.
+//! Rate limit for loads from the weight store.
 
 use crate::prelude::*;
 
-/// Staggers loads: a number at once, and a pause between two starts.
+/// Limits concurrent loads and the interval between two starts.
 ///
-/// The failure: after a change of bundle every engine fetches new weights at the same time, the
-/// store slows all of them down, and for minutes no engine has the new version.
+/// Without a limit, a change of the bundle makes all engines fetch weights at once. The
+/// rate-limited weight store then slows all of them down, and no engine has the new version for
+/// minutes.
 #[derive(Clone, Debug)]
 pub struct LoadLimiter {
     max_concurrent: usize,
@@ -14,12 +15,12 @@
 }
 
 impl LoadLimiter {
-    /// Lets at most `at_once` loads run, with `pause` between two starts.
+    /// Allows at most `max_concurrent` loads, started at least `min_interval` apart.
     pub fn new(max_concurrent: usize, min_interval: Duration) -> LoadLimiter {
         LoadLimiter { max_concurrent, min_interval, next_start: Time::ZERO }
     }
 
-    /// Takes leave to start a load while `running` others run; false if it must wait.
+    /// Starts a load while `running` others are in progress. Returns false if it must wait.
     pub fn try_start(&mut self, running: usize, now: Time) -> bool {
         if running >= self.max_concurrent || now < self.next_start {
             return false;
--- a/crates/core/src/orders/plan.rs
+++ b/crates/core/src/orders/plan.rs
@@ -1,56 +1,56 @@
-//! Which engine should load or drop which model version next.
+//! Selection of the model versions that engines load or drop next.
 //!
-//! The plan is worked out anew from what the engines announce, so it needs no memory: an order
-//! that was lost is planned again, and one that was carried out is no longer needed.
+//! Each plan is computed from what the engines announce, so orders need no record: one that was
+//! lost is planned again, and one that was carried out isn't.
 
 use super::{LoadLimiter, Mutation};
 use crate::bundle::{Bundle, Model};
 use crate::prelude::*;
 
-/// A model at one version.
+/// A version of a model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ModelVersion {
-    /// The model's name.
+    /// Name of the model.
     pub model: CompactString,
-    /// Its version.
+    /// Version of the model.
     pub version: CompactString,
 }
 
 /// A model engine as it announces itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Engine {
-    /// Instance name.
+    /// Name of the engine's endpoint.
     pub name: EndpointName,
-    /// Model versions it serves.
+    /// Model versions that the engine serves.
     pub loaded: Vec<ModelVersion>,
-    /// Most versions it can hold at once.
+    /// Maximum number of versions that the engine can hold.
     pub slots: usize,
-    /// The order given to it and not yet seen carried out or failed.
+    /// Order that was given to the engine and has neither been carried out nor failed.
     pub pending: Option<Order>,
-    /// It is leaving, so it gets no orders and doesn't count.
+    /// Whether the engine is leaving, so that it gets no orders and isn't counted.
     pub leaving: bool,
 }
 
-/// One thing for an engine to do.
+/// An order to an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Order {
-    /// Fetch and serve a version.
+    /// Fetches and serves a version.
     Load {
-        /// The engine.
+        /// Engine that receives the order.
         endpoint: EndpointName,
-        /// What it loads.
+        /// Version to load.
         version: ModelVersion,
     },
-    /// Stop serving a version and free its memory.
+    /// Stops serving a version and frees its memory.
     Drop {
-        /// The engine.
+        /// Engine that receives the order.
         endpoint: EndpointName,
-        /// What it drops.
+        /// Version to drop.
         version: ModelVersion,
     },
 }
 
-/// Plans orders, at the pace that the weight store allows.
+/// Plans orders within the rate limit of the weight store.
 #[derive(Clone, Debug)]
 pub struct Planner {
     limiter: LoadLimiter,
@@ -58,19 +58,20 @@
 }
 
 impl Planner {
-    /// Starts with the weight store's pace.
+    /// Creates a planner whose loads are limited by `limiter`.
     pub fn new(limiter: LoadLimiter) -> Planner {
         Planner::with_mutation(limiter, Mutation::None)
     }
 
-    /// Starts with one safeguard off.
+    /// Creates a planner with one safeguard disabled.
     #[doc(hidden)]
     pub fn with_mutation(limiter: LoadLimiter, mutation: Mutation) -> Planner {
         Planner { limiter, mutation }
     }
 
-    /// Returns the orders to give now, at most one for each engine that has none pending. The
-    /// caller gives them all, or shows them as pending until they failed.
+    /// Returns the orders to give now, at most one for each engine without a pending order.
+    ///
+    /// The caller must give all of them, or report them as pending until they have failed.
     pub fn plan(&mut self, bundle: &Bundle, engines: &[Engine], now: Time) -> Vec<Order> {
         let mutation = self.mutation;
         let mut fleet = Fleet { bundle, engines, orders: Vec::new(), mutation };
@@ -85,10 +86,10 @@
     }
 }
 
-/// Of the engines of a model, one in this many may be without it while versions change.
+/// One in this many engines of a model may be empty or change its version at a time.
 const SWAP_DIVISOR: usize = 4;
 
-/// All engines, with the orders planned so far as good as given.
+/// All engines, with the orders planned so far counted as given.
 struct Fleet<'a> {
     bundle: &'a Bundle,
     engines: &'a [Engine],
@@ -110,8 +111,9 @@
         }
     }
 
-    /// Returns the version that this engine lacks and the fewest engines serve. An engine with
-    /// fewer slots than models keeps the ones it has as long as they are wanted.
+    /// Returns the version that this engine lacks and that the fewest engines serve or load.
+    ///
+    /// An engine with fewer slots than models keeps its versions as long as they are wanted.
     fn most_needed(&self, engine: &Engine) -> Option<ModelVersion> {
         let wanted = self.bundle.models.iter().filter(|model| covers(model, engine));
         let held = engine.loaded.iter().filter(|version| self.is_wanted(engine, version)).count();
@@ -122,19 +124,21 @@
         missing.min_by_key(|version| self.serving(version) + self.loading(version))
     }
 
-    /// Returns a version that the bundle no longer wants here and whose end nobody notices.
+    /// Returns a version that is no longer wanted on this engine and can be dropped without an
+    /// interruption.
     fn droppable(&self, engine: &Engine) -> Option<ModelVersion> {
         let mut unwanted = engine.loaded.iter().filter(|held| !self.is_wanted(engine, held));
         let early = self.mutation == Mutation::DropFirst;
         unwanted.find(|held| early || self.is_replaced(engine, held)).cloned()
     }
 
-    /// A version may go when the bundle no longer has its model, when this engine serves the
-    /// newer one, or when the model has moved to engines that serve it.
+    /// Returns whether an unwanted version can be dropped: its model is no longer in the bundle,
+    /// this engine serves the current version, or the model has moved to engines that serve it.
     ///
-    /// An engine without room for both must drop the old one first. It does so while others
-    /// serve the model, and only a share of them at a time; otherwise one change of bundle would
-    /// empty all engines at once. A lone engine without room keeps the old version.
+    /// An engine without room for both versions must drop the old one first. It does so only while
+    /// others serve the model, and only a share of the engines does so at a time, or else a change
+    /// of the bundle would empty all of them at once. A single engine without room keeps the old
+    /// version.
     fn is_replaced(&self, engine: &Engine, held: &ModelVersion) -> bool {
         let Some(model) = self.bundle.model(&held.model) else { return true };
         let current = version_of(model);
@@ -172,7 +176,7 @@
         self.outstanding().filter(loads).count()
     }
 
-    /// Counts the engines that serve this version and aren't told to drop it.
+    /// Counts the engines that serve this version and have no order to drop it.
     fn serving(&self, version: &ModelVersion) -> usize {
         let serves = |engine: &&Engine| {
             engine.loaded.contains(version) && !self.is_dropping(&engine.name, version)
@@ -195,7 +199,7 @@
         })
     }
 
-    /// Returns true while few enough engines of this model are empty or changing.
+    /// Returns whether few enough engines of this model are empty or changing their version.
     fn may_swap(&self, model: &Model) -> bool {
         let covering: Vec<&Engine> = self.active().filter(|engine| covers(model, engine)).collect();
         let changing = covering.iter().filter(|engine| self.is_changing(engine, model)).count();
--- a/crates/core/src/replication/change.rs
+++ b/crates/core/src/replication/change.rs
@@ -1,4 +1,4 @@
-//! Membership changes, one at a time, and hand-over of the leadership.
+//! Membership changes and leadership transfer.
 
 use bytes::Bytes;
 use prost::Message;
@@ -12,7 +12,7 @@
 use crate::wire::replication as wire;
 use crate::wire::replication::message::Body;
 
-/// A hand-over under way; proposals are refused meanwhile.
+/// A leadership transfer in progress, during which proposals are refused.
 #[derive(Debug)]
 pub(super) struct Transfer {
     pub(super) to: VmId,
@@ -21,7 +21,7 @@
 }
 
 impl Replica {
-    /// Appends a membership change, in force from the moment that it is appended.
+    /// Appends a membership change, which takes effect when it is appended.
     pub(super) fn change_members(
         &mut self,
         now: Time,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Hands the leadership to the voter that has most of the log and answers.
+    /// Starts a transfer of leadership to the most up-to-date voter that responds.
     pub(super) fn begin_transfer(&mut self, now: Time) {
         let timeout = self.settings.election_timeout();
         let members = self.log.members().clone();
@@ -66,10 +66,11 @@
         state.transfer = Some(Transfer { to, deadline: now + timeout, requested: false });
     }
 
-    /// Asks the receiver to campaign once it has the whole log.
+    /// Asks the transfer target to campaign once it has the whole log.
     ///
-    /// Its election doesn't wait for this leader's lease, and the message may arrive at any later
-    /// time. So the lease is given up for the rest of the term before the message goes out.
+    /// Voters don't wait for this leader's lease in that election, and the request may arrive at
+    /// any later time. The lease is therefore released for the rest of the term before the request
+    /// is sent.
     pub(super) fn advance_transfer(&mut self, out: &mut Vec<Effect>) {
         let last = self.log.last().index;
         let Some(state) = &mut self.leader_state else {
@@ -82,7 +83,7 @@
         self.send(to, Body::TimeoutNow(wire::TimeoutNow {}), out);
     }
 
-    /// Takes proposals again when the receiver did not win in time.
+    /// Cancels a transfer whose target has not won in time, so that proposals are accepted again.
     pub(super) fn expire_transfer(&mut self, now: Time) {
         if let Some(state) = &mut self.leader_state
             && state.transfer.as_ref().is_some_and(|transfer| now >= transfer.deadline)
@@ -95,8 +96,8 @@
         let Some(state) = &self.leader_state else {
             return Err(Refusal::NotLeader { leader: self.leader });
         };
-        // Two changes at once could leave two quorums that share no voter, and so could a change
-        // that meets one of an earlier term: both must be committed first.
+        // Two uncommitted changes, of this term or of an earlier one, could leave two quorums
+        // without a common voter.
         if !state.announced || self.log.members_since() > self.commit {
             return Err(Refusal::ChangePending);
         }
@@ -115,10 +116,10 @@
         }
     }
 
-    /// Tells whether a learner could replace a voter without a pause.
+    /// Returns whether a learner is close enough to the leader's log to become a voter.
     ///
-    /// A learner that counts too early makes the quorum larger and can't help to reach it: the
-    /// next VM lost then stops the group.
+    /// A voter that is far behind enlarges the quorum but can't help to reach it, so that the loss
+    /// of one more VM would stop the group.
     fn has_caught_up(&self, now: Time, vm: VmId) -> bool {
         if !self.settings.safeguards.catch_up {
             return true;
@@ -135,7 +136,7 @@
 }
 
 impl LeaderState {
-    /// Returns the receiver of a hand-over that is due to be asked now.
+    /// Returns the transfer target if it is ready and was not asked yet, and marks it as asked.
     fn take_transfer_target(&mut self, last: LogIndex) -> Option<VmId> {
         let transfer = self.transfer.as_mut()?;
         let matched = self.progress.get(&transfer.to)?.matched;
--- a/crates/core/src/replication/effect.rs
+++ b/crates/core/src/replication/effect.rs
@@ -1,4 +1,4 @@
-//! What goes into a replica and what comes out.
+//! Inputs and outputs of a replica.
 
 use bytes::Bytes;
 
@@ -6,31 +6,32 @@
 use crate::prelude::*;
 use crate::wire::replication as wire;
 
-/// Something that happened to a replica.
+/// An event for a replica to handle.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// Time passed; due at [`crate::replication::Replica::deadline`].
+    /// Time has passed. Due at [`crate::replication::Replica::deadline`].
     Tick,
-    /// A message arrived from another VM's replica.
+    /// A message from another VM's replica has arrived.
     Message {
-        /// The sender.
+        /// VM that sent the message.
         from: VmId,
-        /// What it sent.
+        /// Received message.
         message: wire::Message,
     },
-    /// Commands to append; answered by [`Effect::Accepted`] or [`Effect::Refused`].
+    /// Appends commands to the log. Answered by [`Effect::Accepted`] or [`Effect::Refused`].
     Propose {
-        /// One entry each.
+        /// Data of the entries, one command each.
         commands: Vec<Bytes>,
     },
-    /// A read wants to know which index it must see; answered by [`Effect::ReadReady`].
+    /// Requests the index that a read must observe. Answered by [`Effect::ReadReady`] or
+    /// [`Effect::ReadRefused`].
     Read {
-        /// Given back with the answer.
+        /// Identifies the read in the answer.
         token: u64,
     },
-    /// A membership change; answered by [`Effect::Accepted`] or [`Effect::Refused`].
+    /// Changes the members. Answered by [`Effect::Accepted`] or [`Effect::Refused`].
     ChangeMembers(MemberChange),
-    /// Leadership should go elsewhere, to the most caught-up voter.
+    /// Transfers leadership to the most up-to-date voter that responds.
     Transfer,
     /// All writes up to this one are on stable storage.
     Synced(Sequence),
@@ -38,133 +39,137 @@
     Snapshotted(LogIndex),
 }
 
-/// Something for the driver to do, in the order of the list.
+/// An action for the driver. Effects must be carried out in the order of the list.
 #[derive(Clone, Debug)]
 pub enum Effect {
-    /// Write this, in order, and answer [`Input::Synced`] once it is stable.
+    /// Writes to stable storage, in order. Answered by [`Input::Synced`].
     Persist {
-        /// Number to answer with.
+        /// Number to pass to [`Input::Synced`].
         sequence: Sequence,
-        /// What to write.
+        /// Data to write.
         write: Write,
     },
-    /// Send this.
+    /// Sends a message.
     Send {
-        /// The receiver.
+        /// Receiving VM.
         to: VmId,
-        /// The whole message.
+        /// Complete message.
         message: wire::Message,
     },
-    /// Fill the entries `first..=last` into this append message and send it.
+    /// Adds the entries `first..=last` to an append message and sends it.
     SendEntries {
-        /// The receiver.
+        /// Receiving VM.
         to: VmId,
-        /// An `Append` without its entries.
+        /// An `Append` without entries.
         message: wire::Message,
-        /// First entry to fill in.
+        /// First entry to add.
         first: LogIndex,
-        /// Last entry to fill in.
+        /// Last entry to add.
         last: LogIndex,
     },
-    /// Fill a piece of the snapshot into this chunk message and send it.
+    /// Adds a chunk of the snapshot to a message and sends it.
     SendChunk {
-        /// The receiver.
+        /// Receiving VM.
         to: VmId,
-        /// A `Chunk` whose `data` and `last` are to be filled in from its `offset` on.
+        /// A `Chunk` whose `data` and `last` must be filled in, starting at its `offset`.
         message: wire::Message,
     },
-    /// Keep a piece of an arriving snapshot; a piece at offset zero starts over.
+    /// Stores a chunk of a snapshot that is being received. A chunk at offset zero discards earlier
+    /// chunks.
     StoreChunk {
-        /// Where the snapshot stands.
+        /// Position of the snapshot.
         position: Position,
-        /// Offset of the piece.
+        /// Offset of the chunk in bytes.
         offset: u64,
-        /// The piece.
+        /// Content of the chunk.
         data: Bytes,
     },
-    /// Entries up to here are committed: hand them to the state machine, in order.
+    /// Applies the entries up to `index` to the state machine, in order.
     Commit {
-        /// The last committed entry.
+        /// Last committed entry.
         index: LogIndex,
     },
-    /// The stored snapshot replaces the state machine; follows its `Persist`.
+    /// Replaces the state machine by the stored snapshot. Follows the `Persist` of the snapshot.
     Restore {
-        /// Where the snapshot stands.
+        /// Position of the snapshot.
         position: Position,
     },
-    /// This replica leads, and all entries of earlier terms were handed over.
+    /// This replica leads, and the commit of all entries of earlier terms has been reported.
     Leader {
-        /// Its term.
+        /// Term of the leadership.
         term: Term,
     },
-    /// This replica doesn't lead, or follows another leader than before.
+    /// This replica has lost its leadership, or the leader that it follows has changed.
     Follower {
-        /// The leader, if known.
+        /// Current leader, if known.
         leader: Option<VmId>,
     },
-    /// Whom this replica follows, or its term, has changed: end the epoch of the VM's
+    /// The term or the leader of this replica has changed. Requires a new epoch of the VM's
     /// [`crate::replication::Links`] before its next pulse.
     NewEpoch,
-    /// The proposals got the indexes from `first` on.
+    /// The proposal or membership change was appended.
     Accepted {
-        /// Index of the first.
+        /// Index of the first appended entry.
         first: LogIndex,
-        /// Term that they were proposed in; another term at an index means that it was dropped.
+        /// Term of the appended entries. If another term is committed at an index, the proposal was
+        /// lost.
         term: Term,
     },
-    /// The proposal or change was not appended.
+    /// The proposal or membership change was not appended.
     Refused(Refusal),
-    /// The read may be answered by a state machine that has applied `index`.
+    /// The read may be served once the state machine has applied `index`.
     ReadReady {
-        /// From [`Input::Read`].
+        /// Token of the [`Input::Read`].
         token: u64,
-        /// What must be applied.
+        /// Index that must have been applied.
         index: LogIndex,
     },
-    /// The read can't be served here.
+    /// The read can't be served by this replica.
     ReadRefused {
-        /// From [`Input::Read`].
+        /// Token of the [`Input::Read`].
         token: u64,
-        /// The leader, if known.
+        /// Current leader, if known.
         leader: Option<VmId>,
     },
 }
 
-/// What must be on stable storage before answers that depend on it go out.
+/// Data that must be on stable storage before replies that depend on it are sent.
 #[derive(Clone, Debug)]
 pub enum Write {
-    /// Replaces the ballot.
+    /// Replaces the stored ballot.
     Ballot(Ballot),
-    /// Entries; the first one's index replaces whatever stood there and after.
+    /// Appends entries, after removing stored ones from the index of the first on.
     Entries(Vec<wire::Entry>),
-    /// The stored chunks become the snapshot, and the log is empty after it.
+    /// Makes the stored chunks the snapshot and clears the log.
     Snapshot {
-        /// Where the snapshot stands.
+        /// Position of the snapshot.
         position: Position,
-        /// The members as of the snapshot.
+        /// Members as of the snapshot.
         members: Members,
     },
 }
 
-/// Why a proposal or change was not appended. Nothing was done.
+/// Reason why a proposal or membership change was not appended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Refusal {
-    /// Another replica leads.
+    /// This replica doesn't lead, or is transferring its leadership.
     #[error("this replica does not lead its group; ask the leader")]
     NotLeader {
-        /// The leader, if known.
+        /// VM to ask instead, if known.
         leader: Option<VmId>,
     },
-    /// Too many bytes wait for a commit.
-    #[error("too many proposals wait for a commit; retry later")]
+    /// Too many bytes of proposals are uncommitted.
+    #[error("too many uncommitted proposals; retry later")]
     Overloaded,
-    /// An earlier membership change isn't committed, or the term has no commit yet.
-    #[error("an earlier membership change is not committed yet; retry later")]
+    /// An earlier membership change is uncommitted, or the leader has not committed an entry of its
+    /// term yet.
+    #[error("an earlier membership change is uncommitted; retry later")]
     ChangePending,
-    /// The learner lacks entries, or isn't one.
+    /// The learner lacks too many entries or doesn't respond.
     #[error("the learner has not caught up yet; retry later")]
     NotCaughtUp,
-    /// The change doesn't fit the members.
-    #[error("the change does not fit the group's members; check its status")]
+    /// The change adds a member again, promotes a VM that isn't a learner, or removes the leader or
+    /// a VM that isn't a member.
+    #[error("the change does not apply to the current members; check the group's status")]
     InvalidChange,
 }
--- a/crates/core/src/replication/election.rs
+++ b/crates/core/src/replication/election.rs
@@ -1,4 +1,4 @@
-//! Pre-votes, votes and hand-over.
+//! Pre-votes, elections and votes.
 
 use super::effect::Effect;
 use super::replica::{Replica, Role};
@@ -8,10 +8,10 @@
 use crate::wire::replication::message::Body;
 
 impl Replica {
-    /// Asks whether an election could be won.
+    /// Starts a pre-vote.
     ///
-    /// A replica that was cut off would otherwise raise its term again and again, and depose a
-    /// healthy leader when it comes back.
+    /// Without it, a replica that was cut off would raise its term repeatedly and depose a healthy
+    /// leader when it reconnects.
     pub(super) fn begin_election(&mut self, now: Time, out: &mut Vec<Effect>) {
         if !self.settings.safeguards.pre_vote {
             return self.campaign(now, false, out);
@@ -28,7 +28,7 @@
         self.request_votes(true, false, out);
     }
 
-    /// Answers a candidate.
+    /// Handles a request for a vote or a pre-vote.
     pub(super) fn handle_vote_request(
         &mut self,
         now: Time,
@@ -61,7 +61,7 @@
         self.send_vote_reply(from, false, granted, out);
     }
 
-    /// Counts an answer to our own request.
+    /// Counts a vote or a pre-vote.
     pub(super) fn handle_vote_reply(
         &mut self,
         now: Time,
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Campaigns because the leader asked for it.
+    /// Starts an election at once, since the leader transfers its leadership to this replica.
     pub(super) fn handle_timeout_now(&mut self, now: Time, from: VmId, out: &mut Vec<Effect>) {
         let asked = self.role == Role::Follower && self.leader == Some(from);
         if asked && self.log.members().is_voter(self.id) {
@@ -95,8 +95,10 @@
         }
     }
 
-    /// Counts the own vote once it is synced, and not before: a candidate that restarts must
-    /// not vote for another in the term it was about to win.
+    /// Counts this replica's own vote once it is synced.
+    ///
+    /// If it counted earlier, a restarted candidate could vote for another one in a term that it
+    /// had won.
     pub(super) fn count_own_vote(&mut self, now: Time, out: &mut Vec<Effect>) {
         let due = self.role == Role::Candidate && self.is_ballot_stable();
         if !due || self.votes.contains(&self.id) {
@@ -135,7 +137,7 @@
         }
     }
 
-    /// Tells whether a leader's lease may still rest on this replica's last answer.
+    /// Returns whether a leader's lease may still rest on this replica's last reply.
     fn is_in_lease(&self, now: Time) -> bool {
         let last_contact = match &self.leader_state {
             Some(_) => Some(self.quorum_contact(now)),
@@ -146,7 +148,8 @@
         waits && self.settings.safeguards.lease_wait
     }
 
-    /// Tells whether a log that ends at `last` holds all that this one may have acknowledged.
+    /// Returns whether a log that ends at `last` is at least as up to date as this one. Only then
+    /// does the candidate have every committed entry that this replica knows.
     fn is_up_to_date(&self, last: Position) -> bool {
         let own = self.log.last();
         (last.term, last.index) >= (own.term, own.index)
--- a/crates/core/src/replication/follower.rs
+++ b/crates/core/src/replication/follower.rs
@@ -1,4 +1,4 @@
-//! Entries and snapshots as they arrive from a leader.
+//! Entries and snapshots received from a leader.
 
 use super::effect::{Effect, Write};
 use super::links::Links;
@@ -8,7 +8,7 @@
 use crate::wire::replication as wire;
 use crate::wire::replication::message::Body;
 
-/// A snapshot of which some pieces have arrived.
+/// A snapshot that has been received up to `offset`.
 #[derive(Debug)]
 pub(super) struct IncomingSnapshot {
     position: Position,
@@ -16,7 +16,7 @@
 }
 
 impl Replica {
-    /// Takes entries or a heartbeat of this term's leader.
+    /// Handles entries or a heartbeat from the leader of the current term.
     pub(super) fn handle_append(
         &mut self,
         now: Time,
@@ -28,7 +28,8 @@
         if !self.accept_leader(now, from, out) {
             return;
         }
-        // A late message of an earlier epoch must not undo what a newer one was answered.
+        // A delayed message of an earlier epoch must not replace a newer epoch that was already
+        // acknowledged.
         self.leader_epoch = self.leader_epoch.max(append.epoch);
         let prev = self.skip_committed(&mut append);
         if self.log.term(prev.index) != Some(prev.term) {
@@ -48,7 +49,7 @@
         self.acknowledge(from, reply, wrote, out);
     }
 
-    /// Takes one piece of a snapshot.
+    /// Handles a snapshot chunk.
     pub(super) fn handle_chunk(
         &mut self,
         now: Time,
@@ -93,7 +94,8 @@
         out.push(Effect::Restore { position });
     }
 
-    /// Follows the sender if it can lead this term. Returns whether it does.
+    /// Follows the sender and records the contact. Returns false if this replica is the leader
+    /// itself.
     fn accept_leader(&mut self, now: Time, from: VmId, out: &mut Vec<Effect>) -> bool {
         if self.role == Role::Leader {
             return false;
@@ -106,7 +108,8 @@
         true
     }
 
-    /// Drops entries that are committed here: they agree, and may be compacted already.
+    /// Removes entries that are already committed here, which agree and may be compacted. Returns
+    /// the position before the remaining ones.
     fn skip_committed(&self, append: &mut wire::Append) -> Position {
         let prev = Position { index: LogIndex(append.prev_index), term: Term(append.prev_term) };
         if prev.index >= self.commit {
@@ -117,7 +120,8 @@
         Position { index: self.commit, term }
     }
 
-    /// Appends what the log lacks, and drops what contradicts it. Returns whether it wrote.
+    /// Appends the entries that the log lacks, replacing any that conflict. Returns whether it
+    /// wrote any.
     fn append_missing(&mut self, mut entries: Vec<wire::Entry>, out: &mut Vec<Effect>) -> bool {
         let known = entries
             .iter()
@@ -138,7 +142,7 @@
         true
     }
 
-    /// Returns an answer with all that doesn't depend on the entries.
+    /// Returns a reply with all fields that don't depend on the entries.
     fn new_append_reply(&self, links: &Links, append: &wire::Append) -> wire::AppendReply {
         wire::AppendReply {
             sent: append.sent,
@@ -160,8 +164,8 @@
         if wrote {
             return self.send_after_sync(to, Body::AppendReply(reply), out);
         }
-        // A heartbeat's answer claims only what is synced, so it need not wait for the disk: a
-        // slow sync would otherwise cost the leader its lease.
+        // Reporting only synced entries avoids a wait for the disk. A slow sync would otherwise
+        // delay the replies to heartbeats and cost the leader its lease.
         reply.index = reply.index.min(self.synced.0);
         self.send_after_ballot(to, reply, out);
     }
@@ -183,7 +187,7 @@
         self.send_after_ballot(to, reply, out);
     }
 
-    /// Sends an answer that depends on no write but the ballot's.
+    /// Sends a reply that depends on no write except that of the ballot.
     fn send_after_ballot(&mut self, to: VmId, reply: wire::AppendReply, out: &mut Vec<Effect>) {
         match self.is_ballot_stable() {
             true => self.send(to, Body::AppendReply(reply), out),
--- a/crates/core/src/replication/leader.rs
+++ b/crates/core/src/replication/leader.rs
@@ -1,4 +1,4 @@
-//! What a leader does: appends, replicates, commits.
+//! Leader state, proposals, replies from followers and commits.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -14,24 +14,23 @@
 use crate::prelude::*;
 use crate::wire::replication as wire;
 
-/// State that only a leader has.
+/// State that exists only on a leader.
 #[derive(Debug)]
 pub(super) struct LeaderState {
-    /// When it became leader.
     pub(super) elected_at: Time,
-    /// Its term's first entry; what came before is committed once this one is.
+    /// Index of the first entry of this term. All earlier entries are committed once this one is.
     pub(super) term_start: LogIndex,
     pub(super) progress: BTreeMap<VmId, Progress>,
-    /// When the next heartbeat is due.
     pub(super) next_heartbeat: Time,
-    /// Counts heartbeats that confirm reads.
+    /// Number of the latest round of heartbeats sent to confirm reads.
     pub(super) round: u64,
     pub(super) reads: VecDeque<PendingRead>,
-    /// Bytes of proposals not yet committed.
+    /// Bytes of uncommitted proposals.
     pub(super) backlog: usize,
+    /// Whether `term_start` is committed and [`Effect::Leader`] was emitted.
     pub(super) announced: bool,
     pub(super) transfer: Option<Transfer>,
-    /// True once a hand-over was asked for in this term: voters then don't wait out the lease.
+    /// Whether a transfer target was asked to campaign in this term. Its voters ignore the lease.
     pub(super) lease_released: bool,
 }
 
@@ -62,7 +61,8 @@
         self.append_as_leader(vec![(wire::EntryKind::Noop, Bytes::new())], out);
     }
 
-    /// Appends commands, if this replica leads and isn't overloaded.
+    /// Appends commands, unless this replica doesn't lead, is transferring its leadership or is
+    /// overloaded.
     pub(super) fn propose(&mut self, commands: Vec<Bytes>, out: &mut Vec<Effect>) {
         let Some(state) = &mut self.leader_state else {
             return out.push(Effect::Refused(Refusal::NotLeader { leader: self.leader }));
@@ -81,7 +81,7 @@
         out.push(Effect::Accepted { first, term: self.ballot.term });
     }
 
-    /// Appends entries of this term and returns the first one's index.
+    /// Appends entries in the current term and returns the index of the first one.
     pub(super) fn append_as_leader(
         &mut self,
         entries: Vec<(wire::EntryKind, Bytes)>,
@@ -100,7 +100,7 @@
         first
     }
 
-    /// Does what the last input made possible: commits, sends, answers reads, hands over.
+    /// Commits, replicates, answers reads and advances a transfer, as far as the last input allows.
     pub(super) fn advance(&mut self, now: Time, links: &Links, out: &mut Vec<Effect>) {
         if self.leader_state.is_none() {
             return;
@@ -111,7 +111,8 @@
         self.advance_transfer(out);
     }
 
-    /// Steps down without a quorum's answers, else sends heartbeats.
+    /// Steps down if no quorum has replied for an election timeout, or else sends heartbeats when
+    /// due.
     pub(super) fn leader_tick(&mut self, now: Time, links: &Links, out: &mut Vec<Effect>) {
         if now >= self.quorum_contact(now) + self.settings.election_timeout() {
             let term = self.ballot.term;
@@ -128,7 +129,7 @@
         self.send_heartbeats(now, links, false, out);
     }
 
-    /// Takes a follower's answer to entries or a heartbeat.
+    /// Handles a follower's reply to entries or to a heartbeat.
     pub(super) fn handle_append_reply(&mut self, from: VmId, reply: &wire::AppendReply) {
         let Some(progress) =
             self.leader_state.as_mut().and_then(|state| state.progress.get_mut(&from))
@@ -160,7 +161,7 @@
         }
     }
 
-    /// Takes a follower's answer to a piece of a snapshot.
+    /// Handles a follower's reply to a snapshot chunk.
     pub(super) fn handle_chunk_reply(
         &mut self,
         now: Time,
@@ -178,10 +179,11 @@
         self.leader_state = Some(state);
     }
 
-    /// Commits what a quorum has synced.
+    /// Commits the entries that a quorum has synced.
     ///
-    /// An entry of an earlier term that a quorum holds can still be overwritten by a leader that
-    /// was elected without it, so only an entry of this term is counted; it commits all before.
+    /// An entry of an earlier term can still be overwritten by a leader that was elected without
+    /// it, although a quorum holds it. So only entries of the current term are counted, and they
+    /// commit all entries before them.
     fn advance_commit(&mut self, out: &mut Vec<Effect>) {
         let index = self.quorum_match();
         let Some(state) = &mut self.leader_state else {
@@ -203,6 +205,7 @@
         }
     }
 
+    /// Returns the highest index that a quorum has synced.
     fn quorum_match(&self) -> LogIndex {
         let Some(state) = &self.leader_state else {
             return LogIndex(0);
--- a/crates/core/src/replication/lease.rs
+++ b/crates/core/src/replication/lease.rs
@@ -1,4 +1,4 @@
-//! The leader's lease, and reads that rest on it or on a round of heartbeats.
+//! Leader lease and reads, which rely on the lease or on a round of heartbeats.
 
 use super::effect::Effect;
 use super::leader::LeaderState;
@@ -17,7 +17,7 @@
 }
 
 impl LeaderState {
-    /// Tells the readers that nothing will confirm their reads here any more.
+    /// Refuses all pending reads because this replica no longer leads.
     pub(super) fn refuse_reads(self, leader: Option<VmId>, out: &mut Vec<Effect>) {
         let refused = self.reads.into_iter();
         out.extend(refused.map(|read| Effect::ReadRefused { token: read.token, leader }));
@@ -25,10 +25,11 @@
 }
 
 impl Replica {
-    /// Tells whether no other replica can lead before the lease is out.
+    /// Returns whether this replica leads under a valid lease, so that no other one can lead before
+    /// its end.
     ///
-    /// Check it after the work and before the answer: a process that was paused in between finds
-    /// out only then that its lease has passed.
+    /// Check this after the work and before the reply: the process may have been paused in between
+    /// until after the end of its lease.
     pub fn holds_lease(&self, now: Time, links: &Links) -> bool {
         let Some(state) = &self.leader_state else {
             return false;
@@ -38,7 +39,7 @@
         state.announced && !state.lease_released && fresh
     }
 
-    /// Takes a read: answered at once under the lease, else after a round of heartbeats.
+    /// Handles a read: answers it at once under the lease, or else after a round of heartbeats.
     pub(super) fn read(&mut self, now: Time, links: &Links, token: u64, out: &mut Vec<Effect>) {
         let leased = self.holds_lease(now, links);
         let Some(state) = &mut self.leader_state else {
@@ -53,7 +54,7 @@
         self.send_heartbeats(now, links, true, out);
     }
 
-    /// Answers the reads that a quorum has confirmed by now.
+    /// Answers the reads that a quorum has confirmed.
     pub(super) fn answer_reads(&mut self, now: Time, links: &Links, out: &mut Vec<Effect>) {
         if self.leader_state.as_ref().is_none_or(|state| state.reads.is_empty() || !state.announced)
         {
@@ -73,15 +74,18 @@
         }
     }
 
-    /// Returns when a quorum was last in contact, counted from the election at least.
+    /// Returns when a quorum was last in contact, or the time of the election if that is later.
     pub(super) fn quorum_contact(&self, now: Time) -> Time {
         let since = self.leader_state.as_ref().map_or(Time::ZERO, |state| state.elected_at);
-        // Every step takes over what pulses vouch for, so the links themselves aren't needed.
+        // Each step has already applied the pulses to the followers' progress, so the links aren't
+        // needed.
         self.quorum_acked(now, &Links::default()).unwrap_or(since).max(since)
     }
 
-    /// Returns the latest point that a quorum's answers vouch for: what they answered was sent
-    /// then or later. The replica itself answers at any time.
+    /// Returns the latest time for which a quorum has acknowledged messages sent at that time or
+    /// later.
+    ///
+    /// This replica itself counts as acknowledging now.
     fn quorum_acked(&self, now: Time, links: &Links) -> Option<Time> {
         let state = self.leader_state.as_ref()?;
         let answered = |vm: &VmId| match *vm == self.id {
@@ -96,7 +100,7 @@
         all.get(self.quorum() - 1).copied().flatten()
     }
 
-    /// Returns the latest pulse whose answer counts for this group.
+    /// Returns when the latest pulse was sent whose acknowledgement counts for this group.
     pub(super) fn pulse_ack(&self, links: &Links, vm: VmId, progress: &Progress) -> Option<Time> {
         if !self.settings.safeguards.epochs {
             return links.acked_any_epoch(vm);
@@ -105,6 +109,7 @@
         links.acked(vm, theirs, own)
     }
 
+    /// Returns the latest round of heartbeats that a quorum has confirmed.
     fn quorum_round(&self) -> u64 {
         let Some(state) = &self.leader_state else {
             return 0;
--- a/crates/core/src/replication/links.rs
+++ b/crates/core/src/replication/links.rs
@@ -1,56 +1,57 @@
-//! Liveness between VMs, shared by all groups that they have in common.
+//! Liveness of other VMs, shared by all groups that two VMs have in common.
 //!
-//! A group with nothing to send would still need heartbeats, and a VM with hundreds of groups
-//! would spend its time on them. So each pair of VMs exchanges one [`wire::Pulse`] for all, and an
-//! idle group rests on it. docs/design/replication.md shows why that is as safe as heartbeats of
-//! its own.
+//! Heartbeats for each idle group would dominate the load of a VM with hundreds of groups. Instead,
+//! each pair of VMs exchanges one [`wire::Pulse`] for all of them. docs/design/replication.md
+//! explains why this is as safe as heartbeats for each group.
 
 use super::types::Term;
 use crate::prelude::*;
 use crate::wire::replication as wire;
 
-/// What one VM knows of its links to others.
+/// Pulses that a VM has exchanged with other VMs.
 ///
-/// The epoch stands for all that the VM's replicas said last: whom each follows, in which term.
-/// It changes when any of that does, and a pulse vouches only for what was said under its epoch.
+/// The epoch identifies the term and the leader of every replica of the VM, and changes when any of
+/// them does. A pulse counts only for groups whose last message was sent in the pulse's epoch.
 #[derive(Clone, Debug, Default)]
 pub struct Links {
     epoch: u64,
     peers: Vec<Link>,
 }
 
-/// How long an epoch's last pulse is remembered; far longer than any follower's patience.
+/// How long the last pulse of an epoch is remembered, far longer than any election timeout.
 const EPOCH_RETENTION: Duration = Duration::from_secs(120);
 
-/// A replica's term and the leader it follows: what a pulse vouches for.
+/// Term of a replica and the leader that it follows.
 pub(super) type TermLeader = (Term, Option<VmId>);
 
 #[derive(Clone, Debug)]
 struct Link {
     vm: VmId,
-    /// When the last pulse of each of its latest epochs arrived, the last one last.
+    /// Arrival time of the last pulse of each recent epoch, in order of arrival.
     last_pulses: Vec<(u64, Time)>,
-    /// Its epoch in the pulse that is answered next.
+    /// The peer's epoch in the pulse to acknowledge next.
     epoch: u64,
-    /// When it was sent, on its clock.
+    /// When that pulse was sent, on the peer's clock.
     sent: u64,
-    /// The latest own pulse that it answered, and its epoch then.
+    /// When the latest acknowledged pulse was sent, and the peer's epoch in the acknowledgement.
     acked: Option<(Time, u64)>,
 }
 
 impl Links {
-    /// Returns the links of a process that has just started. `epoch` must be one that no earlier
-    /// process of this VM had, such as a random number.
+    /// Creates the links of a process that has just started.
+    ///
+    /// `epoch` must differ from all epochs of this VM's earlier processes, for example by being
+    /// random.
     pub fn new(epoch: u64) -> Links {
         Links { epoch, peers: Vec::new() }
     }
 
-    /// Returns the epoch under which this VM speaks now.
+    /// Returns the current epoch of this VM.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// Ends the epoch; due at [`super::Effect::NewEpoch`].
+    /// Starts a new epoch, as requested by [`super::Effect::NewEpoch`].
     pub fn next_epoch(&mut self) {
         self.epoch += 1;
     }
@@ -66,7 +67,7 @@
         }
     }
 
-    /// Takes a pulse that arrived from `vm`.
+    /// Handles a pulse from `vm`.
     pub fn receive(&mut self, now: Time, vm: VmId, pulse: &wire::Pulse) {
         let index = match self.peers.iter().position(|link| link.vm == vm) {
             Some(index) => index,
@@ -88,34 +89,35 @@
             link.epoch = pulse.epoch;
             link.sent = pulse.sent;
         }
-        // An answer to an earlier process of this VM names a time on another clock. Taken for
-        // ours, it could lie ahead and keep up a lease that no voter grants; the epoch tells.
+        // An acknowledgement addressed to an earlier process of this VM contains a time of another
+        // clock, which may lie in the future and would extend the lease without the consent of a
+        // quorum. The epoch tells them apart.
         let answer = (Time(pulse.echo_sent), pulse.epoch);
         if pulse.echo_epoch == own && link.acked.is_none_or(|(sent, _)| sent < answer.0) {
             link.acked = Some(answer);
         }
     }
 
-    /// Returns when `vm` was last heard under `epoch`.
+    /// Returns when the last pulse of `vm` in `epoch` arrived.
     pub(super) fn last_pulse(&self, vm: VmId, epoch: u64) -> Option<Time> {
         let found = self.link(vm)?.last_pulses.iter().find(|(known, _)| *known == epoch);
         found.map(|(_, heard)| *heard)
     }
 
-    /// Returns the latest own pulse that `vm` answered under `theirs`, if this VM's epoch is
-    /// still `own`.
+    /// Returns when the latest pulse was sent that `vm` acknowledged in epoch `theirs`, if this
+    /// VM's epoch is still `own`.
     pub(super) fn acked(&self, vm: VmId, theirs: u64, own: u64) -> Option<Time> {
         let (sent, epoch) = self.link(vm).filter(|_| own == self.epoch)?.acked?;
         (epoch == theirs).then_some(sent)
     }
 
-    /// Returns the latest own pulse that `vm` answered in any epoch: what a leader would count
-    /// that doesn't care about epochs.
+    /// Returns when the latest pulse was sent that `vm` acknowledged in any epoch. Used only if a
+    /// test disables the epoch safeguard.
     pub(super) fn acked_any_epoch(&self, vm: VmId) -> Option<Time> {
         self.link(vm)?.acked.map(|(sent, _)| sent)
     }
 
-    /// Tells whether `vm` sends pulses but hasn't for longer than `patience`.
+    /// Returns whether `vm` has sent pulses before, but none within `timeout`.
     pub(super) fn is_silent(&self, now: Time, vm: VmId, timeout: Duration) -> bool {
         let last = self.link(vm).and_then(|link| link.last_pulses.last());
         last.is_some_and(|(_, heard)| now >= *heard + timeout)
@@ -127,10 +129,10 @@
 }
 
 impl Link {
-    /// Notes a pulse of an epoch, and keeps what is known of others.
+    /// Records a pulse and keeps those of other recent epochs.
     ///
-    /// A late pulse of an earlier epoch must not wipe out a newer one's: the sender may count on
-    /// the answer to that, and a group here would forget that it still owes patience.
+    /// A delayed pulse of an earlier epoch must not erase a newer epoch: the peer's lease may rest
+    /// on a reply to the newer one, and a replica here would vote before that lease ends.
     fn record_pulse(&mut self, now: Time, epoch: u64) {
         self.last_pulses.retain(|(known, heard)| *known != epoch && now < *heard + EPOCH_RETENTION);
         self.last_pulses.push((epoch, now));
--- a/crates/core/src/replication/log.rs
+++ b/crates/core/src/replication/log.rs
@@ -4,15 +4,15 @@
 
 use super::types::{EntryMeta, LogIndex, Members, Position, Restored, Term};
 
-/// What a replica knows of its log: everything but the data.
+/// In-memory state of a log, without the data of its entries.
 #[derive(Debug)]
 pub(super) struct Log {
-    /// Where the snapshot stands.
+    /// Position of the latest snapshot.
     snapshot: Position,
-    /// The entry before the first one kept; at the snapshot or somewhat before it.
+    /// Position before the first kept entry, at the snapshot or before it.
     base: Position,
     entries: VecDeque<EntryInfo>,
-    /// Members in force from an index on; the first is the base's.
+    /// Members and the index from which they are in force. The first ones are those at `base`.
     members: Vec<(LogIndex, Members)>,
 }
 
@@ -47,7 +47,7 @@
         Position { index, term }
     }
 
-    /// Returns the term at an index, or nothing when it is compacted or not yet there.
+    /// Returns the term at `index`, or `None` if it is compacted or beyond the end of the log.
     pub(super) fn term(&self, index: LogIndex) -> Option<Term> {
         if index == self.base.index {
             return Some(self.base.term);
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Drops the entries from `first` on.
+    /// Removes the entries from `first` on.
     pub(super) fn truncate(&mut self, first: LogIndex) {
         let keep = first.0.saturating_sub(self.base.index.0 + 1);
         self.entries.truncate(usize::try_from(keep).unwrap_or(usize::MAX));
@@ -71,11 +71,11 @@
         }
     }
 
-    /// Notes that a snapshot covers the entries up to `index`, and drops all of them but the last
-    /// `keep` entries or `keep_bytes` bytes.
+    /// Records a snapshot at `index` and drops the entries that it covers, except for the last
+    /// `keep` entries of at most `keep_bytes` bytes.
     ///
-    /// A follower is always a little behind. Without the entries that it lacks it would be sent a
-    /// whole snapshot at each compaction, perhaps over a slow link.
+    /// Followers are always slightly behind. Without these entries, each compaction would make the
+    /// leader send them a whole snapshot, possibly over a slow link.
     pub(super) fn compact(&mut self, index: LogIndex, keep: u64, keep_bytes: usize) {
         let Some(term) = self.term(index) else {
             return;
@@ -89,7 +89,7 @@
         self.drop_to(self.snapshot.index);
     }
 
-    /// Returns the base that a compaction at `index` would leave.
+    /// Returns the index of the base after a compaction at `index`.
     fn base_after(&self, index: LogIndex, keep: u64, keep_bytes: usize) -> LogIndex {
         let mut base = index;
         let mut bytes = 0;
@@ -115,7 +115,7 @@
         self.members[0].0 = index;
     }
 
-    /// Replaces everything by a snapshot.
+    /// Replaces the whole log by a snapshot.
     pub(super) fn reset(&mut self, position: Position, members: Members) {
         self.snapshot = position;
         self.base = position;
@@ -123,7 +123,7 @@
         self.members = vec![(position.index, members)];
     }
 
-    /// Returns the entry before the first one kept.
+    /// Returns the index before the first kept entry.
     pub(super) fn base(&self) -> LogIndex {
         self.base.index
     }
@@ -133,19 +133,19 @@
         &self.members[self.members.len() - 1].1
     }
 
-    /// Returns the index that the members in force were appended at.
+    /// Returns the index from which the current members are in force.
     pub(super) fn members_since(&self) -> LogIndex {
         self.members[self.members.len() - 1].0
     }
 
-    /// Returns the members as of `index`, for a snapshot there.
+    /// Returns the members as of `index`.
     pub(super) fn members_at(&self, index: LogIndex) -> &Members {
         let found = self.members.iter().rev().find(|(at, _)| *at <= index);
         &found.unwrap_or(&self.members[0]).1
     }
 
-    /// Returns the last index of a batch that starts at `first` and its bytes: one entry at
-    /// least, and no more than `limit` bytes if it holds several.
+    /// Returns the last index and the size of a batch that starts at `first`. The batch has at
+    /// least one entry, and at most `limit` bytes if it has several.
     pub(super) fn batch(&self, first: LogIndex, limit: usize) -> (LogIndex, usize) {
         let mut last = first;
         let mut bytes = self.size(first);
@@ -159,15 +159,15 @@
         (last, bytes)
     }
 
-    /// Returns the bytes of an entry's data; zero when it isn't there.
+    /// Returns the size of an entry's data in bytes, or zero if the entry isn't kept.
     pub(super) fn size(&self, index: LogIndex) -> usize {
         self.get(index).map_or(0, |entry| entry.size as usize)
     }
 
-    /// Returns the last index up to `from` whose term is at most `term`.
+    /// Returns the last position up to `from` whose term is at most `term`.
     ///
-    /// Two logs that disagree at `from` can't agree on a later index of a higher term, so a
-    /// leader skips a whole term with each refused append instead of one entry.
+    /// The other log has no entries of a higher term up to `from`, so each refused append skips a
+    /// whole term instead of a single entry.
     pub(super) fn agreement(&self, from: LogIndex, term: Term) -> Position {
         let mut index = from.min(self.last().index);
         while index > self.base.index && self.term(index).is_some_and(|t| t > term) {
--- a/crates/core/src/replication/mod.rs
+++ b/crates/core/src/replication/mod.rs
@@ -1,9 +1,9 @@
-//! A replicated log after the published Raft, one [`Replica`] for one group on one VM.
+//! Raft replication: one [`Replica`] for each group on each VM.
 //!
-//! A replica is a pure value: [`Replica::step`] takes the time and one [`Input`], and appends
-//! [`Effect`]s for the driver to carry out. It holds no entry's data, only each entry's term and
-//! size; the driver reads the data from its disk when an effect names a range. So memory doesn't
-//! grow with the histories that the log carries. See docs/design/replication.md.
+//! A replica does no I/O. [`Replica::step`] takes the time and one [`Input`], and appends the
+//! [`Effect`]s that the driver must carry out. Of each entry, a replica keeps only the term and the
+//! size in memory; the driver reads the data from disk when an effect names a range. Memory use
+//! therefore doesn't depend on the size of the logged data. See docs/design/replication.md.
 
 mod change;
 mod effect;
--- a/crates/core/src/replication/progress.rs
+++ b/crates/core/src/replication/progress.rs
@@ -1,50 +1,49 @@
-//! What a leader knows of each other replica.
+//! Replication progress of followers, as known to the leader.
 
 use std::collections::VecDeque;
 
 use super::types::LogIndex;
 use crate::prelude::*;
 
-/// How entries flow to one follower.
+/// How entries are sent to a follower.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Flow {
-    /// One message at a time until the logs are known to agree.
+    /// Sends one message at a time until the logs are known to agree.
     Probe {
-        /// True while an answer is awaited; a heartbeat's answer ends the wait.
+        /// Whether a reply is outstanding. The reply to a heartbeat also ends the wait.
         waiting: bool,
     },
-    /// Messages follow one another without a wait, up to the limit in flight.
+    /// Sends messages without waiting for replies, up to the in-flight limits.
     Stream,
-    /// The follower lacks entries that are compacted.
+    /// Sends a snapshot, since the follower lacks entries that are compacted.
     Snapshot {
-        /// Where the snapshot stands.
+        /// Index of the snapshot.
         index: LogIndex,
-        /// The piece that is awaited.
+        /// Offset of the outstanding chunk.
         offset: u64,
-        /// When it was last sent.
+        /// When the outstanding chunk was last sent.
         sent: Time,
     },
 }
 
-/// What a leader knows of one other replica.
+/// Replication progress of one follower.
 #[derive(Debug)]
 pub(super) struct Progress {
-    /// Last index known to be synced there and equal to ours.
+    /// Last index that is known to be synced on the follower and to match the leader's log.
     pub(super) matched: LogIndex,
     /// Next index to send.
     pub(super) next: LogIndex,
     pub(super) flow: Flow,
-    /// Last index and bytes of each message in flight.
+    /// Last index and size of each entry message in flight.
     pub(super) in_flight: VecDeque<(LogIndex, usize)>,
-    /// When the latest message was sent that it has answered.
+    /// When the latest message was sent that the follower has acknowledged.
     pub(super) acked: Option<Time>,
-    /// The latest read round that it has answered.
+    /// Latest round of heartbeats that the follower has confirmed.
     pub(super) round: u64,
-    /// Commit index that it has confirmed to know.
+    /// Latest commit index that the follower has reported.
     pub(super) commit: LogIndex,
-    /// The follower's epoch and the own one that it knew, in its latest answer.
+    /// Epochs of the follower's VM and of the leader's VM in the latest reply.
     pub(super) epochs: Option<(u64, u64)>,
-    /// When it was last sent a heartbeat.
     pub(super) last_heartbeat: Time,
 }
 
@@ -63,23 +62,23 @@
         }
     }
 
-    /// Returns the bytes of entries in flight.
+    /// Returns the total size of the entries in flight.
     pub(super) fn in_flight_bytes(&self) -> usize {
         self.in_flight.iter().map(|(_, bytes)| bytes).sum()
     }
 
-    /// Notes any answer of the current term.
+    /// Records a reply of the current term.
     pub(super) fn record_reply(&mut self, sent: Time, round: u64) {
         self.acked = self.acked.max(Some(sent));
         self.round = self.round.max(round);
     }
 
-    /// Tells whether the follower knows all that this leader could tell it.
+    /// Returns whether the follower has all entries and knows the commit index.
     pub(super) fn is_idle(&self, last: LogIndex, commit: LogIndex) -> bool {
         self.flow == Flow::Stream && self.matched == last && self.commit == commit
     }
 
-    /// Notes that the logs agree up to `index`. Returns whether that is news.
+    /// Records that the logs match up to `index`. Returns whether `matched` has increased.
     pub(super) fn record_match(&mut self, index: LogIndex) -> bool {
         while self.in_flight.front().is_some_and(|&(last, _)| last <= index) {
             self.in_flight.pop_front();
@@ -90,14 +89,14 @@
         news
     }
 
-    /// Starts over from `next`, one message at a time.
+    /// Restarts from `next` with one message at a time.
     pub(super) fn probe(&mut self, next: LogIndex) {
         self.next = next.max(self.matched.next());
         self.flow = Flow::Probe { waiting: false };
         self.in_flight.clear();
     }
 
-    /// Lets messages follow one another.
+    /// Restarts after the last matching entry, without waiting for replies.
     pub(super) fn stream(&mut self) {
         self.next = self.matched.next();
         self.flow = Flow::Stream;
--- a/crates/core/src/replication/repair.rs
+++ b/crates/core/src/replication/repair.rs
@@ -1,8 +1,8 @@
-//! Which membership change repairs a group next.
+//! Selection of the next membership change that repairs a group.
 //!
-//! VMs are wiped, replaced and added without a word to the groups. The leader looks at who is there
-//! and brings its group back to full strength, one committed step at a time. See
-//! docs/design/provider.md.
+//! VMs are added, wiped and replaced without notice to the groups. The leader compares its group
+//! with the live stores and restores the group to full strength, one committed change at a time.
+//! See docs/design/provider.md.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -10,38 +10,38 @@
 use super::types::{MemberChange, Members, quorum};
 use crate::prelude::*;
 
-/// One store as the leader sees it.
+/// A store as seen by the leader.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoreInfo {
-    /// Its identity.
+    /// VM of the store.
     pub vm: VmId,
-    /// Its failure domain.
+    /// Failure domain of the store.
     pub domain: CompactString,
-    /// Its region.
+    /// Region of the store.
     pub region: CompactString,
-    /// True when it is to be emptied and must hold nothing.
+    /// Whether the store is being emptied and must not hold replicas.
     pub retiring: bool,
 }
 
-/// What the leader knows when it looks.
+/// The stores as seen by the leader of a group.
 #[derive(Clone, Debug)]
 pub struct ClusterView {
-    /// The leader itself.
+    /// VM of the leader.
     pub leader: VmId,
-    /// Stores that were heard of lately, the leader included.
+    /// Stores that were heard from recently, including the leader.
     pub alive: Vec<StoreInfo>,
-    /// Members that are surely gone: another identity runs at their address, so their disk was
-    /// wiped or their VM replaced.
+    /// Members whose address now belongs to another VM identity, because their disk was wiped or
+    /// their VM was replaced.
     pub replaced: Vec<VmId>,
-    /// Voters that the group should have.
+    /// Number of voters that the group should have.
     pub target_voters: usize,
 }
 
-/// Returns the next change, or nothing when the group is as it should be.
+/// Returns the next change, or `None` if the group needs no repair.
 ///
-/// The order keeps the group as safe as it was at each step: what is surely gone leaves first, for
-/// it can't help any quorum; a member that is only silent leaves once another has taken its place,
-/// since it may come back with its disk.
+/// Replaced members are removed first, since they can't contribute to a quorum any more. A member
+/// that is only silent is removed after its substitute has become a voter, since it may return with
+/// its data.
 pub fn next_change(members: &Members, view: &ClusterView) -> Option<MemberChange> {
     let replaced = members.all().find(|vm| view.replaced.contains(vm) && *vm != view.leader);
     if let Some(vm) = replaced {
@@ -65,12 +65,12 @@
     None
 }
 
-/// Returns the newcomer of a swap that places the voters better, for a group that [`next_change`] leaves as
-/// it is.
+/// Returns the store to add in order to improve the placement of the voters of a group for which
+/// [`next_change`] returns `None`.
 ///
-/// The newcomer joins first, and [`next_change`] lets another voter go once it votes, so at no time are
-/// fewer losses borne. Every swap makes the placement strictly better, whichever voter of those that may
-/// go leaves then; so swaps end.
+/// The store becomes a voter before [`next_change`] removes another one, so the group never
+/// tolerates fewer losses than before. Each swap strictly improves the placement, so that swaps
+/// come to an end.
 pub fn next_swap(members: &Members, view: &ClusterView) -> Option<MemberChange> {
     let complete = members.voters.len() == view.target_voters && members.learners.is_empty();
     if !complete || !members.voters.iter().all(|vm| view.is_available(*vm)) {
@@ -89,13 +89,13 @@
     (best < view.placement(&voters)).then_some(MemberChange::AddLearner(vm))
 }
 
-/// Tells whether the leader should hand its leadership over, before anything else is repaired.
+/// Returns whether the leader should transfer its leadership before the group is repaired further.
 ///
-/// Every commit waits for a majority, and a learner is filled by the leader. From the region with
-/// fewer stores both cross the link between regions, slow and paid by volume, and a store that lost its
-/// disk takes several times as long to fill. Stores are counted and not voters, since the one to be
-/// filled doesn't vote yet; between regions with as many stores the leader stays where it is. A store that is to be
-/// emptied can't remove itself.
+/// The leader belongs in the region with the most stores. Commits wait for a majority, and the
+/// leader sends learners their data; from a smaller region both would cross the slow, metered link
+/// between regions. Stores are counted instead of voters, since a store that is still being filled
+/// doesn't vote. On a tie the leader stays. A retiring leader transfers its leadership because it
+/// can't remove itself.
 pub fn should_transfer_leadership(members: &Members, view: &ClusterView) -> bool {
     let Some(leader) = view.alive.iter().find(|store| store.vm == view.leader) else {
         return false;
@@ -112,17 +112,18 @@
     most.is_some_and(|most| most > own)
 }
 
-/// How well voters are placed; the least is the best.
-///
-/// What is lost together counts first, then what each commit crosses.
+/// Quality of a placement of voters; the lowest value is the best. The fields are compared in
+/// order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Placement {
-    /// Voters beyond a minority in one failure domain: losing it would stop the group.
+    /// Voters beyond a minority in one failure domain, whose loss would stop the group.
     excess: usize,
-    /// Voters that the home region has too many or too few. With a majority there, commits cross no link
-    /// between regions; those beyond it are of more use elsewhere.
+    /// Difference between the number of voters in the home region and a majority.
+    ///
+    /// With a majority there, commits don't cross the link between regions. Further voters are more
+    /// useful elsewhere.
     region_imbalance: usize,
-    /// Sum of the squares of the voters in each failure domain.
+    /// Sum of the squared numbers of voters in each failure domain.
     domain_crowding: usize,
 }
 
@@ -132,8 +133,8 @@
         stores.filter(|store| !store.retiring).count()
     }
 
-    /// Returns the region that should have a majority of the voters: the one with most stores, of several
-    /// alike the leader's.
+    /// Returns the region that should hold a majority of the voters: the one with the most stores,
+    /// or on a tie preferably the leader's.
     fn home_region(&self) -> Option<&CompactString> {
         let own = self.find(self.leader).map(|store| &store.region);
         let regions = self.alive.iter().filter(|store| !store.retiring).map(|store| &store.region);
@@ -144,23 +145,22 @@
         self.alive.iter().find(|store| store.vm == vm)
     }
 
-    /// Tells whether a store is alive and may hold replicas.
+    /// Returns whether a store is alive and may hold replicas.
     fn is_available(&self, vm: VmId) -> bool {
         self.find(vm).is_some_and(|store| !store.retiring)
     }
 
-    /// Returns the voters that serve.
     fn available_voters(&self, members: &Members) -> BTreeSet<VmId> {
         members.voters.iter().copied().filter(|vm| self.is_available(*vm)).collect()
     }
 
-    /// Returns the stores that could join.
+    /// Returns the available stores that aren't members.
     fn eligible(&self, members: &Members) -> impl Iterator<Item = VmId> {
         let available = self.alive.iter().filter(|store| !store.retiring).map(|store| store.vm);
         available.filter(|vm| !members.all().any(|member| member == *vm))
     }
 
-    /// Returns the store to add: the one with which the voters are placed best.
+    /// Returns the store whose addition gives the best placement.
     fn best_addition(&self, members: &Members) -> Option<VmId> {
         let voters = self.available_voters(members);
         self.eligible(members).min_by_key(|vm| {
@@ -170,8 +170,8 @@
         })
     }
 
-    /// Returns the voter to let go: one that does not serve, or the one without which the others are
-    /// placed best. The leader stays, as it can't remove itself.
+    /// Returns the voter to remove: one that isn't available, or else the one whose removal gives
+    /// the best placement. The leader is excluded, since it can't remove itself.
     fn removal_candidate(&self, members: &Members) -> Option<VmId> {
         let voters = self.available_voters(members);
         let others = members.voters.iter().copied().filter(|vm| *vm != self.leader);
--- a/crates/core/src/replication/replica.rs
+++ b/crates/core/src/replication/replica.rs
@@ -1,4 +1,4 @@
-//! One group's replica on one VM: roles, terms, and answers that wait for a sync.
+//! Replica state, message dispatch, and replies that wait for a sync.
 
 use std::collections::VecDeque;
 
@@ -16,21 +16,21 @@
 use crate::wire::replication as wire;
 use crate::wire::replication::message::Body;
 
-/// What a replica does in its term.
+/// Role of a replica in its term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Role {
-    /// Takes entries from a leader, or waits for one.
+    /// Receives entries from a leader, or waits for one.
     Follower,
-    /// Asks whether it could win, and promises nothing yet.
+    /// Asks the voters whether it could win an election, without raising its term.
     PreCandidate,
-    /// Asks for votes.
+    /// Requests votes for its term.
     Candidate,
-    /// Appends proposals.
+    /// Appends proposals and replicates them.
     Leader,
 }
 
-/// A message that waits until the writes it depends on are synced.
+/// A message to send once the write `sequence` is synced.
 #[derive(Debug)]
 struct DeferredMessage {
     sequence: Sequence,
@@ -38,7 +38,7 @@
     message: wire::Message,
 }
 
-/// One group's replica on one VM.
+/// Replica of one group on one VM.
 #[derive(Debug)]
 pub struct Replica {
     pub(super) settings: Settings,
@@ -50,27 +50,30 @@
     pub(super) commit: LogIndex,
     pub(super) role: Role,
     pub(super) leader: Option<VmId>,
-    /// When a leader's last word arrived, of whichever term.
+    /// When a leader was last heard from, in any term.
     pub(super) last_contact: Option<Time>,
-    /// The leader's epoch in its last word to this group.
+    /// Epoch of the leader's VM in its latest message to this group.
     pub(super) leader_epoch: u64,
-    /// When to campaign without a leader's word.
+    /// When to start an election unless the leader is heard from.
     pub(super) election_deadline: Time,
     pub(super) votes: Vec<VmId>,
     pub(super) leader_state: Option<LeaderState>,
     pub(super) incoming: Option<IncomingSnapshot>,
-    /// Last own index on stable storage.
+    /// Last index of this replica's log that is on stable storage.
     pub(super) synced: LogIndex,
-    /// Entry writes under way, each with its last index.
+    /// Entry writes in progress, each with its last index.
     writes: VecDeque<(Sequence, LogIndex)>,
+    /// Latest write requested.
     issued: Sequence,
+    /// Latest write on stable storage.
     stable: Sequence,
+    /// Write of the latest ballot.
     ballot_write: Sequence,
     deferred: VecDeque<DeferredMessage>,
 }
 
 impl Replica {
-    /// Returns a replica that goes on from what was synced. `seed` spreads election timeouts.
+    /// Creates a replica from its synced state. `seed` randomises election timeouts.
     pub fn new(
         settings: Settings,
         id: VmId,
@@ -89,9 +92,9 @@
             id,
             group,
             rng: ChaCha8Rng::seed_from_u64(seed ^ (u64::from(group.0) << 32) ^ u64::from(id.0)),
-            // A restarted replica may have answered a leader just before it died, and that answer
-            // still holds up a lease. Not knowing, it waits as if it had: otherwise it could
-            // elect a second leader while the first still answers reads.
+            // A restarted replica may have replied to a leader just before it stopped, and the
+            // leader's lease may still rest on that reply. This assumes that it did: otherwise it
+            // could elect a second leader while the first still serves reads.
             last_contact: (ballot.term > Position::START.term).then_some(now),
             leader_epoch: 0,
             ballot,
@@ -114,10 +117,10 @@
         replica
     }
 
-    /// Takes one input and appends what is to be done to `out`, in order.
+    /// Handles one input and appends the resulting effects to `out`, in order.
     ///
-    /// `links` is what the VM knows of its links to others. Without any pulses (the default
-    /// value) the group sends heartbeats of its own.
+    /// `links` holds the pulses exchanged with other VMs. Without any pulses, as in the default
+    /// value, the group sends its own heartbeats.
     pub fn step(&mut self, now: Time, links: &Links, input: Input, out: &mut Vec<Effect>) {
         let before = self.term_leader();
         self.apply_pulses(links);
@@ -160,7 +163,7 @@
         self.begin_election(now, out);
     }
 
-    /// Takes over what pulses have vouched for since the last step.
+    /// Applies the pulses received since the last step.
     fn apply_pulses(&mut self, links: &Links) {
         if self.leader_state.is_some() {
             return self.apply_pulse_acks(links);
@@ -214,8 +217,8 @@
         }
     }
 
-    /// Tells a leader of an earlier term that it was replaced; without it a leader that missed
-    /// an election would try to lead for ever.
+    /// Reports the current term to a leader of an earlier one, which would otherwise try to lead
+    /// for ever.
     fn reply_to_stale(&mut self, from: VmId, leads: bool, out: &mut Vec<Effect>) {
         if leads {
             let reply = wire::AppendReply::default();
@@ -223,7 +226,7 @@
         }
     }
 
-    /// Becomes a follower, in a later term or in this one.
+    /// Becomes a follower in `term`, which may be the current one.
     pub(super) fn become_follower(
         &mut self,
         now: Time,
@@ -251,7 +254,7 @@
 
     pub(super) fn save_ballot(&mut self, ballot: Ballot, out: &mut Vec<Effect>) {
         if ballot.term > self.ballot.term {
-            // Answers of an earlier term promise nothing in this one.
+            // Deferred messages of an earlier term are obsolete.
             self.deferred.clear();
         }
         self.ballot = ballot;
@@ -264,7 +267,7 @@
         self.track_write(sequence, last);
     }
 
-    /// Notes that the log is stable up to `last` once `sequence` is synced.
+    /// Records that the log is stable up to `last` once `sequence` is synced.
     pub(super) fn track_write(&mut self, sequence: Sequence, last: LogIndex) {
         self.writes.push_back((sequence, last));
         if !self.settings.safeguards.sync {
@@ -278,7 +281,7 @@
         self.issued
     }
 
-    /// Forgets that the entries from `first` on were, or will be, synced.
+    /// Marks the entries from `first` on as not synced, even if their write completes later.
     pub(super) fn rollback_synced(&mut self, first: LogIndex) {
         let keep = LogIndex(first.0 - 1);
         self.synced = self.synced.min(keep);
@@ -311,7 +314,7 @@
         }
     }
 
-    /// Tells whether the last ballot is on stable storage.
+    /// Returns whether the latest ballot is on stable storage.
     pub(super) fn is_ballot_stable(&self) -> bool {
         self.stable >= self.ballot_write || !self.settings.safeguards.sync
     }
@@ -320,10 +323,10 @@
         out.push(Effect::Send { to, message: self.envelope(body) });
     }
 
-    /// Sends once every write so far is on stable storage.
+    /// Sends a message once all writes requested so far are on stable storage.
     ///
-    /// An answer that goes out earlier can be lost with the process that gave it: a leader would
-    /// count an entry that is on no disk, or a restarted voter would vote twice in a term.
+    /// A reply sent earlier could survive a crash that loses its write: the leader would count an
+    /// entry that is on no disk, or a restarted voter would vote twice in a term.
     pub(super) fn send_after_sync(&mut self, to: VmId, body: Body, out: &mut Vec<Effect>) {
         let message = self.envelope(body);
         if self.stable >= self.issued || !self.settings.safeguards.sync {
--- a/crates/core/src/replication/sender.rs
+++ b/crates/core/src/replication/sender.rs
@@ -1,4 +1,4 @@
-//! What a leader sends: heartbeats, entries and pieces of its snapshot.
+//! Heartbeats, entries and snapshot chunks that a leader sends.
 
 use super::effect::Effect;
 use super::links::Links;
@@ -10,7 +10,7 @@
 use crate::wire::replication::message::Body;
 
 impl Replica {
-    /// Sends a heartbeat to every follower that needs one, or to `all`.
+    /// Sends a heartbeat to every follower that needs one, or to every follower if `all` is set.
     pub(super) fn send_heartbeats(
         &mut self,
         now: Time,
@@ -35,10 +35,11 @@
         self.leader_state = Some(state);
     }
 
-    /// Takes over the answers to pulses that count for this group.
+    /// Records the acknowledged pulses that count for this group.
     ///
-    /// When an epoch ends they stop counting until the next heartbeat was answered. What they
-    /// proved by then must be kept, or the lease would be lost at every election of any group.
+    /// When an epoch ends, its pulses stop counting until a heartbeat has been acknowledged in the
+    /// new epoch. What they have proved must be recorded before, or the lease would be lost
+    /// whenever any group of the VM elects a leader.
     pub(super) fn apply_pulse_acks(&mut self, links: &Links) {
         let Some(mut state) = self.leader_state.take() else {
             return;
@@ -49,8 +50,8 @@
         self.leader_state = Some(state);
     }
 
-    /// Tells whether a follower needs no heartbeat now: its VM's pulses stand in for it, or it is
-    /// silent and was sent one not long ago.
+    /// Returns whether a follower needs no heartbeat now: pulses of its VM replace it, or the VM is
+    /// silent and was sent one recently.
     fn can_skip_heartbeat(&self, now: Time, links: &Links, vm: VmId, progress: &Progress) -> bool {
         let half = self.settings.lease / 2;
         if links.is_silent(now, vm, self.settings.election_timeout()) {
@@ -60,7 +61,7 @@
             && progress.is_idle(self.log.last().index, self.commit)
     }
 
-    /// Sends every follower what it lacks, as far as the limits let it.
+    /// Sends each follower the entries that it lacks, as far as the limits allow.
     pub(super) fn replicate(&mut self, now: Time, links: &Links, out: &mut Vec<Effect>) {
         let Some(mut state) = self.leader_state.take() else {
             return;
@@ -114,7 +115,7 @@
         }
     }
 
-    /// Sends a piece again that got no answer in time.
+    /// Sends the outstanding chunk again if it was not acknowledged within a lease.
     fn resend_chunk(
         &self,
         now: Time,
@@ -141,7 +142,7 @@
         let Flow::Snapshot { index, offset, .. } = progress.flow else {
             return;
         };
-        // A newer snapshot replaced the one that was on its way: its pieces start over.
+        // If a newer snapshot has replaced the one being sent, start over with its first chunk.
         let position = self.log.snapshot();
         let offset = if position.index == index { offset } else { 0 };
         progress.flow = Flow::Snapshot { index: position.index, offset, sent: now };
@@ -158,10 +159,11 @@
         out.push(Effect::SendChunk { to, message: self.envelope(Body::Chunk(chunk)) });
     }
 
-    /// Starts over with a follower when what it was sent last is compacted.
+    /// Restarts from the last match if the entry before the next one is compacted.
     ///
-    /// Its messages may all have been lost, and no heartbeat can ask about a compacted entry: a
-    /// full window would never empty and the follower never get another entry.
+    /// All messages in flight may have been lost, and a heartbeat can't ask about a compacted
+    /// entry. The in-flight window would stay full and the follower would never receive another
+    /// entry.
     fn restart_compacted(&self, progress: &mut Progress) {
         let asks = matches!(progress.flow, Flow::Probe { .. } | Flow::Stream);
         if asks && self.log.term(LogIndex(progress.next.0 - 1)).is_none() {
@@ -169,8 +171,9 @@
         }
     }
 
-    /// Returns where a heartbeat claims that the logs agree. A follower that disagrees says so,
-    /// which is how the loss of the last message in flight is noticed.
+    /// Returns the position up to which a heartbeat assumes that the logs agree.
+    ///
+    /// A follower that disagrees refuses it, which reveals the loss of the last messages in flight.
     fn heartbeat_position(&self, progress: &Progress) -> Position {
         let index = LogIndex(progress.next.0 - 1);
         match (progress.flow, self.log.term(index)) {
@@ -191,6 +194,7 @@
         }
     }
 
+    /// Sends the next chunk, or returns to entries once the follower has installed the snapshot.
     pub(super) fn advance_chunk(
         &self,
         now: Time,
--- a/crates/core/src/replication/settings.rs
+++ b/crates/core/src/replication/settings.rs
@@ -2,33 +2,35 @@
 
 use crate::prelude::*;
 
-/// Timeouts and limits, the same on every replica of a group.
+/// Timeouts and limits of a replica. All replicas of a group must use the same values.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// How often a leader sends heartbeats.
+    /// Interval between a leader's heartbeats.
     pub heartbeat: Duration,
-    /// How long a leader may trust a quorum's answers, on its own clock.
+    /// Length of a leader's lease on its own clock, counted from when it sent the messages that a
+    /// quorum acknowledged.
     pub lease: Duration,
-    /// Bound on how far a clock's rate is off true time, as a share (0.01 is one percent).
+    /// Maximum error of a clock's rate, as a fraction (0.01 is one percent).
     pub drift: f64,
-    /// Most entry bytes in one message.
+    /// Maximum entry bytes in one message. A larger single entry is still sent.
     pub batch_bytes: usize,
-    /// Most entry messages on their way to one follower.
+    /// Maximum number of unacknowledged entry messages per follower.
     pub in_flight: usize,
-    /// Bytes of entries on their way to one follower, beyond which no more are sent. What one that is
-    /// far behind is sent stands before the others' entries on a way that they share.
+    /// Unacknowledged entry bytes per follower above which no more are sent. This limits how much a
+    /// follower that is far behind delays other followers that share a link with it.
     pub in_flight_bytes: usize,
-    /// Most bytes of proposals that wait for a commit.
+    /// Maximum bytes of uncommitted proposals. While there are none, a larger proposal is still
+    /// accepted.
     pub backlog_bytes: usize,
-    /// Entries before a snapshot that are kept for followers a little behind.
+    /// Maximum number of entries kept before a snapshot for followers that are slightly behind.
     pub keep_entries: u64,
-    /// Bytes of those entries at most.
+    /// Maximum bytes of these entries.
     pub keep_bytes: usize,
-    /// Bytes of one piece of a snapshot.
+    /// Size of a snapshot chunk in bytes.
     pub chunk_bytes: usize,
-    /// How many entries a learner may lack and still be promoted.
+    /// Maximum number of entries that a learner may lack when it is promoted.
     pub promote_lag: u64,
-    /// Safeguards; all on but in tests that prove that each is needed.
+    /// Safeguards, disabled only by tests that check that each of them is needed.
     #[doc(hidden)]
     pub safeguards: Safeguards,
 }
@@ -53,32 +55,32 @@
 }
 
 impl Settings {
-    /// Returns how long a follower waits after its leader's last word before it votes or campaigns.
+    /// Returns the minimum time without contact to the leader before a follower votes or campaigns.
     ///
-    /// The leader's clock may run slow and the follower's fast, each by `drift`. The wait is
-    /// longer than the lease by both, so that it can't end before the lease does.
+    /// The leader's clock may run slow and the follower's fast, each by `drift`. The timeout
+    /// exceeds the lease by both, so it can't expire before the lease does.
     pub fn election_timeout(&self) -> Duration {
         self.lease.mul_f64((1.0 + self.drift) / (1.0 - self.drift))
     }
 }
 
-/// Safeguards that a test switches off one at a time, to prove that it would notice.
+/// Safeguards that tests disable one at a time, to check that the resulting failure is detected.
 #[doc(hidden)]
 #[derive(Clone, Debug)]
 pub struct Safeguards {
-    /// Commits need a majority, not just one replica.
+    /// Requires a majority instead of a single replica.
     pub quorum: bool,
-    /// Answers wait for the sync that they depend on.
+    /// Delays replies until the writes that they depend on are synced.
     pub sync: bool,
-    /// A candidate asks for promises before it raises its term.
+    /// Runs a pre-vote before the term is raised.
     pub pre_vote: bool,
-    /// Voters wait out the lease of the leader that they heard last.
+    /// Ignores vote requests while the lease of the last known leader may be running.
     pub lease_wait: bool,
-    /// A learner counts only once it has caught up.
+    /// Promotes a learner only once it has caught up.
     pub catch_up: bool,
-    /// Only an entry of the leader's own term is committed by counting.
+    /// Counts replicas only for entries of the leader's own term when committing.
     pub own_term: bool,
-    /// A pulse vouches only for what was said in its epoch.
+    /// Counts a pulse only for groups whose last message was sent in the pulse's epoch.
     pub epochs: bool,
 }
 
--- a/crates/core/src/replication/status.rs
+++ b/crates/core/src/replication/status.rs
@@ -1,4 +1,4 @@
-//! What others may ask of a replica.
+//! Status of a replica and access to its state.
 
 use super::leader::LeaderState;
 use super::links::Links;
@@ -7,53 +7,52 @@
 use super::types::{LogIndex, Members, Position, Term};
 use crate::prelude::*;
 
-/// A replica's state for the dump and for tests.
+/// State of a replica, for diagnostics and tests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// The group.
+    /// Group of the replica.
     pub group: GroupId,
-    /// What the replica does.
+    /// Role in the current term.
     pub role: Role,
-    /// The latest term it knows.
+    /// Latest known term.
     pub term: Term,
-    /// The leader that it knows of, itself included.
+    /// Current leader if known, which may be this replica.
     pub leader: Option<VmId>,
-    /// The last committed index it knows.
+    /// Last index that is known to be committed.
     pub commit: LogIndex,
-    /// The last entry's place.
+    /// Position of the last entry.
     pub last: Position,
-    /// Where its snapshot stands.
+    /// Position of the snapshot.
     pub snapshot: Position,
-    /// The members in force.
+    /// Members in force, committed or not.
     pub members: Members,
-    /// Whether they are committed: no change of them is under way.
+    /// Whether the members are committed, so that no change is in progress.
     pub settled: bool,
-    /// Whether it holds a leader's lease right now.
+    /// Whether the replica holds the leader lease.
     pub lease: bool,
-    /// Bytes of proposals that wait for a commit here.
+    /// Bytes of uncommitted proposals; zero on a follower.
     pub backlog: usize,
-    /// What each other member lacks, as far as this leader knows; empty at a follower.
+    /// Lag of each other member as known to the leader; empty on a follower.
     pub followers: Vec<Lag>,
 }
 
-/// What one member lacks of its leader's log.
+/// How far a member is behind its leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lag {
-    /// The member.
+    /// VM of the member.
     pub vm: VmId,
-    /// Entries that it isn't known to have synced.
+    /// Number of entries that aren't known to be synced by the member.
     pub entries: u64,
-    /// Bytes of those among them that the leader's log still has.
+    /// Bytes of these entries, as far as the leader still keeps them.
     pub bytes: u64,
-    /// Time since the latest message that it is known to have answered was sent, or since the
-    /// leader was elected.
+    /// Time since the latest acknowledged message was sent, or since the election if that is later.
     pub silent: Duration,
-    /// Whether it is sent a snapshot, since the log has no more of what it lacks.
+    /// Whether the member is being sent a snapshot, because entries that it lacks are compacted.
     pub snapshot: bool,
 }
 
 impl Replica {
-    /// Returns the replica's state.
+    /// Returns the state of the replica at `now`.
     pub fn status(&self, now: Time, links: &Links) -> Status {
         Status {
             group: self.group,
@@ -75,7 +74,7 @@
         let Some(state) = &self.leader_state else { return Vec::new() };
         let last = self.log.last().index;
         let matched = |progress: &Progress| progress.matched.max(self.log.base());
-        // One walk over what the member that is furthest behind lacks, for all of them.
+        // Cumulative sizes from the end of the log, computed once for all members.
         let lowest = state.progress.values().map(matched).min().unwrap_or(last);
         let mut missing = vec![0];
         for index in (lowest.0 + 1..=last.0).rev() {
@@ -96,7 +95,7 @@
         state.progress.iter().map(lag).collect()
     }
 
-    /// Returns the last committed index that this replica knows.
+    /// Returns the last index that is known to be committed.
     pub fn commit(&self) -> LogIndex {
         self.commit
     }
@@ -106,54 +105,54 @@
         self.log.members()
     }
 
-    /// Returns where this replica's snapshot stands.
+    /// Returns the position of the snapshot.
     pub fn snapshot(&self) -> Position {
         self.log.snapshot()
     }
 
-    /// Returns the entry before the first one that is kept; the driver may drop those up to it.
+    /// Returns the index before the first kept entry. The driver may delete entries up to it.
     pub fn base(&self) -> LogIndex {
         self.log.base()
     }
 
-    /// Drops the entries before the snapshot that were kept for followers a little behind.
+    /// Drops the entries before the snapshot that were kept for followers slightly behind.
     pub fn compact_to_snapshot(&mut self) {
         self.log.compact_to_snapshot();
     }
 
-    /// Returns the last entry's place, synced or not.
+    /// Returns the position of the last entry, synced or not.
     pub fn last(&self) -> Position {
         self.log.last()
     }
 
-    /// Returns the term of the entry at `index`, if it is in the log after the snapshot or the
-    /// snapshot stands there.
+    /// Returns the term of the entry at `index`, or `None` if it is compacted or beyond the end of
+    /// the log.
     pub fn term_at(&self, index: LogIndex) -> Option<Term> {
         self.log.term(index)
     }
 
-    /// Returns the term that this replica is in.
+    /// Returns the current term.
     pub fn term(&self) -> Term {
         self.ballot.term
     }
 
-    /// Tells what this replica does.
+    /// Returns the role in the current term.
     pub fn role(&self) -> Role {
         self.role
     }
 
-    /// Tells whether this replica leads and a snapshot of it is on its way to another.
+    /// Returns whether this replica leads and is sending a snapshot to a member.
     pub fn is_sending_snapshot(&self) -> bool {
         self.leader_state.as_ref().is_some_and(LeaderState::is_sending_snapshot)
     }
 
-    /// Tells whether this replica is its group's only voter.
+    /// Returns whether this replica is the only voter of its group.
     pub fn is_only_voter(&self) -> bool {
         self.is_alone()
     }
 
-    /// Returns the term at `index` and the members as of it, for a snapshot there. Nothing when
-    /// the index is not committed or already compacted.
+    /// Returns the position and the members for a snapshot at `index`, or `None` if the index is
+    /// uncommitted or already compacted.
     pub fn snapshot_meta(&self, index: LogIndex) -> Option<(Position, Members)> {
         if index > self.commit {
             return None;
--- a/crates/core/src/replication/types.rs
+++ b/crates/core/src/replication/types.rs
@@ -1,11 +1,11 @@
-//! Names and small values of the replicated log.
+//! Identifiers and small value types of the replicated log.
 
 use std::fmt;
 
 use crate::prelude::*;
 use crate::wire::replication as wire;
 
-/// Place of an entry in a group's log; the first is one.
+/// Index of an entry in a group's log. The first entry has index one.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -25,69 +25,71 @@
     }
 }
 
-/// Numbers the elections of a group; each term has one leader at most.
+/// Number of an election. Each term has at most one leader.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct Term(pub u64);
 
-/// Numbers the writes that a replica asked for, in order. See [`crate::replication::Write`].
+/// Number of a write that a replica requested, in order. See [`crate::replication::Write`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Sequence(pub u64);
 
-/// An entry's index with its term: two logs that share one agree on all before it.
+/// Index and term of an entry. Two logs that share a position agree on all entries up to it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Position {
-    /// The entry's index.
+    /// Index of the entry.
     pub index: LogIndex,
-    /// The term it was proposed in.
+    /// Term in which the entry was proposed.
     pub term: Term,
 }
 
 impl Position {
-    /// Where every log of a created group starts, so that a VM that holds nothing yet is always
-    /// told the members by a snapshot.
+    /// Start of every new group's log.
+    ///
+    /// It is not the default position, so a VM without any data always receives the members in a
+    /// snapshot.
     pub const START: Position = Position { index: LogIndex(1), term: Term(1) };
 }
 
-/// The latest term a replica knows and its vote in it; synced before any answer.
+/// Latest known term and the vote cast in it, synced before any reply that depends on them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Ballot {
-    /// The latest term.
+    /// Latest known term.
     pub term: Term,
-    /// The candidate voted for in that term.
+    /// Candidate that received this replica's vote in the term.
     pub vote: Option<VmId>,
 }
 
-/// The VMs that hold a group's replicas.
+/// VMs that hold the replicas of a group.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Members {
-    /// Replicas that count towards a quorum, in order.
+    /// Replicas that count towards a quorum, sorted.
     pub voters: Vec<VmId>,
-    /// Replicas that receive the log and don't count yet.
+    /// Replicas that receive the log but don't count towards a quorum, sorted.
     pub learners: Vec<VmId>,
 }
 
 impl Members {
-    /// Returns members with these voters and no learner.
+    /// Returns members with these voters, sorted and without duplicates, and no learners.
     pub fn from_voters(mut voters: Vec<VmId>) -> Members {
         voters.sort_unstable();
         voters.dedup();
         Members { voters, learners: Vec::new() }
     }
 
-    /// Tells whether `vm` counts towards a quorum.
+    /// Returns whether `vm` counts towards a quorum.
     pub fn is_voter(&self, vm: VmId) -> bool {
         self.voters.contains(&vm)
     }
 
-    /// Returns every member, voters first.
+    /// Returns all members, voters first.
     pub fn all(&self) -> impl Iterator<Item = VmId> + '_ {
         self.voters.iter().chain(&self.learners).copied()
     }
 
-    /// Returns the members after `change`.
+    /// Returns the members with `change` applied.
     pub fn with(&self, change: MemberChange) -> Members {
         let mut next = self.clone();
         let vm = change.vm();
@@ -103,37 +105,37 @@
         next
     }
 
-    /// Returns the form that goes to disk and to other VMs.
+    /// Converts to the format that is stored on disk and sent to other VMs.
     pub fn to_wire(&self) -> wire::Members {
         let numbers = |vms: &[VmId]| vms.iter().map(|vm| vm.0).collect();
         wire::Members { voters: numbers(&self.voters), learners: numbers(&self.learners) }
     }
 
-    /// Reads the form that [`Members::to_wire`] wrote.
+    /// Converts from the format that [`Members::to_wire`] returns.
     pub fn from_wire(members: &wire::Members) -> Members {
         let vms = |numbers: &[u32]| numbers.iter().map(|&n| VmId(n)).collect();
         Members { voters: vms(&members.voters), learners: vms(&members.learners) }
     }
 }
 
-/// Returns how many of `voters` make a quorum.
+/// Returns the size of a majority of `voters` replicas.
 pub const fn quorum(voters: usize) -> usize {
     voters / 2 + 1
 }
 
-/// One step of a membership change; the next may follow once this one is committed.
+/// Membership change of one VM. Another change is accepted only once this one is committed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MemberChange {
-    /// The VM starts to receive the log.
+    /// Adds a replica that receives the log but doesn't vote.
     AddLearner(VmId),
-    /// A learner that has caught up starts to count.
+    /// Makes a learner that has caught up a voter.
     Promote(VmId),
-    /// The VM no longer holds a replica.
+    /// Removes a voter or a learner.
     Remove(VmId),
 }
 
 impl MemberChange {
-    /// Returns the VM that the change is about.
+    /// Returns the VM that is added, promoted or removed.
     pub const fn vm(self) -> VmId {
         match self {
             MemberChange::AddLearner(vm) | MemberChange::Promote(vm) | MemberChange::Remove(vm) => {
@@ -143,19 +145,19 @@
     }
 }
 
-/// What a replica keeps in memory of an entry whose data is on disk.
+/// Metadata of an entry, kept in memory while the data is on disk.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EntryMeta {
-    /// The term it was proposed in.
+    /// Term in which the entry was proposed.
     pub term: Term,
-    /// Bytes of its data.
+    /// Size of the data in bytes.
     pub size: u32,
-    /// The members from this entry on, if it is a membership change.
+    /// Members from this entry on, if it is a membership change.
     pub members: Option<Members>,
 }
 
 impl EntryMeta {
-    /// Reads what the replica needs from a whole entry.
+    /// Returns the metadata of `entry`.
     pub fn from_entry(entry: &wire::Entry) -> EntryMeta {
         let members = (entry.kind() == wire::EntryKind::Members)
             .then(|| prost::Message::decode(entry.data.clone()).ok())
@@ -166,21 +168,21 @@
     }
 }
 
-/// What a replica starts from: all of it was synced earlier.
+/// State from which a replica starts. All of it must be on stable storage.
 #[derive(Clone, Debug, Default)]
 pub struct Restored {
-    /// The last synced ballot.
+    /// Last synced ballot.
     pub ballot: Ballot,
-    /// Where the snapshot stands; entries follow it.
+    /// Position of the snapshot, which precedes the entries.
     pub snapshot: Position,
-    /// The members as of the snapshot.
+    /// Members as of the snapshot.
     pub members: Members,
-    /// The entries after the snapshot, in order.
+    /// Entries after the snapshot, in order.
     pub entries: Vec<EntryMeta>,
 }
 
 impl Restored {
-    /// Returns the start of a new group with these members.
+    /// Returns the initial state of a new group with these members.
     pub fn new_group(members: Members) -> Restored {
         Restored { snapshot: Position::START, members, ..Restored::default() }
     }
