--- a/crates/core/src/lease/relay.rs
+++ b/crates/core/src/lease/relay.rs
@@ -19,7 +19,7 @@
     /// next.
     #[error("the delta doesn't apply to this VM's revision; requesting the whole bundle")]
     DeltaMismatch,
-    /// The revision can't be verified with this VM's operator keys.
+    /// The revision doesn't pass verification on this VM.
     #[error("revision verification failed: {0}; check this VM's operator keys")]
     Refused(#[from] RevisionError),
 }
--- a/crates/core/src/orders/lease.rs
+++ b/crates/core/src/orders/lease.rs
@@ -117,9 +117,9 @@
         OrderHolder { settings, lease, sequence: 0, until: Time::ZERO, unfenced_from }
     }
 
-    /// Extends the lease by a renewal that was requested at `asked`.
-    pub fn renewed(&mut self, asked: Time, length: Duration) {
-        self.until = self.until.max(asked + length);
+    /// Extends the lease by a renewal that was requested at `requested_at`.
+    pub fn renewed(&mut self, requested_at: Time, length: Duration) {
+        self.until = self.until.max(requested_at + length);
     }
 
     /// Returns the token of an order to an endpoint, or `None` if no order may be given now.
--- a/crates/core/src/replication/election.rs
+++ b/crates/core/src/replication/election.rs
@@ -89,8 +89,8 @@
 
     /// Starts an election at once, since the leader transfers its leadership to this replica.
     pub(super) fn handle_timeout_now(&mut self, now: Time, from: VmId, out: &mut Vec<Effect>) {
-        let asked = self.role == Role::Follower && self.leader == Some(from);
-        if asked && self.log.members().is_voter(self.id) {
+        let requested = self.role == Role::Follower && self.leader == Some(from);
+        if requested && self.log.members().is_voter(self.id) {
             self.campaign(now, true, out);
         }
     }
--- a/crates/core/src/replication/lease.rs
+++ b/crates/core/src/replication/lease.rs
@@ -88,14 +88,14 @@
     /// This replica itself counts as acknowledging now.
     fn quorum_acked(&self, now: Time, links: &Links) -> Option<Time> {
         let state = self.leader_state.as_ref()?;
-        let answered = |vm: &VmId| match *vm == self.id {
+        let acked = |vm: &VmId| match *vm == self.id {
             true => Some(now),
             false => state
                 .progress
                 .get(vm)
                 .and_then(|progress| progress.acked.max(self.pulse_ack(links, *vm, progress))),
         };
-        let mut all: Vec<_> = self.log.members().voters.iter().map(answered).collect();
+        let mut all: Vec<_> = self.log.members().voters.iter().map(acked).collect();
         all.sort_unstable_by(|a, b| b.cmp(a));
         all.get(self.quorum() - 1).copied().flatten()
     }
--- a/crates/core/src/replication/links.rs
+++ b/crates/core/src/replication/links.rs
@@ -92,16 +92,16 @@
         // An acknowledgement addressed to an earlier process of this VM contains a time of another
         // clock, which may lie in the future and would extend the lease without the consent of a
         // quorum. The epoch tells them apart.
-        let answer = (Time(pulse.echo_sent), pulse.epoch);
-        if pulse.echo_epoch == own && link.acked.is_none_or(|(sent, _)| sent < answer.0) {
-            link.acked = Some(answer);
+        let ack = (Time(pulse.echo_sent), pulse.epoch);
+        if pulse.echo_epoch == own && link.acked.is_none_or(|(sent, _)| sent < ack.0) {
+            link.acked = Some(ack);
         }
     }
 
     /// Returns when the last pulse of `vm` in `epoch` arrived.
     pub(super) fn last_pulse(&self, vm: VmId, epoch: u64) -> Option<Time> {
         let found = self.link(vm)?.last_pulses.iter().find(|(known, _)| *known == epoch);
-        found.map(|(_, heard)| *heard)
+        found.map(|(_, arrived)| *arrived)
     }
 
     /// Returns when the latest pulse was sent that `vm` acknowledged in epoch `theirs`, if this
@@ -120,7 +120,7 @@
     /// Returns whether `vm` has sent pulses before, but none within `timeout`.
     pub(super) fn is_silent(&self, now: Time, vm: VmId, timeout: Duration) -> bool {
         let last = self.link(vm).and_then(|link| link.last_pulses.last());
-        last.is_some_and(|(_, heard)| now >= *heard + timeout)
+        last.is_some_and(|(_, arrived)| now >= *arrived + timeout)
     }
 
     fn link(&self, vm: VmId) -> Option<&Link> {
@@ -134,7 +134,8 @@
     /// A delayed pulse of an earlier epoch must not erase a newer epoch: the peer's lease may rest
     /// on a reply to the newer one, and a replica here would vote before that lease ends.
     fn record_pulse(&mut self, now: Time, epoch: u64) {
-        self.last_pulses.retain(|(known, heard)| *known != epoch && now < *heard + EPOCH_RETENTION);
+        self.last_pulses
+            .retain(|(known, arrived)| *known != epoch && now < *arrived + EPOCH_RETENTION);
         self.last_pulses.push((epoch, now));
     }
 }
--- a/crates/core/src/replication/sender.rs
+++ b/crates/core/src/replication/sender.rs
@@ -165,8 +165,8 @@
     /// entry. The in-flight window would stay full and the follower would never receive another
     /// entry.
     fn restart_compacted(&self, progress: &mut Progress) {
-        let asks = matches!(progress.flow, Flow::Probe { .. } | Flow::Stream);
-        if asks && self.log.term(LogIndex(progress.next.0 - 1)).is_none() {
+        let sends_entries = matches!(progress.flow, Flow::Probe { .. } | Flow::Stream);
+        if sends_entries && self.log.term(LogIndex(progress.next.0 - 1)).is_none() {
             progress.probe(progress.matched.next());
         }
     }
