--- a/crates/core/src/control/dedup.rs
+++ b/crates/core/src/control/dedup.rs
@@ -1,4 +1,4 @@
-//! What the control group remembers of past orders, so that a resend changes nothing.
+//! Records of past orders and versions, which make resent orders idempotent.
 
 use indexmap::IndexMap;
 
@@ -6,39 +6,37 @@
 use crate::prelude::*;
 use crate::wire::control as wire;
 
-/// Orders and versions remembered: two days at 10,000 changes a day.
+/// Maximum number of recorded orders, and of recorded versions.
 pub const MAX_DEDUP_RECORDS: usize = 20_000;
 
-/// The answer that an order got.
+/// The first answer to an order.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct OrderRecord {
-    /// Digest of the order's meaning, to tell a resend from an order id used twice.
+    /// Digest of the order's fields, which tells a resend from a reused order id.
     pub fingerprint: Digest,
     pub answer: wire::Answer,
 }
 
-/// The revision that took a version.
+/// The content and the revision that a version was accepted for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct VersionRecord {
     pub digest: Digest,
     pub revision: RevisionNumber,
 }
 
-/// Bounded memory of orders and versions, oldest first.
+/// Bounded records of orders and versions, oldest first.
 #[derive(Clone, Debug, Default)]
 pub(super) struct DedupRecords {
     pub orders: IndexMap<CompactString, OrderRecord>,
     pub versions: IndexMap<CompactString, VersionRecord>,
-    /// Highest version whose record was dropped.
+    /// Highest version whose record was evicted. Versions up to it are rejected.
     ///
-    /// Without it an old signed bundle could be sent again once its version is forgotten, and
-    /// old content would come back in force without anyone signing that. No version up to this
-    /// one is accepted any more, so forgetting is safe.
+    /// Without it, an old signed bundle could be replayed once its record is evicted.
     pub floor: Option<Version>,
 }
 
 impl DedupRecords {
-    /// Remembers the first answer of an order.
+    /// Records the first answer of an order, and evicts the oldest record if there are too many.
     pub fn add_order(&mut self, id: &str, fingerprint: Digest, answer: wire::Answer) {
         self.orders.insert(id.into(), OrderRecord { fingerprint, answer });
         if self.orders.len() > MAX_DEDUP_RECORDS {
@@ -46,7 +44,7 @@
         }
     }
 
-    /// Remembers which content took a version.
+    /// Records the content of a version, and evicts the oldest record if there are too many.
     pub fn add_version(&mut self, version: &str, record: VersionRecord) {
         self.versions.insert(version.into(), record);
         if self.versions.len() <= MAX_DEDUP_RECORDS {
@@ -57,7 +55,7 @@
         self.floor = self.floor.take().max(dropped);
     }
 
-    /// Returns true when this version is too old to tell whether it was accepted before.
+    /// Returns `true` if a version is so old that its record may have been evicted.
     pub fn is_too_old(&self, version: &Version) -> bool {
         self.floor.as_ref().is_some_and(|floor| version <= floor)
     }
--- a/crates/core/src/control/delta.rs
+++ b/crates/core/src/control/delta.rs
@@ -1,7 +1,7 @@
-//! Changes between two contents, line by line, so that a small change stays small on the wire.
+//! Line-based deltas between two bundle contents, which keep small changes small on the wire.
 //!
-//! A delta is a list of copies from the base and inserted bytes. Whoever applies one checks the
-//! digest of the result, so a delta never has to be trusted: at worst the whole is fetched.
+//! A delta is a list of copies from the base and inserted bytes. The receiver checks the digest of
+//! the result and fetches the whole content if it doesn't match, so a delta needn't be trusted.
 
 use std::collections::HashMap;
 
@@ -10,10 +10,10 @@
 use crate::bundle::MAX_CONTENT;
 use crate::wire::control::{Delta, DeltaStep};
 
-/// Copies shorter than this cost more as a step than as inserted bytes.
+/// Minimum length of a copy, in bytes; a shorter one takes less space as inserted bytes.
 const MIN_COPY: usize = 24;
 
-/// Returns the change that turns `base` into `target`, in time linear in their lines.
+/// Returns the delta that turns `base` into `target`.
 pub fn diff(base: &[u8], target: &[u8]) -> Delta {
     let lines = Lines::of(base);
     let mut builder = Builder { target, steps: Vec::new(), inserted: 0..0 };
@@ -36,7 +36,9 @@
     builder.finish()
 }
 
-/// Applies a change, or returns `None` when it doesn't fit the base or the result is too large.
+/// Applies a delta to `base`.
+///
+/// Returns `None` if a copy lies outside the base or the result exceeds [`MAX_CONTENT`].
 pub fn apply(base: &[u8], delta: &Delta) -> Option<Bytes> {
     let mut result = Vec::with_capacity(base.len());
     for step in &delta.steps {
@@ -51,13 +53,13 @@
     Some(result.into())
 }
 
-/// The base's lines and where each one stands.
+/// Index of the base's lines by their positions.
 struct Lines<'a> {
     base: &'a [u8],
     positions: HashMap<&'a [u8], Vec<usize>>,
 }
 
-/// Bytes of the base that the target repeats.
+/// Range of the base that also occurs in the target.
 #[derive(Default)]
 struct Match {
     start: usize,
@@ -76,7 +78,10 @@
         Lines { base, positions }
     }
 
-    /// Finds a run of whole lines at the start of `rest`, at `cursor` if one goes on there.
+    /// Finds whole lines of the base that match the start of `rest`.
+    ///
+    /// Prefers a match at `cursor`, then one at the next position of the first line, wrapping
+    /// around.
     fn longest_match(&self, rest: &[u8], cursor: usize) -> Match {
         let following = self.match_at(cursor, rest);
         if following.length >= MIN_COPY {
@@ -106,7 +111,7 @@
     text.iter().position(|byte| *byte == b'\n').map_or(text.len(), |end| end + 1)
 }
 
-/// Collects steps; inserted bytes wait until the next copy closes them.
+/// Collects the steps of a delta; inserted bytes are added when the next copy begins.
 struct Builder<'a> {
     target: &'a [u8],
     steps: Vec<DeltaStep>,
--- a/crates/core/src/control/endpoints.rs
+++ b/crates/core/src/control/endpoints.rs
@@ -1,39 +1,40 @@
-//! Endpoints as the control group's log holds them.
+//! Replicated registry of endpoints.
 //!
-//! A store that acknowledges that an endpoint drains may be lost the next moment. The news is
-//! therefore committed before it is acknowledged, so that every later leader knows of it too.
+//! An endpoint's draining is committed before it is acknowledged, so that it survives the loss of
+//! the leader.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use crate::prelude::*;
 use crate::wire::control::{Deregister, EndpointNews, EndpointRecord, Snapshot};
 
-/// Departed endpoints whose last announcement is remembered against late ones.
+/// Maximum number of departed endpoints that are remembered to reject late announcements.
 const MAX_DEPARTED: usize = 4_096;
 
-/// Latest changes whose endpoints are remembered, so that an asker is told only what it lacks. One that
-/// fell further behind is told all.
+/// Maximum number of recent changes that are sent as a delta. A client that is further behind gets
+/// all endpoints.
 const MAX_RECENT: usize = 1_024;
 
-/// An announcement's place in the life of its name: start, then count within that start.
+/// Order of the announcements of one endpoint: by incarnation, then by sequence number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Stamp {
     incarnation: u64,
     sequence: u64,
 }
 
-/// The endpoints that announced themselves and neither left nor fell silent.
+/// The endpoints that are registered and haven't left or expired.
 #[derive(Clone, Debug, Default)]
 pub struct Endpoints {
     present: BTreeMap<CompactString, EndpointRecord>,
-    /// Incarnations that ended, so that a late announcement does not bring one back.
+    /// Last incarnation of departed endpoints, so that a late announcement doesn't register one
+    /// again.
     departed: BTreeMap<CompactString, u64>,
     change: u64,
-    /// Names that the latest changes touched, oldest first; none of those before a restart.
+    /// The latest changes, oldest first. Not part of a snapshot, so empty after a restore.
     recent: VecDeque<RecentChange>,
 }
 
-/// An endpoint that a change touched.
+/// An endpoint that a recent change added, updated or removed.
 #[derive(Clone, Debug)]
 struct RecentChange {
     change: u64,
@@ -41,25 +42,25 @@
 }
 
 impl Endpoints {
-    /// Returns the number of the last change; it only grows.
+    /// Returns the number of the last change, which only grows.
     pub fn change(&self) -> u64 {
         self.change
     }
 
-    /// Returns one endpoint by its name.
+    /// Returns the endpoint with this name, if it is registered.
     pub fn get(&self, name: &str) -> Option<&EndpointRecord> {
         self.present.get(name)
     }
 
-    /// Returns every endpoint, by name.
+    /// Returns all endpoints, sorted by name.
     pub fn iter(&self) -> impl Iterator<Item = &EndpointRecord> {
         self.present.values()
     }
 
-    /// Returns what an asker that knows change `seen` lacks.
+    /// Returns the changes after change `seen`, or all endpoints if these are no longer known.
     ///
-    /// While endpoints are replaced one after another, every entry VM asks after each change. Told all
-    /// endpoints each time, what they are sent grows with endpoints, changes and VMs together.
+    /// Deltas keep the traffic low while endpoints are replaced one after another and every entry
+    /// VM asks after each change.
     pub fn changes_since(&self, seen: u64) -> EndpointNews {
         if seen == self.change {
             return EndpointNews { change: self.change, ..EndpointNews::default() };
@@ -79,8 +80,8 @@
         }
     }
 
-    /// Returns the endpoints that the changes after `seen` touched; nothing if some of those changes
-    /// are no longer remembered.
+    /// Returns the endpoints that changed after `seen`, or `None` if some of these changes are no
+    /// longer known.
     fn names_changed_since(&self, seen: u64) -> Option<BTreeSet<&CompactString>> {
         let oldest = self.recent.front()?.change;
         if seen == 0 || seen + 1 < oldest || seen > self.change {
@@ -102,10 +103,11 @@
         self.recent.push_back(RecentChange { change, name });
     }
 
-    /// Tells whether an announcement says something that the log does not hold yet.
+    /// Returns `true` if an announcement must be committed: it isn't outdated, and differs from the
+    /// registered endpoint in more than its sequence number.
     ///
-    /// Most announcements only prolong a lease, which the leader keeps in memory; committing each
-    /// would cost a sync per endpoint and second.
+    /// Most announcements only renew a lease, which the leader keeps in memory. Committing each
+    /// would cost a disk sync.
     pub fn is_update(&self, record: &EndpointRecord) -> bool {
         if !self.accepts(record) {
             return false;
@@ -115,8 +117,7 @@
         unchanged != preserve_leaving(known, record)
     }
 
-    /// Takes an announcement in. Late ones of an earlier start, or of an earlier moment of the same
-    /// start, change nothing.
+    /// Applies an announcement. One that is older than the registered state changes nothing.
     pub fn register(&mut self, record: &EndpointRecord) {
         if !self.is_update(record) {
             return;
@@ -132,7 +133,8 @@
         self.record_change(name);
     }
 
-    /// Removes an incarnation for good.
+    /// Removes an endpoint unless a later incarnation of it is registered, and ignores later
+    /// announcements of the removed incarnation.
     pub fn deregister(&mut self, name: &str, incarnation: u64) {
         let known = self.present.get(name);
         if known.is_some_and(|known| known.incarnation > incarnation) {
@@ -179,8 +181,8 @@
         if known.is_some_and(|known| stamp(record) <= stamp(known)) {
             return false;
         }
-        // An address belongs to the latest start there: a report that a partition held back must
-        // not take it away from the endpoint that runs there now.
+        // An address belongs to the latest incarnation that announced it. An announcement that was
+        // delayed by a partition must not evict the endpoint that uses the address now.
         !self.present.values().any(|other| {
             other.name != record.name
                 && other.address == record.address
@@ -197,7 +199,7 @@
             .collect();
         for (name, incarnation) in former {
             self.present.remove(&name);
-            // Part of the change that the announcement is about to make.
+            // The caller makes this change when it inserts the record.
             self.push_recent(self.change + 1, name.clone());
             self.mark_departed(name, incarnation);
         }
@@ -216,7 +218,8 @@
     Stamp { incarnation: record.incarnation, sequence: record.sequence }
 }
 
-/// Returns `record` with the rule that a start that drains never takes work again.
+/// Returns `record`, still leaving if the known record of the same incarnation is: an endpoint that
+/// drains never takes work again.
 fn preserve_leaving(known: &EndpointRecord, record: &EndpointRecord) -> EndpointRecord {
     let same = known.incarnation == record.incarnation;
     EndpointRecord { leaving: record.leaving || (same && known.leaving), ..record.clone() }
--- a/crates/core/src/control/history.rs
+++ b/crates/core/src/control/history.rs
@@ -1,7 +1,7 @@
-//! The current revision and earlier ones, each kept as a delta from its successor.
+//! The current revision and earlier ones, each stored as a delta from its successor.
 //!
-//! The control group keeps enough to roll back; a relaying entry VM keeps a few, so that VMs a
-//! little behind fetch a delta and not the whole content.
+//! The control group keeps revisions to roll back to. An entry VM that relays bundles keeps a few,
+//! so that VMs slightly behind can fetch a delta.
 
 use std::collections::VecDeque;
 
@@ -13,16 +13,16 @@
 use crate::prelude::*;
 use crate::wire::control as wire;
 
-/// Most bytes of all deltas kept: contents that have nothing in common make large ones.
+/// Maximum total size of the stored deltas, in bytes.
 const MAX_PAST_BYTES: usize = 32 * 1024 * 1024;
-/// How many revisions back an asker still gets a delta. Working out its base takes a step for
-/// each, and the whole content is cheaper at some point.
+/// Maximum number of revisions that a client may be behind and still get a delta. Restoring its
+/// base costs one delta for each.
 const MAX_DELTA_DISTANCE: usize = 16;
 
 /// An earlier revision.
 #[derive(Clone, Debug, PartialEq)]
 struct Past {
-    /// Its content is left empty; `backward` makes it from the successor's.
+    /// Without its content, which `backward` restores from the successor's content.
     revision: Revision,
     backward: wire::Delta,
     /// Encoded size of `backward`.
@@ -36,33 +36,33 @@
     }
 }
 
-/// The newest revisions, in order of their numbers; numbers may be missing.
+/// The newest revisions in ascending order. Numbers may be missing.
 #[derive(Clone, Debug)]
 pub struct History {
     current: Option<Revision>,
     past: VecDeque<Past>,
     max_past: usize,
-    /// Change from the last past revision to the current one: what nearly every asker needs.
+    /// Delta from the previous revision to the current one, cached since most clients need it.
     forward: wire::Delta,
 }
 
 impl History {
-    /// Starts empty and keeps at most `kept` earlier revisions.
+    /// Creates an empty history that keeps at most `max_past` earlier revisions.
     pub fn new(max_past: usize) -> History {
         History { current: None, past: VecDeque::new(), max_past, forward: wire::Delta::default() }
     }
 
-    /// Returns the newest revision.
+    /// Returns the newest revision, or `None` before the first.
     pub fn current(&self) -> Option<&Revision> {
         self.current.as_ref()
     }
 
-    /// Returns the newest revision's number, zero before the first.
+    /// Returns the number of the newest revision, or zero before the first.
     pub fn number(&self) -> RevisionNumber {
         self.current.as_ref().map_or_else(RevisionNumber::default, |current| current.number)
     }
 
-    /// Adds a revision; one that isn't newer than the current changes nothing.
+    /// Adds a revision, unless it isn't newer than the current one.
     pub fn push(&mut self, revision: Revision) {
         if revision.number <= self.number() {
             return;
@@ -70,7 +70,7 @@
         self.replace(revision);
     }
 
-    /// Makes `revision` the current one without looking at its number.
+    /// Makes `revision` the current one without checking its number.
     pub(super) fn replace(&mut self, revision: Revision) {
         if let Some(mut before) = self.current.take() {
             let backward = delta::diff(&revision.content, &before.content);
@@ -88,7 +88,7 @@
         self.past.iter().map(|past| past.bytes).sum()
     }
 
-    /// Returns how many revisions back a kept one is, zero for the current.
+    /// Returns how many revisions a stored one is behind the current one.
     fn distance(&self, number: RevisionNumber) -> Option<usize> {
         if self.number() == number {
             return Some(0);
@@ -97,7 +97,7 @@
         Some(index + 1)
     }
 
-    /// Returns a kept revision with its content.
+    /// Returns a stored revision with its content.
     pub fn find(&self, number: RevisionNumber) -> Option<Revision> {
         let current = self.current.as_ref()?;
         let distance = self.distance(number)?;
@@ -110,8 +110,8 @@
         Some(Revision { content, ..found.clone() })
     }
 
-    /// Returns what a VM at revision `since` needs: a delta if its content is still kept, else
-    /// the whole. Returns `None` if there is nothing newer.
+    /// Returns the update for a VM at revision `since`: a delta if that revision is still stored,
+    /// the whole content otherwise. Returns `None` if there is nothing newer.
     pub fn update(&self, since: RevisionNumber) -> Option<wire::Update> {
         let current = self.current.as_ref().filter(|current| current.number > since)?;
         let Some(delta) = self.delta_from(since) else {
@@ -131,8 +131,10 @@
         Some(delta::diff(&base.content, &self.current.as_ref()?.content))
     }
 
-    /// Reads an update by the revision it changes, or `None` if it doesn't fit; the asker then
-    /// asks as one who has nothing. The caller verifies the result before it pushes it.
+    /// Returns the revision of an update, with a delta applied to the current content.
+    ///
+    /// Returns `None` if the update is malformed or its digest doesn't match; the whole content
+    /// must be fetched then. Signatures aren't checked, see [`Revision::verify`].
     pub fn resolve(&self, update: wire::Update) -> Option<Revision> {
         let mut revision = Revision::from_wire(update.revision?)?;
         if let Some(change) = update.delta {
@@ -142,7 +144,7 @@
         intact.then_some(revision)
     }
 
-    /// Returns the current revision and the past ones as a snapshot carries them.
+    /// Returns the current revision and the past ones as snapshot messages.
     pub(super) fn to_wire(&self) -> (Option<wire::Revision>, Vec<wire::Past>) {
         let past = self.past.iter().map(|past| wire::Past {
             revision: Some(past.revision.to_wire()),
@@ -151,7 +153,7 @@
         (self.current.as_ref().map(Revision::to_wire), past.collect())
     }
 
-    /// Reads a snapshot's revisions, or `None` if one is malformed.
+    /// Restores the history from snapshot messages, or returns `None` if one is malformed.
     pub(super) fn from_wire(
         max_past: usize,
         current: Option<wire::Revision>,
--- a/crates/core/src/control/mod.rs
+++ b/crates/core/src/control/mod.rs
@@ -1,10 +1,9 @@
 //! The control group's state machine: bundle revisions, the order lease and placement.
 //!
-//! Every store VM of the control group applies the same commands in the same order, so
-//! [`Control::apply`] depends on nothing but the state and the command: no clock, no settings.
-//! What needs settings (the operators' keys) is checked by the leader before it proposes, with
-//! [`Control::check`], and again by each entry VM with [`Revision::verify`]. See
-//! docs/design/bundles.md.
+//! Every replica of the control group applies the same commands in the same order, so
+//! [`Control::apply`] depends only on the state and the command, never on a clock or settings.
+//! Checks that need settings (the operators' keys) are done by the leader before it proposes, with
+//! [`Control::check`], and by each entry VM with [`Revision::verify`]. See docs/design/bundles.md.
 
 mod dedup;
 pub mod delta;
@@ -34,32 +33,33 @@
 use crate::wire::control::command::Body as CommandBody;
 use dedup::{DedupRecords, VersionRecord};
 
-/// Earlier revisions that can be rolled back to.
+/// Number of earlier revisions kept as targets of a roll back.
 pub const KEPT_REVISIONS: usize = 1024;
 
-/// Most bytes of an order id.
+/// Maximum length of an order id, in bytes.
 pub const MAX_ORDER_ID: usize = 64;
 
-/// A safeguard switched off, so that a test can prove that it would notice. Never set outside
-/// tests.
+/// Disables one safeguard, so that tests can verify that they detect its absence.
+///
+/// Only set in tests.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Mutation {
     #[default]
     None,
-    /// A command is applied whatever revision it was made for.
+    /// Applies a command without checking its base revision.
     IgnoreBase,
-    /// Resent orders are carried out again.
+    /// Executes resent orders again.
     ForgetOrders,
-    /// A version may be used for other content.
+    /// Accepts different content under an already used version.
     ForgetVersions,
-    /// The content's digest isn't compared.
+    /// Skips the comparison of the content's digest.
     TrustDigest,
-    /// A roll back takes the old revision's number.
+    /// Gives a roll back the number of its target revision.
     ReuseNumber,
-    /// Records of versions are dropped without raising the floor.
+    /// Drops version records without raising the version floor.
     NoVersionFloor,
-    /// A placement step is applied whatever change it was planned on.
+    /// Applies a placement step without checking the change it was planned on.
     IgnoreChange,
 }
 
@@ -82,12 +82,12 @@
 }
 
 impl Control {
-    /// Starts with no bundle, no order lease and no groups.
+    /// Creates an empty state: no bundle, no order lease and no groups.
     pub fn new() -> Control {
         Control::with_mutation(Mutation::None)
     }
 
-    /// Starts with one safeguard off.
+    /// Creates an empty state with one safeguard disabled.
     #[doc(hidden)]
     pub fn with_mutation(mutation: Mutation) -> Control {
         Control {
@@ -101,7 +101,9 @@
         }
     }
 
-    /// Returns the revision in force or being rolled out, `None` before the first bundle.
+    /// Returns the newest revision, or `None` before the first bundle.
+    ///
+    /// It may still be rolling out.
     pub fn current(&self) -> Option<&Revision> {
         self.history.current()
     }
@@ -111,7 +113,7 @@
         &self.history
     }
 
-    /// Returns the order lease's holder as the log last recorded it.
+    /// Returns the order lease that the log last recorded.
     pub fn order_lease(&self) -> Option<&wire::OrderLease> {
         self.order_lease.as_ref()
     }
@@ -121,17 +123,17 @@
         &self.groups
     }
 
-    /// Returns the endpoints that announced themselves.
+    /// Returns the registered endpoints.
     pub fn endpoints(&self) -> &Endpoints {
         &self.endpoints
     }
 
-    /// Tells whether a store is to be emptied.
+    /// Returns `true` if a store is being drained of its replicas and texts.
     pub fn is_retiring(&self, vm: VmId) -> bool {
         self.retiring.contains(&vm)
     }
 
-    /// Returns the stores that are to be emptied.
+    /// Returns the stores that are being drained.
     pub fn retiring(&self) -> impl Iterator<Item = VmId> {
         self.retiring.iter().copied()
     }
@@ -151,12 +153,12 @@
         wire::Answer { body: Some(body) }
     }
 
-    /// Checks a command with the leader's settings before it is proposed.
+    /// Checks a command against the state and the operators' keys before it is proposed.
     ///
     /// # Errors
     ///
-    /// Returns the answer to give at once: the first answer of a resent order, a conflict, or
-    /// why signatures or content don't hold. Nothing is proposed then.
+    /// Returns the answer for the caller if the command must not be proposed: the recorded answer
+    /// of a resent order, a conflict, or a rejection of the signatures or the content.
     pub fn check(&self, command: &wire::Command, keys: &OperatorKeys) -> Result<(), wire::Answer> {
         let checked = match &command.body {
             Some(CommandBody::Accept(accept)) => self.check_accept(accept, keys),
@@ -260,7 +262,7 @@
 
     fn register(&mut self, register: &wire::Register) -> AnswerBody {
         let Some(endpoint) = &register.endpoint else {
-            return rejected(Fault::Malformed, "no endpoint is named");
+            return rejected(Fault::Malformed, "the endpoint is missing");
         };
         self.endpoints.register(endpoint);
         AnswerBody::Registered(wire::Registered {})
@@ -271,8 +273,8 @@
         AnswerBody::Registered(wire::Registered {})
     }
 
-    /// Marks a store as one that is to hold nothing. It stays marked: a store that was emptied is
-    /// taken away, and its identity never comes back.
+    /// Marks a store for draining. The mark is permanent, since a drained store is removed and its
+    /// identity is never used again.
     fn retire(&mut self, retire: &wire::Retire) -> AnswerBody {
         self.retiring.insert(VmId(retire.vm));
         AnswerBody::Registered(wire::Registered {})
@@ -313,21 +315,24 @@
             .map_err(|error| rejected(Fault::NotSigned, &error.to_string()))
     }
 
-    /// Gives a resent order its first answer. The failure it is for: the answer is lost, the
-    /// operator sends again, and the bundle would be accepted twice or be refused as stale.
+    /// Returns the recorded answer as an error if this order was answered before.
+    ///
+    /// Without it, an order that is resent after a lost answer would be accepted twice or rejected
+    /// as stale.
     fn check_order_id(&self, id: &str, fingerprint: Digest) -> Result<(), AnswerBody> {
         if id.is_empty() || id.len() > MAX_ORDER_ID {
-            return Err(rejected(Fault::Malformed, "an order id has 1 to 64 bytes"));
+            return Err(rejected(Fault::Malformed, "the order id must have 1 to 64 bytes"));
         }
         let Some(record) = self.dedup.orders.get(id) else { return Ok(()) };
         if record.fingerprint != fingerprint {
-            return Err(rejected(Fault::OrderIdReused, "use a new order id for another order"));
+            let detail = "the order id belongs to a different order: use a new one";
+            return Err(rejected(Fault::OrderIdReused, detail));
         }
-        Err(record.answer.body.clone().unwrap_or(rejected(Fault::Malformed, "no answer kept")))
+        Err(record.answer.body.clone().unwrap_or(rejected(Fault::Malformed, "no answer recorded")))
     }
 
-    /// Gives content that was accepted before its first answer, and other content under a taken
-    /// version a conflict. Operators who race under one version number so learn who won.
+    /// Returns an answer as an error if this version can't be accepted as new: the recorded
+    /// acceptance for the same content, a conflict for different content.
     fn check_version(&self, version: &str, digest: Digest) -> Result<(), AnswerBody> {
         let Ok(parsed) = version.parse::<Version>() else {
             return Err(rejected(Fault::Malformed, "the version isn't dotted decimal numbers"));
@@ -355,8 +360,8 @@
         }))
     }
 
-    /// Refuses an order made for another revision than the current one, so that an operator
-    /// never overwrites a change that he hasn't seen.
+    /// Rejects an order whose base isn't the current revision, so that an operator never
+    /// overwrites a change that they haven't seen.
     fn check_base(&self, base: u64) -> Result<(), AnswerBody> {
         let current = self.history.number().0;
         if base == current || self.mutation == Mutation::IgnoreBase {
@@ -385,6 +390,10 @@
         RevisionNumber(self.history.number().0 + 1)
     }
 
+    /// Records the first answer of an order in the replicated state.
+    ///
+    /// The texts of recorded answers must not change between releases, or replicas would diverge
+    /// during an upgrade.
     fn record_answer(&mut self, id: &str, fingerprint: Digest, answer: &AnswerBody) {
         if self.mutation != Mutation::ForgetOrders {
             let answer = wire::Answer { body: Some(answer.clone()) };
--- a/crates/core/src/control/placement.rs
+++ b/crates/core/src/control/placement.rs
@@ -1,7 +1,7 @@
-//! Steps of placement, as the log applies them.
+//! Application of placement steps to the replicated state.
 //!
-//! A step names the change it was planned on, so a late or doubled one does nothing, and a group
-//! has at most one replacement under way. Which step is right is for [`super::plan`] to say.
+//! A step names the change that it was planned on, so a late or duplicate step is rejected. A group
+//! has at most one replacement in progress. Steps are planned in [`super::plan`].
 
 use super::{Control, Mutation, rejected};
 use crate::prelude::*;
@@ -10,9 +10,9 @@
 use crate::wire::control::place::Step;
 use crate::wire::control::{Fault, GroupPlacement, Replica, ReplicaRole};
 
-/// Returns the group that holds a slot's programs, for a deployment of `groups` program groups.
+/// Returns the program group of a slot in a deployment of `groups` program groups.
 ///
-/// The count is fixed when the groups are created, so that a program never changes its group.
+/// The number of groups is fixed when they are created, so a program never changes its group.
 pub fn group_of(slot: Slot, groups: u32) -> GroupId {
     GroupId(1 + u32::from(slot.0) % groups.max(1))
 }
@@ -30,14 +30,14 @@
         result.map_or_else(|refusal| refusal, |change| AnswerBody::Placed(wire::Placed { change }))
     }
 
-    /// Creating the same groups again, as a resend does, changes nothing.
+    /// Creates the program groups, which is done once: a resend is rejected.
     fn create_groups(&mut self, create: &wire::CreateGroups) -> Result<u64, AnswerBody> {
         if !self.groups.is_empty() {
-            return Err(refused("the groups exist already"));
+            return Err(refused("the groups already exist"));
         }
         let numbered = create.groups.iter().zip(1..).all(|(group, number)| group.group == number);
         if create.groups.is_empty() || !numbered || !create.groups.iter().all(is_initial) {
-            return Err(refused("groups are numbered from 1, with voters on different VMs"));
+            return Err(refused("groups must be numbered from 1, with voters on different VMs"));
         }
         self.groups = create.groups.clone();
         Ok(0)
@@ -45,12 +45,14 @@
 
     fn add_learner(&mut self, add: &wire::AddLearner) -> Result<u64, AnswerBody> {
         let group = self.group(add.group, add.change)?;
-        let learner = add.learner.ok_or_else(|| refused("no learner is given"))?;
+        let learner = add.learner.ok_or_else(|| refused("the learner is missing"))?;
         let idle = group.retiring.is_none() && learner_of(group).is_none();
         let retires_voter = group.replicas.iter().any(|replica| replica.vm == add.retiring);
         let is_new = group.replicas.iter().all(|replica| replica.vm != learner.vm);
         if !idle || !retires_voter || !is_new {
-            return Err(refused("one replacement at a time, of a replica by a VM that holds none"));
+            let detail = "a learner must replace a replica of the group, on a VM that holds none, \
+                while no other replacement is in progress";
+            return Err(refused(detail));
         }
         group.replicas.push(Replica { role: ReplicaRole::Learner.into(), ..learner });
         group.retiring = Some(add.retiring);
@@ -76,7 +78,7 @@
         let group = self.group(remove.group, remove.change)?;
         let retiring = group.retiring.ok_or_else(|| refused("no replica is retiring"))?;
         if learner_of(group).is_some() {
-            return Err(refused("the replacement doesn't vote yet"));
+            return Err(refused("the replacement isn't a voter yet"));
         }
         group.replicas.retain(|replica| replica.vm != retiring);
         group.retiring = None;
@@ -86,16 +88,17 @@
     fn group(&mut self, number: u32, change: u64) -> Result<&mut GroupPlacement, AnswerBody> {
         let unchecked = self.mutation == Mutation::IgnoreChange;
         let group = self.groups.iter_mut().find(|group| group.group == number);
-        let group = group.ok_or_else(|| refused("there is no such group"))?;
+        let group = group.ok_or_else(|| refused(&format!("group {number} doesn't exist")))?;
         if group.change != change && !unchecked {
-            let detail = format!("planned on change {change}, the group is at {}", group.change);
+            let detail =
+                format!("planned on change {change}, but the group is at {}", group.change);
             return Err(rejected(Fault::PlacementChanged, &detail));
         }
         Ok(group)
     }
 }
 
-/// Returns the place of the group's learner among its replicas.
+/// Returns the index of the group's learner among its replicas.
 pub(super) fn learner_of(group: &GroupPlacement) -> Option<usize> {
     group.replicas.iter().position(|replica| replica.role() == ReplicaRole::Learner)
 }
--- a/crates/core/src/control/plan.rs
+++ b/crates/core/src/control/plan.rs
@@ -1,9 +1,8 @@
-//! Where replicas should be: the first placement, and replacing a VM that is lost for good.
+//! Planning of replica placement: the initial placement, and the replacement of lost VMs.
 //!
-//! The planner runs on the control leader. It looks at the placement of the log, at which store
-//! VMs are up, and at what the groups' leaders report, and gives the next step of each group. It
-//! may run at any time and on stale news: each step is checked when it is applied. See
-//! docs/design/placement.md.
+//! The planner runs on the control leader. From the current placement, the availability of the
+//! store VMs and the reports of the groups' leaders it derives the next step of each group. It may
+//! run on stale data, since each step is checked when it is applied. See docs/design/placement.md.
 
 use super::placement::learner_of;
 use crate::prelude::*;
@@ -14,49 +13,50 @@
     Replica, ReplicaRole,
 };
 
-/// Whether a store VM is there.
+/// Availability of a store VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Availability {
-    /// It is up.
+    /// The VM responds.
     Up,
-    /// It is away, and may come back with its data folder.
+    /// The VM doesn't respond, but may come back with its data.
     Unreachable,
-    /// It is away for so long that its data counts as gone.
+    /// The VM hasn't responded for so long that its data counts as lost.
     Lost,
 }
 
-/// A store VM, as the control leader knows it.
+/// A store VM as seen by the control leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoreVm {
-    /// The VM.
+    /// Identity of the VM.
     pub vm: VmId,
-    /// Its failure domain.
+    /// Failure domain of the VM; replicas of a group are spread over these.
     pub domain: DomainId,
-    /// Its region.
+    /// Region of the VM; a replacement is preferably in the region of the lost replica.
     pub region: RegionId,
-    /// Whether it is there.
+    /// Whether the VM can take replicas, or has to be replaced.
     pub availability: Availability,
 }
 
-/// What a group's leader reports of its own replicated log.
+/// Report of a group's leader about its own replicated log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GroupReport {
-    /// The group.
+    /// Group that the report is about.
     pub group: GroupId,
-    /// The last placement change that its log's membership committed.
+    /// Last placement change that the group committed to its own membership.
     pub change: u64,
-    /// The learner holds every entry that was committed when it was last asked.
+    /// Whether the learner holds every entry that was committed when it was last asked.
     pub caught_up: bool,
 }
 
-/// How replicas are placed.
+/// Parameters of the planner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlanSettings {
-    /// Replicas of each group.
+    /// Number of replicas of each group.
     pub replicas: usize,
-    /// Groups repaired at the same time: each copies a group's state, perhaps over the paid link.
+    /// Maximum number of groups under repair at the same time, since each repair copies the state
+    /// of a group.
     pub repairs: usize,
-    /// Safeguard switched off by a test.
+    /// Safeguard that a test disables.
     #[doc(hidden)]
     pub mutation: PlanMutation,
 }
@@ -67,24 +67,25 @@
     }
 }
 
-/// A safeguard switched off, so that a test can prove that it would notice. Never set outside
-/// tests.
+/// Disables one safeguard, so that tests can verify that they detect its absence.
+///
+/// Only set in tests.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum PlanMutation {
     #[default]
     None,
-    /// A learner votes before it caught up.
+    /// Promotes a learner before it has caught up.
     PromoteEarly,
-    /// The next step doesn't wait until the group's log made the last one.
+    /// Plans the next step before the group has committed the last one.
     IgnoreReport,
-    /// Replacements ignore failure domains.
+    /// Ignores failure domains when choosing a VM.
     IgnoreDomains,
-    /// A VM that is only away is replaced.
+    /// Replaces a VM that is only unreachable.
     ReplaceUnreachable,
 }
 
-/// Plans the groups of a new deployment, or returns `None` if no store VM is up.
+/// Plans the groups of a new deployment. Returns `None` if no store VM is up or `count` is zero.
 pub fn create(count: u32, stores: &[StoreVm], settings: &PlanSettings) -> Option<Command> {
     let mut groups: Vec<GroupPlacement> = Vec::new();
     for group in 1..=count {
@@ -101,7 +102,8 @@
     (placed && count > 0).then(|| command(Step::Create(CreateGroups { groups })))
 }
 
-/// Plans the next step of each group that needs one.
+/// Plans the next step of each group that needs one, and begins at most
+/// [`PlanSettings::repairs`] repairs in total.
 pub fn plan(
     groups: &[GroupPlacement],
     stores: &[StoreVm],
@@ -123,11 +125,10 @@
     steps
 }
 
-/// Returns the group's report if its log has made the last change of placement.
+/// Returns the group's report if the group has committed the last placement change.
 ///
-/// The failure: placement runs ahead of the group's log, two changes of membership overlap, and
-/// two majorities without a common replica can form. Waiting for the log's own commit keeps
-/// changes one at a time.
+/// Waiting for the commit keeps membership changes one at a time. Overlapping changes could form
+/// two majorities without a common replica.
 fn current_report<'a>(
     group: &GroupPlacement,
     reports: &'a [GroupReport],
@@ -152,8 +153,8 @@
     if availability(vm, stores) == Availability::Lost {
         return Some(Step::Drop(DropLearner { group: number, change }));
     }
-    // A learner that votes before it caught up leaves the group unable to commit when a second
-    // VM goes: the majority would need a replica that doesn't have the log.
+    // If a learner became a voter before it has caught up, the loss of one more VM would leave the
+    // group without a majority that holds the log.
     let early = settings.mutation == PlanMutation::PromoteEarly;
     (report.caught_up || early).then_some(Step::Promote(Promote { group: number, change }))
 }
@@ -179,17 +180,17 @@
     }))
 }
 
-/// A VM that nobody tells of has been gone for long.
+/// Returns the availability of a VM; one that isn't listed counts as lost.
 fn availability(vm: u32, stores: &[StoreVm]) -> Availability {
     let store = stores.iter().find(|store| store.vm.0 == vm);
     store.map_or(Availability::Lost, |store| store.availability)
 }
 
-/// Chooses the VM for another replica: in a domain of its own, in the region of the replica it
-/// replaces, with the fewest replicas.
+/// Chooses the VM for another replica: in a failure domain of its own, preferably in the region of
+/// the replica it replaces, with the fewest replicas.
 ///
-/// Two replicas share a domain only where there are fewer domains than replicas. Otherwise the
-/// group rather waits for a VM: it still commits, and a shared domain could take its majority.
+/// Replicas share a domain only if there are fewer domains than replicas. Otherwise the group waits
+/// for a VM: it can still commit, while the failure of a shared domain could cost it its majority.
 fn choose<'a>(
     group: &GroupPlacement,
     retiring: Option<u32>,
--- a/crates/core/src/control/revision.rs
+++ b/crates/core/src/control/revision.rs
@@ -1,4 +1,4 @@
-//! One revision: bundle content, who signed it, and the number it took.
+//! A bundle's content with its signatures, under a revision number.
 
 use bytes::Bytes;
 
@@ -8,35 +8,34 @@
 use crate::prelude::*;
 use crate::wire::control as wire;
 
-/// A bundle's content under its revision number.
+/// A signed bundle that was accepted as a revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Revision {
-    /// Grows with every accepted bundle and every roll back.
+    /// Number of the revision, which grows with every accepted bundle and every roll back.
     pub number: RevisionNumber,
-    /// The bundle's version.
+    /// Version that the content names.
     pub version: CompactString,
-    /// Digest of the content.
+    /// SHA-256 digest of the content, which the signatures cover.
     pub digest: Digest,
-    /// YAML text as signed.
+    /// YAML text, exactly as signed.
     pub content: Bytes,
-    /// Signatures over the bundle, or over the roll back that made this revision.
+    /// Signatures over the bundle, or over the roll back that created this revision.
     pub signatures: Vec<Signature>,
-    /// The earlier revision whose content came back; `None` for an accepted bundle.
+    /// Earlier revision that a roll back restored; `None` for an accepted bundle.
     pub origin: Option<RevisionNumber>,
-    /// The revision before this one, which the signatures of a roll back name.
+    /// Revision that this one replaced; the signatures of a roll back cover it.
     pub base: RevisionNumber,
 }
 
 impl Revision {
-    /// Checks digest, signatures and content with this process's own operator keys.
+    /// Checks the digest, signatures and content, and returns the parsed bundle.
     ///
-    /// Every entry VM does this before it applies a revision. A control leader with wrong keys
-    /// in its settings would otherwise spread a bundle that nobody signed off; the entry VM
-    /// refuses it, loses its lease and so takes no work under it.
+    /// Every entry VM does this with its own operator keys before it applies a revision. Otherwise
+    /// a control leader with wrong keys in its settings could distribute an unsigned bundle.
     ///
     /// # Errors
     ///
-    /// Returns what is wrong; the revision must not be applied then.
+    /// Returns an error if a check fails; the revision must not be applied then.
     pub fn verify(&self, keys: &OperatorKeys) -> Result<Bundle, RevisionError> {
         if Digest::of(&self.content) != self.digest {
             return Err(RevisionError::DigestMismatch);
@@ -55,7 +54,7 @@
         Ok(bundle)
     }
 
-    /// Returns the revision as messages carry it.
+    /// Converts the revision to its wire message.
     pub fn to_wire(&self) -> wire::Revision {
         wire::Revision {
             number: self.number.0,
@@ -68,7 +67,7 @@
         }
     }
 
-    /// Reads a message's revision, or `None` if a field is malformed.
+    /// Converts a wire message, or returns `None` if a field is malformed.
     pub fn from_wire(message: wire::Revision) -> Option<Revision> {
         let signatures = message.signatures.iter().map(Signature::from_wire);
         Some(Revision {
@@ -83,19 +82,19 @@
     }
 }
 
-/// Why a revision must not be applied.
+/// Reason why a revision must not be applied.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RevisionError {
-    /// The content isn't the one that was signed.
-    #[error("the content doesn't have the digest of its revision")]
+    /// The content doesn't match the digest that was signed.
+    #[error("the digest of the content doesn't match the revision's digest")]
     DigestMismatch,
-    /// The revision names another version than its content.
-    #[error("the revision's version isn't the one in its content")]
+    /// The revision and its content name different versions.
+    #[error("the version in the content doesn't match the revision's version")]
     VersionMismatch,
-    /// Not enough operators signed.
+    /// A signature is invalid, or there are too few.
     #[error(transparent)]
     Signature(#[from] SignatureError),
-    /// The content has faults.
+    /// The content isn't a valid bundle.
     #[error(transparent)]
     Content(#[from] Findings),
 }
--- a/crates/core/src/control/snapshot.rs
+++ b/crates/core/src/control/snapshot.rs
@@ -1,4 +1,4 @@
-//! The control group's state as one message, for snapshots and restarts.
+//! Serialization of the control group's state for snapshots.
 
 use bytes::Bytes;
 use prost::Message;
@@ -9,22 +9,22 @@
 use crate::prelude::*;
 use crate::wire::control as wire;
 
-/// Format of the snapshot; a reader refuses a higher one.
+/// Version of the snapshot format. Snapshots of a higher version are rejected.
 const FORMAT: u32 = 1;
 
-/// Why a snapshot can't be read.
+/// Reason why a snapshot can't be restored.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RestoreError {
-    /// The bytes aren't a snapshot.
+    /// The bytes can't be decoded, or a part of the state is invalid.
     #[error("the control snapshot is damaged: {0}")]
     Damaged(CompactString),
-    /// A newer version wrote it.
+    /// A newer release wrote the snapshot, in the format of this number.
     #[error("the control snapshot has format {0}, this version reads up to {FORMAT}: upgrade")]
     Format(u32),
 }
 
 impl Control {
-    /// Returns the whole state.
+    /// Encodes the whole state.
     pub fn snapshot(&self) -> Bytes {
         let (current, past) = self.history.to_wire();
         let mut snapshot = wire::Snapshot {
@@ -43,11 +43,11 @@
         snapshot.encode_to_vec().into()
     }
 
-    /// Reads a state that [`Control::snapshot`] wrote.
+    /// Restores a state that [`Control::snapshot`] encoded.
     ///
     /// # Errors
     ///
-    /// Returns why the bytes can't be read; the replica must not answer then.
+    /// Returns an error if the snapshot can't be read; the replica must not serve requests then.
     pub fn restore(snapshot: &[u8]) -> Result<Control, RestoreError> {
         let snapshot = wire::Snapshot::decode(snapshot)
             .map_err(|error| RestoreError::Damaged(error.to_compact_string()))?;
