--- a/crates/core/src/membership/gossip.rs
+++ b/crates/core/src/membership/gossip.rs
@@ -1,4 +1,4 @@
-//! News waiting to be passed on, a bounded number of times each.
+//! Queue of membership updates to gossip, each a bounded number of times.
 
 use std::collections::BTreeMap;
 
@@ -8,15 +8,15 @@
 use crate::prelude::*;
 use crate::wire::membership as wire;
 
-/// How often a piece of news is passed on, for each power of ten of the members.
+/// Number of times that an update is sent, multiplied by the logarithm of the number of members.
 const RETRANSMIT_FACTOR: f64 = 4.0;
-/// Bytes of a datagram that changed profiles may fill; news of liveness goes before them.
+/// Maximum size of the profile updates in one datagram, in bytes.
 ///
-/// Profiles carry load and change all the time, so they get a bounded share: without one, a
-/// fleet whose load moves would fill each datagram to its limit.
+/// Profiles carry load and change all the time. Without a limit they would fill every datagram.
 const MAX_PROFILE_BYTES: usize = 400;
 
-/// News about VMs, one piece for each; the newest state is read when it is sent.
+/// Updates to gossip, at most one for each VM. The state that is sent is read from the record when
+/// a datagram is filled.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Gossip {
     queue: BTreeMap<VmId, PendingUpdate>,
@@ -24,16 +24,17 @@
 
 #[derive(Clone, Copy, Debug)]
 struct PendingUpdate {
+    /// Number of datagrams that carried the update.
     sent: u32,
-    /// News of liveness, which goes before changed profiles.
+    /// Whether the liveness changed. Such updates are sent before changed profiles.
     urgent: bool,
-    /// The receivers may not have the profile. An objection is told without it, in a fraction of
-    /// the bytes: under loss, objections are most of what there is to tell.
+    /// Whether the profile is included. Refutations leave it out, since they are frequent under
+    /// packet loss and much smaller without it.
     profile: bool,
 }
 
 impl Gossip {
-    /// Passes this on from now.
+    /// Queues an update, unless it is stale or would replace a more urgent one.
     pub fn add(&mut self, vm: VmId, merged: Merged) {
         if merged == Merged::Stale {
             return;
@@ -48,12 +49,13 @@
         self.queue.insert(vm, PendingUpdate { sent: 0, urgent, profile });
     }
 
-    /// Returns true when there is news of liveness to spread.
+    /// Returns `true` if a change of liveness is queued.
     pub fn has_urgent(&self) -> bool {
         self.queue.values().any(|update| update.urgent)
     }
 
-    /// Fills a datagram up to `room` bytes with the news passed on least often so far.
+    /// Fills a datagram up to `max_bytes` with queued updates: changes of liveness first, then
+    /// those sent least often.
     pub fn fill(
         &mut self,
         datagram: &mut wire::Datagram,
@@ -95,7 +97,7 @@
     }
 }
 
-/// Returns the bytes that one rumour adds to a datagram: itself, its tag and its length.
+/// Returns the encoded size of a rumour within a datagram, with its tag and length.
 pub(super) fn rumour_bytes(rumour: &wire::Rumour) -> usize {
     let length = rumour.encoded_len();
     length + prost::length_delimiter_len(length) + 1
--- a/crates/core/src/membership/member.rs
+++ b/crates/core/src/membership/member.rs
@@ -1,4 +1,4 @@
-//! What is known of one VM, and which of two pieces of news about it is the newer.
+//! State of one VM, and the merging of updates about it.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -10,59 +10,59 @@
 use crate::wire::membership as wire;
 use crate::wire::membership::Liveness;
 
-/// A VM as this one knows it.
+/// State of a VM as known to this one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Member {
-    /// The VM.
+    /// Identity of the VM.
     pub vm: VmId,
-    /// Where its membership listener is.
+    /// Address of its membership listener.
     pub address: SocketAddr,
-    /// Its failure domain.
+    /// Failure domain that its settings name.
     pub domain: DomainId,
-    /// Its region.
+    /// Region that its settings name.
     pub region: RegionId,
-    /// Whether it is believed to be up.
+    /// Whether it is alive, suspected, dead or has left.
     pub liveness: Liveness,
-    /// Grows when the VM objects to being called suspect or dead.
+    /// Number that the VM increases to refute that it is suspected or dead.
     pub incarnation: u32,
-    /// Opaque bytes that it spreads about itself.
+    /// Opaque data that the VM gossips about itself, at most [`MAX_DIGEST`] bytes.
     pub digest: Bytes,
 }
 
 impl Member {
-    /// Returns true for a VM that takes part, suspected or not.
+    /// Returns `true` if the VM is alive or suspected.
     pub fn is_up(&self) -> bool {
         matches!(self.liveness, Liveness::Alive | Liveness::Suspect)
     }
 }
 
-/// A member with what the protocol needs beside it.
+/// A member with the protocol's own state.
 #[derive(Clone, Debug)]
 pub(super) struct Record {
     pub member: Member,
-    /// Incarnation and version of the profile held.
+    /// Incarnation and version of the stored profile.
     pub profile: (u32, u32),
     pub suspicion: Option<Suspicion>,
     /// When the liveness last changed.
     pub changed: Time,
 }
 
-/// What news did to a record.
+/// Result of merging an update into a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Merged {
-    /// Nothing new.
+    /// The update isn't newer than the record.
     Stale,
-    /// Another profile, same liveness.
+    /// Only the profile changed.
     Profile,
-    /// Another liveness or incarnation.
+    /// The liveness or the incarnation changed.
     Liveness,
-    /// A VM heard of for the first time.
+    /// The VM was unknown.
     New,
 }
 
 impl Record {
-    /// Makes the record of a VM heard of for the first time, or `None` if the news can't be
-    /// used: a VM whose address isn't told, or one that is gone already.
+    /// Creates the record of an unknown VM. Returns `None` if the rumour has no valid address or
+    /// the VM isn't up.
     pub fn first(rumour: &wire::Rumour, now: Time) -> Option<Record> {
         let profile = rumour.profile.as_ref()?;
         let member = Member {
@@ -78,7 +78,7 @@
         member.is_up().then_some(Record { member, profile, suspicion: None, changed: now })
     }
 
-    /// Takes news about this VM if it is newer than what is held.
+    /// Merges a rumour about this VM if it is newer than the record.
     pub fn merge(&mut self, rumour: &wire::Rumour, now: Time, ignore_order: bool) -> Merged {
         let profile_changed = self.merge_profile(rumour);
         let current = (self.member.incarnation, rank(self.member.liveness));
@@ -111,7 +111,7 @@
         true
     }
 
-    /// Returns the rumour that tells this record.
+    /// Returns the rumour that describes this record.
     pub fn rumour(&self, with_profile: bool) -> wire::Rumour {
         let member = &self.member;
         let profile = with_profile.then(|| wire::Profile {
@@ -141,7 +141,8 @@
     RegionId(u16::try_from(profile.region).unwrap_or(u16::MAX))
 }
 
-/// Within one incarnation, worse news wins: only the VM itself may object, by a higher one.
+/// Returns the precedence of a liveness within one incarnation: the worse state wins, since only
+/// the VM itself may refute it, with a higher incarnation.
 fn rank(liveness: Liveness) -> u8 {
     match liveness {
         Liveness::Alive => 0,
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -1,10 +1,10 @@
-//! VM membership after the published SWIM: who is up, without any VM in the middle.
+//! Decentralized VM membership and failure detection, based on SWIM and Lifeguard.
 //!
-//! Each VM probes one other in each period, through VMs of other failure domains if the direct
-//! way fails, and passes news on with its datagrams. A suspected VM can object by a higher
-//! incarnation before it counts as dead. From Lifeguard come suspicions that shorten with each
-//! accuser, and a VM that distrusts itself when its own probes fail. The cost of a VM doesn't
-//! grow with their number. See docs/design/membership.md.
+//! Each VM probes one other VM per period, indirectly through VMs of other failure domains if the
+//! direct probe fails, and piggybacks updates on its datagrams. A suspected VM can refute the
+//! suspicion with a higher incarnation before it is declared dead. From Lifeguard come suspicion
+//! timeouts that shorten with each accuser, and slower probes by a VM whose own probes fail. The
+//! load on each VM doesn't depend on the number of VMs. See docs/design/membership.md.
 
 mod gossip;
 mod member;
@@ -36,68 +36,68 @@
 use suspicion::Suspicion;
 use updates::{Origin, as_suspicion};
 
-/// Worst health of this VM's own view; each point stretches its probes by a period.
+/// Maximum health penalty of this VM; each point makes its probe period one base period longer.
 const MAX_HEALTH_PENALTY: u64 = 4;
-/// Rounds in which a leaving VM tells others.
+/// Number of rounds in which a leaving VM announces that it leaves.
 const LEAVE_ROUNDS: u32 = 3;
-/// VMs told in each of them.
+/// Number of VMs that each of these rounds sends to.
 const LEAVE_FAN_OUT: usize = 8;
-/// Rounds of gossip in which a VM objects to being called suspect or dead.
+/// Number of gossip rounds in which a VM sends a refutation.
 const REFUTATION_ROUNDS: u32 = 4;
-/// Most bytes of a datagram that only gossips. These are sent several times a second while there
-/// is news, and with full ones a lossy network alone would use up the allowance for control.
+/// Maximum size of a datagram that only gossips, in bytes. It limits the bandwidth, as these are
+/// sent several times a second while there are updates.
 const MAX_GOSSIP: usize = 400;
-/// Milliseconds between a new VM's pulls, until it has seen every page.
+/// Interval between the pulls of a VM that hasn't joined yet, in milliseconds.
 const JOIN_PULL_MS: u64 = 200;
 
-/// What happened to this VM.
+/// Event that the caller passes to [`Membership::step`].
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// Time passed; [`Membership::wake`] tells when the next one is due.
+    /// The time of [`Membership::next_tick`] has come.
     Tick,
-    /// A datagram came, already checked to be from within the deployment.
+    /// A datagram arrived. The caller has checked that it comes from within the deployment.
     Datagram {
-        /// Where it came from.
+        /// Address of the sender.
         from: SocketAddr,
-        /// Its bytes.
+        /// Encoded datagram.
         bytes: Bytes,
     },
-    /// The digest that this VM spreads about itself changed.
+    /// The digest that this VM gossips about itself is replaced.
     SetDigest(Bytes),
-    /// This VM stops as planned.
+    /// This VM shuts down as planned.
     Leave,
 }
 
-/// What the caller must do.
+/// Action that the caller must take, or change that it may react to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// Send a datagram.
     Send {
-        /// Where to.
+        /// Address of the receiver.
         to: SocketAddr,
-        /// Its bytes, at most [`MAX_DATAGRAM`].
+        /// Encoded datagram of at most [`MAX_DATAGRAM`] bytes.
         bytes: Bytes,
     },
-    /// What is known of this VM changed.
+    /// The state of another VM changed.
     Changed(VmId),
-    /// The others were told that this VM leaves; the process may end.
+    /// This VM has announced that it leaves; the process may exit.
     Departed,
 }
 
-/// Counts of what this VM did, for metrics and measurements.
+/// Counters of this VM's activity, for metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Probes begun.
+    /// Probes started.
     pub probes: u64,
-    /// Suspicions raised by this VM itself.
+    /// Suspicions raised after failed probes of this VM.
     pub suspicions: u64,
-    /// Suspicions of this VM that it objected to.
+    /// Rumours about this VM that it refuted.
     pub refutations: u64,
-    /// Datagrams that couldn't be read.
+    /// Datagrams that couldn't be decoded.
     pub malformed: u64,
 }
 
-/// One VM's view of all of them.
+/// One VM's view of the membership, and its protocol state.
 #[derive(Clone, Debug)]
 pub struct Membership {
     settings: Settings,
@@ -105,24 +105,29 @@
     me: Record,
     records: BTreeMap<VmId, Record>,
     gossip: Gossip,
+    /// VMs still to be probed in this round, the next one last.
     order: Vec<VmId>,
     probe: Option<Probe>,
     relayed: Vec<RelayedPing>,
     sequence: u32,
-    /// How far this VM distrusts its own probes.
+    /// Lifeguard's local health score, which grows when this VM itself may be the cause of failed
+    /// probes.
     health_penalty: u64,
     due: Due,
+    /// First VM of the next page to pull.
     pull_start: u32,
+    /// Whether a whole round of pages contained no unknown VM.
     joined: bool,
-    /// A VM was heard of for the first time in this round of pages.
+    /// Whether the current round of pages contained an unknown VM.
     found_new: bool,
+    /// Number of announcement rounds sent since this VM began to leave.
     leaving: Option<u32>,
-    /// Rounds of gossip in which this VM still objects to news of itself.
+    /// Number of gossip rounds in which this VM still sends its refutation.
     refutation_rounds: u32,
     counts: Counts,
 }
 
-/// When each regular task is next done.
+/// Next time of each periodic task.
 #[derive(Clone, Copy, Debug)]
 struct Due {
     probe: Time,
@@ -132,7 +137,7 @@
 }
 
 impl Membership {
-    /// Starts knowing only itself and its seeds.
+    /// Creates a view that contains only this VM; others are found through the seeds.
     pub fn new(settings: Settings, now: Time) -> Membership {
         let mut random = ChaCha8Rng::seed_from_u64(settings.seed);
         let member = Member {
@@ -146,7 +151,7 @@
         };
         let profile = (settings.incarnation, 0);
         let me = Record { member, profile, suspicion: None, changed: now };
-        // VMs that start together must not probe in step.
+        // VMs that start at the same time must not probe at the same time.
         let jitter = Duration::from_millis(random.random_range(0..settings.times.period_ms.max(1)));
         let later = now + jitter;
         Membership {
@@ -170,22 +175,22 @@
         }
     }
 
-    /// Returns this VM as it tells others of itself.
+    /// Returns the state that this VM announces of itself.
     pub fn me(&self) -> &Member {
         &self.me.member
     }
 
-    /// Returns every other VM known, dead and departed ones too, by number.
+    /// Returns all other known VMs by id, including dead ones and ones that have left.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.records.values().map(|record| &record.member)
     }
 
-    /// Returns another VM, if it is known.
+    /// Returns the state of another VM, if it is known.
     pub fn member(&self, vm: VmId) -> Option<&Member> {
         self.records.get(&vm).map(|record| &record.member)
     }
 
-    /// Returns what this VM did so far.
+    /// Returns the counters since the start.
     pub fn counts(&self) -> Counts {
         self.counts
     }
@@ -205,7 +210,7 @@
         regular.min(probe).min(relayed).min(suspicion)
     }
 
-    /// Takes one input and returns what is to be done.
+    /// Handles an input and returns the resulting effects.
     pub fn step(&mut self, now: Time, input: Input) -> Vec<Effect> {
         let mut effects = Vec::new();
         match input {
@@ -246,7 +251,7 @@
         Duration::from_millis(millis)
     }
 
-    /// Counts VMs that are up, this one included.
+    /// Returns the number of VMs that are up, including this one.
     fn size(&self) -> usize {
         1 + self.records.values().filter(|record| record.member.is_up()).count()
     }
@@ -292,7 +297,8 @@
         }
     }
 
-    /// Passes news on beyond the probes while there is any, and tells others when leaving.
+    /// Sends gossip datagrams while urgent updates are queued, a refutation is due or this VM
+    /// leaves.
     fn send_gossip(&mut self, effects: &mut Vec<Effect>) {
         let fan_out = match &mut self.leaving {
             Some(LEAVE_ROUNDS) => return,
@@ -316,8 +322,8 @@
         }
     }
 
-    /// Returns the VMs that this one accuses. Each is told in every round, since with lost
-    /// datagrams the news could reach everyone but the one who can object.
+    /// Returns the VMs that this one suspects first. They receive every round of gossip, so that
+    /// they can refute the suspicion even if datagrams are lost.
     fn own_suspects(&self) -> Vec<VmId> {
         let mine = |record: &&Record| {
             let accuser = record.suspicion.as_ref().map(Suspicion::accuser);
@@ -326,7 +332,7 @@
         self.records.values().filter(mine).map(|record| record.member.vm).collect()
     }
 
-    /// Draws distinct VMs among those that `wanted` picks.
+    /// Returns up to `count` distinct random VMs that match `filter`.
     fn sample(&mut self, count: usize, filter: impl Fn(&Member) -> bool) -> Vec<VmId> {
         let members = self.records.values().map(|record| &record.member);
         let picked: Vec<VmId> =
@@ -345,7 +351,7 @@
         effects.push(Effect::Send { to, bytes });
     }
 
-    /// Makes a datagram with as much news as fits.
+    /// Encodes a datagram with as many updates as fit.
     fn datagram(&mut self, to: Option<VmId>, body: Option<Body>) -> Bytes {
         let max_bytes = if body.is_some() { MAX_DATAGRAM } else { MAX_GOSSIP };
         let mut datagram = self.header(to, body);
@@ -353,8 +359,8 @@
         datagram.encode_to_vec().into()
     }
 
-    /// Starts a datagram with this VM's own state and with what it believes of the receiver, so
-    /// that a suspected or restarted VM can object at once.
+    /// Creates a datagram with the state of this VM and its view of the receiver, so that a
+    /// suspected or restarted VM can refute it at once.
     fn header(&self, to: Option<VmId>, body: Option<Body>) -> wire::Datagram {
         let mut rumours = vec![self.me.rumour(true)];
         let receiver = to.and_then(|vm| self.records.get(&vm));
@@ -362,7 +368,7 @@
         wire::Datagram { from: self.settings.vm.0, body, rumours }
     }
 
-    /// Returns a fresh random order of the VMs that are up.
+    /// Returns the VMs that are up in random order.
     fn shuffled_targets(&mut self) -> Vec<VmId> {
         let up = self.records.values().filter(|record| record.member.is_up());
         let mut order: Vec<VmId> = up.map(|record| record.member.vm).collect();
--- a/crates/core/src/membership/probe.rs
+++ b/crates/core/src/membership/probe.rs
@@ -1,4 +1,4 @@
-//! Probing one VM in each period, directly and then through others.
+//! Failure detection: one VM is probed per period, directly and then through other VMs.
 
 use std::net::SocketAddr;
 
@@ -9,15 +9,15 @@
 use crate::wire::membership as wire;
 use crate::wire::membership::datagram::Body;
 
-/// The probe under way.
+/// The probe in progress.
 #[derive(Clone, Debug)]
 pub(super) struct Probe {
     target: VmId,
     sequence: u32,
-    /// When other VMs are asked; `None` once they were.
+    /// When the indirect probes are sent; `None` after that.
     indirect_at: Option<Time>,
     deadline: Time,
-    /// A VM that was asked answered that it couldn't reach the target either.
+    /// Whether another VM answered that it couldn't reach the target either.
     nacked: bool,
 }
 
@@ -28,18 +28,18 @@
     }
 }
 
-/// A ping sent in another VM's name.
+/// A ping sent on behalf of another VM.
 #[derive(Clone, Debug)]
 pub(super) struct RelayedPing {
     sequence: u32,
     requester: SocketAddr,
     request_sequence: u32,
-    /// When the asker is told that there was no answer.
+    /// When a nack is sent to the requester.
     pub deadline: Time,
 }
 
 impl Membership {
-    /// Goes on with the probe under way, or begins the next one when its period starts.
+    /// Continues the probe in progress, or begins the next one when its period starts.
     pub(super) fn advance_probe(&mut self, now: Time, effects: &mut Vec<Effect>) {
         if let Some(probe) = &mut self.probe
             && probe.indirect_at.is_some_and(|at| now >= at)
@@ -56,8 +56,10 @@
         }
     }
 
-    /// A VM whose own view is in doubt probes more slowly, as Lifeguard does: one that is
-    /// starved or half cut off would otherwise suspect everyone else.
+    /// Begins a probe of the next VM.
+    ///
+    /// Timeouts grow with the health penalty, as in Lifeguard. Otherwise a VM that is overloaded or
+    /// partly disconnected would suspect all others.
     fn begin_probe(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let times = self.settings.times;
         let multiplier = 1 + self.health_penalty;
@@ -77,8 +79,8 @@
         self.send_to(target, Some(Body::Ping(ping)), effects);
     }
 
-    /// Takes VMs in a random order that is drawn anew after each round, so that each VM is
-    /// probed by every other within a bounded time.
+    /// Returns the next VM to probe, in a random order that changes after each round. Each VM is
+    /// thereby probed by every other within a bounded time.
     fn next_target(&mut self) -> Option<VmId> {
         loop {
             if self.order.is_empty() {
@@ -101,9 +103,8 @@
         }
     }
 
-    /// Picks the VMs that probe in this one's name: from other failure domains, each from
-    /// another one as far as there are, since VMs behind the same failing switch as this one
-    /// would only repeat its mistake.
+    /// Chooses the VMs for indirect probes, preferably from different failure domains other than
+    /// this VM's own, since VMs behind the same failing switch can't reach the target either.
     fn relays(&mut self, target: VmId) -> Vec<VmId> {
         let own = self.settings.domain;
         let up = self.records.values().map(|record| &record.member);
@@ -121,7 +122,7 @@
     fn fail_probe(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let Some(probe) = self.probe.take() else { return };
         if !probe.nacked && self.settings.times.indirect > 0 {
-            // Nobody answered at all: the fault may be this VM's own.
+            // Without any answer, the cause may be this VM itself.
             self.health_penalty = (self.health_penalty + 1).min(MAX_HEALTH_PENALTY);
         }
         self.suspect(probe.target, now, effects);
@@ -142,7 +143,7 @@
         effects.push(Effect::Send { to: from, bytes });
     }
 
-    /// An ack settles this VM's own probe, or is passed to the VM in whose name it was asked.
+    /// Completes the probe that an ack answers, or forwards the ack to the VM that requested it.
     pub(super) fn handle_ack(&mut self, ack: wire::Ack, effects: &mut Vec<Effect>) {
         if self.probe.as_ref().is_some_and(|probe| probe.sequence == ack.sequence) {
             self.probe = None;
@@ -196,7 +197,7 @@
     }
 }
 
-/// Puts one VM of each other domain first, then the rest, those of `own` last.
+/// Sorts one VM of each other domain first and the VMs of domain `own` last.
 fn rank_by_domain(candidates: &mut [(VmId, DomainId)], own: DomainId) {
     let mut seen = Vec::new();
     let mut rank = |domain: DomainId| {
--- a/crates/core/src/membership/settings.rs
+++ b/crates/core/src/membership/settings.rs
@@ -1,63 +1,65 @@
-//! Settings of VM membership, with the defaults in one place.
+//! Settings of VM membership and their defaults.
 
 use std::net::SocketAddr;
 
 use crate::prelude::*;
 
-/// Most bytes of an encoded datagram; a tag of 32 bytes still fits below 1,200.
+/// Maximum size of an encoded datagram, in bytes. With an authentication tag of 32 bytes it stays
+/// below 1,200 bytes.
 pub const MAX_DATAGRAM: usize = 1_160;
 
-/// Most bytes of the opaque digest that a VM spreads with its state.
+/// Maximum size of the opaque digest that a VM gossips with its state, in bytes.
 pub const MAX_DIGEST: usize = 32;
 
-/// Who this VM is, whom it contacts first, and the protocol's times.
+/// Identity of this VM, its seeds, and the parameters of the protocol.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// This VM.
+    /// Identity of this VM.
     pub vm: VmId,
-    /// Where other VMs reach it.
+    /// Address under which other VMs reach it.
     pub address: SocketAddr,
-    /// Its failure domain.
+    /// Failure domain, which other VMs use to choose indirect probes.
     pub domain: DomainId,
-    /// Its region.
+    /// Region, which is passed on to the other VMs.
     pub region: RegionId,
-    /// Addresses asked first, and again whenever no VM there is known to be alive.
+    /// Addresses to join through, contacted again while no VM at the address is up.
     pub seeds: Vec<SocketAddr>,
-    /// Where the incarnation starts. A process passes one higher than in its earlier life if it
-    /// can; if not, it learns of its earlier life from others and steps past it.
+    /// Initial incarnation, if possible higher than the last one of an earlier run. Otherwise the
+    /// VM raises it once it receives a rumour about the earlier run.
     pub incarnation: u32,
-    /// Seed of the random choices.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Times of the protocol.
+    /// Intervals and other parameters of the protocol.
     pub times: Times,
-    /// Safeguard switched off by a test.
+    /// Safeguard that a test disables.
     #[doc(hidden)]
     pub mutation: Mutation,
 }
 
-/// Times and counts of the protocol; every VM of a deployment should have the same.
+/// Parameters of the protocol, which should be the same on all VMs of a deployment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Times {
-    /// Milliseconds between two probes.
+    /// Interval between two probes, in milliseconds.
     pub period_ms: u64,
-    /// Milliseconds after which a probe goes on through other VMs.
+    /// Time without an answer after which indirect probes are sent, in milliseconds.
     pub direct_ms: u64,
-    /// VMs asked to probe in this one's name.
+    /// Number of VMs that are asked for an indirect probe.
     pub indirect: usize,
-    /// Periods that a suspicion lasts at least, for each power of ten of the members.
+    /// Minimum suspicion timeout, in probe periods, multiplied by the logarithm of the number of
+    /// members.
     pub suspicion: u64,
-    /// How many times longer an unconfirmed suspicion lasts.
+    /// Factor between the minimum suspicion timeout and that of an unconfirmed suspicion.
     pub patience: u64,
-    /// Milliseconds between two rounds of gossip while there is news.
+    /// Interval between two rounds of gossip while there are urgent updates, in milliseconds.
     pub gossip_ms: u64,
-    /// VMs told in each round of gossip.
+    /// Number of random VMs that each round of gossip sends to.
     pub gossip_fan_out: usize,
-    /// Milliseconds between two pulls of a page of members.
+    /// Interval between two pulls of a page of members, in milliseconds.
     pub pull_ms: u64,
-    /// Milliseconds between two contacts with a dead VM or a silent seed.
+    /// Interval between two attempts to reach a dead VM or an unreachable seed, in milliseconds.
     pub contact_dead_ms: u64,
-    /// Milliseconds after which a dead or departed VM is forgotten.
+    /// Time after which a VM that is dead or has left is removed, in milliseconds.
     pub forget_ms: u64,
 }
 
@@ -78,23 +80,24 @@
     }
 }
 
-/// A safeguard switched off, so that a test can prove that it would notice. Never set outside
-/// tests.
+/// Disables one safeguard, so that tests can verify that they detect its absence.
+///
+/// Only set in tests.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Mutation {
     #[default]
     None,
-    /// A suspected VM doesn't object.
+    /// Never refutes a suspicion.
     NoRefute,
-    /// A probe that fails directly isn't tried through others.
+    /// Sends no indirect probes.
     NoIndirect,
-    /// Indirect probes don't prefer other failure domains.
+    /// Chooses VMs for indirect probes without regard to failure domains.
     AnyDomain,
-    /// Dead VMs and silent seeds are never contacted again.
+    /// Never contacts dead VMs and, once joined, unreachable seeds.
     NoContactDead,
-    /// Older states of a VM overwrite newer ones.
+    /// Lets older states of a VM overwrite newer ones.
     IgnoreIncarnation,
-    /// Members are never pulled, only gossiped.
+    /// Never pulls members.
     NoPull,
 }
--- a/crates/core/src/membership/suspicion.rs
+++ b/crates/core/src/membership/suspicion.rs
@@ -1,28 +1,28 @@
-//! How long a suspected VM has to object before it counts as dead.
+//! Suspicion timeouts: how long a suspected VM has to refute the suspicion.
 //!
-//! As in Lifeguard, a suspicion starts long and shortens with each other VM that raises the same
-//! one. A VM whose own links fail suspects many others alone, and its suspicions then last long
+//! As in Lifeguard, a suspicion starts with a long timeout that shortens with each further accuser.
+//! A VM whose own links fail is the only accuser of many others, and its suspicions last long
 //! enough to be refuted.
 
 use super::Times;
 use crate::prelude::*;
 
-/// Independent accusers that bring a suspicion down to its shortest.
+/// Number of further accusers that reduce a suspicion to its shortest timeout.
 const CONFIRMATIONS: usize = 3;
 
-/// A suspicion under way.
+/// A suspicion that is neither refuted nor expired.
 #[derive(Clone, Debug)]
 pub(super) struct Suspicion {
     started: Time,
     accusers: Vec<VmId>,
     shortest: Duration,
     longest: Duration,
-    /// Accusers needed; none in a deployment too small to have them.
+    /// Further accusers needed for the shortest timeout; zero in deployments too small for them.
     needed: usize,
 }
 
 impl Suspicion {
-    /// Starts a suspicion among `members` VMs.
+    /// Starts a suspicion in a deployment of `members` VMs.
     pub fn new(times: &Times, members: usize, accuser: VmId, now: Time) -> Suspicion {
         let scale = (members.max(10) as f64).log10();
         let shortest = times.period_ms as f64 * times.suspicion as f64 * scale;
@@ -37,12 +37,12 @@
         }
     }
 
-    /// Returns who raised it first.
+    /// Returns the VM that raised the suspicion first.
     pub fn accuser(&self) -> VmId {
         self.accusers[0]
     }
 
-    /// Counts another accuser; returns true if it was a new one that mattered.
+    /// Adds an accuser. Returns `true` if it is a new one that shortens the timeout.
     pub fn confirm(&mut self, accuser: VmId) -> bool {
         if self.accusers.len() > self.needed || self.accusers.contains(&accuser) {
             return false;
@@ -51,7 +51,7 @@
         true
     }
 
-    /// Returns when the VM counts as dead.
+    /// Returns the time at which the suspected VM is declared dead.
     pub fn deadline(&self) -> Time {
         if self.needed == 0 {
             return self.started + self.shortest;
--- a/crates/core/src/membership/sync.rs
+++ b/crates/core/src/membership/sync.rs
@@ -1,4 +1,4 @@
-//! What keeps views together beside gossip: pages of members, and contact with the dead.
+//! Synchronization of views beside gossip: pulls of member pages, and contact with dead VMs.
 
 use std::net::SocketAddr;
 
@@ -12,11 +12,10 @@
 use crate::wire::membership::datagram::Body;
 
 impl Membership {
-    /// Contacts a VM that counts as dead, or a seed where nobody is known to be up.
+    /// Pings a random dead VM, and a seed at whose address no VM is up.
     ///
-    /// The failure: a partition lasts until each side holds the other for dead, and heals. With
-    /// nobody probing the dead, two halves would run on side by side for good. One contact by
-    /// any VM is enough, since the news it brings spreads.
+    /// After a partition in which each side declared the other dead, the two halves would otherwise
+    /// never merge. Contact between any two VMs is enough, since the updates spread by gossip.
     pub(super) fn reconnect(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let alone = self.records.values().all(|record| !record.member.is_up());
         let times = self.settings.times;
@@ -51,7 +50,7 @@
         seeds.filter(|seed| **seed != self.settings.address && !up(seed)).copied().collect()
     }
 
-    /// Asks a random VM for the next page of members, so that news that gossip lost arrives.
+    /// Pulls the next page of members from a random VM, to get updates that gossip missed.
     pub(super) fn pull(&mut self, effects: &mut Vec<Effect>) {
         if self.settings.mutation == Mutation::NoPull {
             return;
@@ -62,6 +61,7 @@
         }
     }
 
+    /// Sends the page of members that begins at the requested id, as many as fit in a datagram.
     pub(super) fn handle_pull_request(
         &mut self,
         sender: VmId,
@@ -86,8 +86,10 @@
         effects.push(Effect::Send { to: from, bytes: page.encode_to_vec().into() });
     }
 
-    /// Goes on to the next page. A VM has joined once a round of all pages told it of no new
-    /// VM: when many start at once, the first rounds come from VMs that know little themselves.
+    /// Moves on to the next page.
+    ///
+    /// A VM has joined once a round of all pages contained no unknown VM. When many VMs start at
+    /// once, the first rounds come from VMs whose own view is incomplete.
     pub(super) fn handle_pull_reply(&mut self, reply: wire::PullReply) {
         self.pull_start = reply.next;
         if reply.next == 0 {
--- a/crates/core/src/membership/updates.rs
+++ b/crates/core/src/membership/updates.rs
@@ -1,4 +1,4 @@
-//! Taking news in: merging it, objecting to it, and the suspicions it starts.
+//! Handling of received updates: merging them into records, refuting them, and tracking suspicions.
 
 use super::member::{Merged, Record};
 use super::suspicion::Suspicion;
@@ -6,18 +6,20 @@
 use crate::prelude::*;
 use crate::wire::membership as wire;
 
-/// How a piece of news came here.
+/// Where an update came from.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Origin {
     pub sender: VmId,
-    /// It stood on a page of members, and so isn't news to others.
+    /// Whether it was pulled with a page of members.
     pub pulled: bool,
 }
 
 impl Origin {
-    /// Returns true for what must be passed on: news of liveness, a VM that joins, and the
-    /// profile that a VM tells of itself. Other profiles, and VMs that a page told of, reach all
-    /// by pages; passing them on would fill the datagrams of a cold start with what is known.
+    /// Returns `true` if an update must be gossiped: a change of liveness, a VM that joins, or a
+    /// profile received from its own VM.
+    ///
+    /// Other profiles, and VMs found by a pull, reach everyone by pulls. Gossiping them would fill
+    /// the datagrams of a cold start with known data.
     fn should_gossip(self, vm: VmId, merged: Merged) -> bool {
         match merged {
             Merged::Stale => false,
@@ -28,16 +30,17 @@
     }
 }
 
-/// Turns a pulled death into a suspicion. After a partition each side holds the other for dead;
-/// taking that over page by page would make VMs that are up count as dead on their own side
-/// until they object, while a suspicion gives them the time to.
+/// Turns a pulled report of a death into a suspicion by the sender.
+///
+/// After a partition, each side considers the other dead. A suspicion gives a VM that is up the
+/// time to refute the report.
 pub(super) fn as_suspicion(rumour: &wire::Rumour, sender: VmId) -> wire::Rumour {
     let liveness = Liveness::Suspect.into();
     wire::Rumour { liveness, accuser: sender.0, ..rumour.clone() }
 }
 
 impl Membership {
-    /// Takes one piece of news.
+    /// Applies an update of one VM: merges it, and gossips it if others need it.
     pub(super) fn apply_rumour(
         &mut self,
         rumour: &wire::Rumour,
@@ -71,7 +74,7 @@
         }
     }
 
-    /// Starts or confirms the suspicion that a rumour tells of.
+    /// Starts or confirms a suspicion with the accuser that a rumour names.
     fn record_accuser(&mut self, vm: VmId, rumour: &wire::Rumour, now: Time) {
         let size = self.size();
         let Some(record) = self.records.get_mut(&vm) else { return };
@@ -94,8 +97,9 @@
         }
     }
 
-    /// Objects to news that this VM is anything but alive, or that it lives on in an earlier
-    /// incarnation of a higher number.
+    /// Refutes a rumour about this VM that contradicts its state, with a higher incarnation.
+    ///
+    /// This includes rumours about an earlier run of this VM with a higher incarnation.
     fn refute(&mut self, rumour: &wire::Rumour) {
         let me = &mut self.me;
         let older = rumour.incarnation < me.member.incarnation;
@@ -106,7 +110,7 @@
             return;
         }
         me.member.incarnation = rumour.incarnation.saturating_add(1);
-        // A restarted VM's profile must pass the one of its earlier life.
+        // The profile must be newer than that of an earlier run of this VM.
         me.profile.0 = me.member.incarnation;
         self.counts.refutations += 1;
         if rumour.liveness() == Liveness::Suspect {
@@ -115,6 +119,7 @@
         self.refutation_rounds = REFUTATION_ROUNDS;
     }
 
+    /// Suspects a VM that is up, and gossips the suspicion.
     pub(super) fn suspect(&mut self, vm: VmId, now: Time, effects: &mut Vec<Effect>) {
         let Some(record) = self.records.get(&vm) else { return };
         if !record.member.is_up() {
@@ -132,6 +137,7 @@
         self.apply_rumour(&rumour, origin, now, effects);
     }
 
+    /// Declares VMs dead whose suspicion has expired, and removes VMs that have been gone for long.
     pub(super) fn expire_suspicions(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let forget = self.millis(self.settings.times.forget_ms);
         self.records
