--- a/crates/core/src/turns/budget.rs
+++ b/crates/core/src/turns/budget.rs
@@ -1,4 +1,4 @@
-//! Token budgets that all entry VMs share.
+//! Token budgets of programs, shared by all entry VMs.
 
 use std::collections::BTreeMap;
 
@@ -6,33 +6,31 @@
 use crate::prelude::*;
 use crate::wire::turn::PromptRun;
 
-/// How long a program's use of its budget is remembered after its last turn, in milliseconds.
+/// How long a program's budget use is recorded after its last command, in milliseconds.
 ///
-/// A program that was stopped may come back for as long as its turns are kept, a minute today.
-/// Ten times that costs some hundred bytes a program.
+/// It must exceed the time that turns are kept, since a program may continue until then.
 const PROGRAM_RETENTION_MS: u64 = 600_000;
 
-/// A program whose budget holds no further turn.
+/// Error returned when a program's budget doesn't allow a further turn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BudgetExhausted {
-    /// Tokens spent, and set aside for turns that have not been settled.
+    /// Tokens that the program has spent or reserved.
     pub tokens: u64,
 }
 
-/// Silence after which it is forgotten where a program's prompts were read, in milliseconds: engines have
-/// dropped them by then, and they are most of what is remembered of a program.
+/// How long the engines of a program's prompts are recorded after its last command, in
+/// milliseconds. By then, engines have evicted the prompts from their caches.
 const RUN_RETENTION_MS: u64 = 30_000;
 
-/// One program's use of its budget.
+/// Budget use of one program, and the engines that read its prompts.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct Usage {
     /// Tokens of settled turns.
     pub(super) spent: u64,
-    /// Tokens set aside, by turn.
+    /// Tokens reserved for turns that aren't settled, by turn.
     pub(super) reserved: BTreeMap<CompactString, u64>,
-    /// The group's time of the last command, in milliseconds.
+    /// The group's time of the program's last command, in milliseconds.
     pub(super) last_ms: u64,
-    /// Where its prompts were read.
     pub(super) runs: Runs,
 }
 
@@ -42,19 +40,18 @@
     }
 }
 
-/// Use of budgets by program.
+/// Budget use by program.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Budgets {
     pub(super) programs: BTreeMap<CompactString, Usage>,
 }
 
 impl Budgets {
-    /// Sets tokens aside for a turn.
+    /// Reserves tokens for a turn. A repeated reservation for the same turn changes nothing.
     ///
-    /// A turn counts with the most it may generate until it is settled. An entry VM that dies
-    /// leaves its turns unsettled for good: what they handed out is not known, and counting less
-    /// could let the program exceed its budget. Asking again for the same turn changes nothing, so
-    /// a lost answer costs no budget.
+    /// Until it is settled, a turn counts with the maximum number of tokens that it may generate.
+    /// If its entry VM dies, it stays unsettled: the number of tokens that callers received is
+    /// unknown, and counting less could exceed the budget.
     pub(super) fn reserve(
         &mut self,
         now: u64,
@@ -76,38 +73,39 @@
         Ok(())
     }
 
-    /// Tells whether a program had a turn other than this one.
+    /// Returns `true` if a program had a turn other than this one.
     pub(super) fn has_other_turn(&self, program: &str, turn: &str) -> bool {
         let Some(usage) = self.programs.get(program) else { return false };
         usage.spent > 0 || usage.reserved.keys().any(|other| other != turn)
     }
 
-    /// Replaces what was set aside for a turn by what it used. A second settlement changes nothing.
+    /// Replaces the reservation of a turn by the tokens it used. A repeated settlement changes
+    /// nothing.
     pub(super) fn settle(&mut self, now: u64, program: &str, turn: &str, tokens: u64) {
         let Some(usage) = self.programs.get_mut(program) else { return };
         usage.last_ms = now;
         if usage.reserved.remove(turn).is_some() {
             usage.spent = usage.spent.saturating_add(tokens);
             if usage.reserved.is_empty() {
-                // An emptied map keeps a leaf for eleven turns, most of what a program would take.
+                // An empty map may still own an allocated node, which a new one doesn't.
                 usage.reserved = BTreeMap::new();
             }
         }
     }
 
-    /// Remembers where a program's prompt was read.
+    /// Records the engine that read a program's prompt.
     pub(super) fn record_run(&mut self, program: &str, run: &PromptRun) {
         if let Some(usage) = self.programs.get_mut(program) {
             usage.runs.record(run);
         }
     }
 
-    /// Returns where the longest known start of a program's prompt was read.
+    /// Returns the record of the longest known prefix of a program's prompt.
     pub(super) fn last_run(&self, program: &str, starts: &[u64]) -> Option<&PromptRun> {
         self.programs.get(program)?.runs.longest(starts)
     }
 
-    /// Forgets programs that have been silent for long.
+    /// Removes the state of programs that have been inactive for long.
     pub(super) fn expire(&mut self, now: u64) {
         self.programs.retain(|_, usage| {
             let silence = now.saturating_sub(usage.last_ms);
--- a/crates/core/src/turns/copies.rs
+++ b/crates/core/src/turns/copies.rs
@@ -1,4 +1,4 @@
-//! Which texts must be copied to other stores, so that the losses to be borne stay bearable.
+//! Planning of text copies, which restore the redundancy of texts after a store is lost or retires.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,26 +8,26 @@
 use crate::prelude::*;
 use crate::replication::repair::Candidate;
 
-/// What the turn group's leader knows of the stores.
+/// State of the stores as known to the turn group's leader.
 #[derive(Clone, Debug, Default)]
 pub struct CopySurvey {
-    /// Stores that can be read from, those that are to be emptied included.
+    /// Stores that texts can be read from, including those that are retiring.
     pub alive: Vec<Candidate>,
-    /// Stores that each text should be on.
+    /// Number of stores that should hold each text.
     pub copies: usize,
-    /// Stores that lately took no text: another one of their region is chosen where there is one.
+    /// Stores that recently failed to take texts. Others in the same region are preferred.
     pub failing: BTreeSet<VmId>,
-    /// Turns whose texts lately could not be copied. Planned again each time, they would keep out those
-    /// that can.
+    /// Turns whose texts recently couldn't be copied. They are skipped, so that they don't delay
+    /// other copies.
     pub deferred: BTreeSet<CompactString>,
 }
 
-/// A number of texts, and their length.
+/// Number and total length of a set of texts, also used as a limit of both.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct BatchSize {
-    /// Texts.
+    /// Number of texts.
     pub texts: usize,
-    /// Bytes of them all.
+    /// Total length of the texts, in bytes.
     pub bytes: u64,
 }
 
@@ -37,37 +37,36 @@
         self.bytes = self.bytes.saturating_add(bytes);
     }
 
-    /// Tells whether no further text should be added. One text may be longer than the most bytes.
+    /// Returns `true` if no further text should be added. The last text may exceed the limit.
     fn reaches(&self, limit: BatchSize) -> bool {
         self.texts >= limit.texts || self.bytes >= limit.bytes
     }
 }
 
-/// Limits of a plan.
+/// Limits of the texts in one plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// For a store that fetches from its own region.
+    /// Limit for a store that fetches from its own region.
     pub same_region: BatchSize,
-    /// For a store that fetches from another region: the link between them is narrow, and a newcomer in
-    /// the texts' own region takes the rest.
+    /// Limit for a store that fetches from another region, over a link with little bandwidth.
     pub cross_region: BatchSize,
 }
 
 /// Texts that one store should fetch from others.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Transfer {
-    /// The store that fetches.
+    /// Store that fetches the texts.
     pub target: VmId,
-    /// Stores that have the texts, those of the target's region first.
+    /// Stores that hold the texts, those in the target's region first.
     pub sources: Vec<VmId>,
-    /// True when none of them is in the target's region.
+    /// Whether no source is in the target's region.
     pub cross_region: bool,
-    /// The texts, with the holders that they have once they are copied.
+    /// Texts to fetch, with their holders after the transfer.
     pub turns: Vec<Holding>,
 }
 
 impl Transfer {
-    /// Returns the same in parts of at most `most` each, but at least one text.
+    /// Splits the transfer into parts within `limit`, each with at least one text.
     pub fn split(self, limit: BatchSize) -> Vec<Transfer> {
         let mut parts: Vec<Transfer> = Vec::new();
         let mut sum = BatchSize::default();
@@ -92,10 +91,10 @@
 }
 
 impl Turns {
-    /// Returns what to copy next, at most `most` to each store.
+    /// Plans the next transfers, within `limits` for each target.
     ///
-    /// Texts that lost the same holders go to the same store, so that a conversation's stay together.
-    /// A text of which no holder can be read is left out.
+    /// Texts with the same remaining holders get the same target, so that the texts of a
+    /// conversation stay together. Texts without a readable holder are skipped.
     pub fn plan_copies(&self, survey: &CopySurvey, limits: &Limits) -> Vec<Transfer> {
         let wanted = survey.copies.min(survey.serving().count());
         let mut plans: BTreeMap<BTreeSet<VmId>, Option<Transfer>> = BTreeMap::new();
@@ -123,10 +122,10 @@
         plans.into_values().flatten().filter(|copy| !copy.turns.is_empty()).collect()
     }
 
-    /// Returns the holders of texts that are on too few stores; none of them may be taken away.
+    /// Returns the holders of texts that are on too few stores. None of them may be removed.
     ///
-    /// Where fewer stores serve than each text should be on, the others may only be silent, and every
-    /// text counts.
+    /// If fewer stores are available than should hold each text, these are the holders of all
+    /// texts, since the missing stores may come back.
     pub fn required_holders(&self, survey: &CopySurvey) -> BTreeSet<VmId> {
         let under_replicated = self.under_replicated(survey, survey.copies);
         under_replicated.flat_map(|(_, turn)| turn.holders.iter().copied()).collect()
@@ -163,7 +162,8 @@
         self.alive.iter().find(|store| store.vm == vm)
     }
 
-    /// Returns how the texts that are left on these stores are copied, without any text yet.
+    /// Returns a transfer without texts for those whose `remaining` holders are these, or `None` if
+    /// there is no target.
     fn plan(&self, remaining: &BTreeSet<VmId>) -> Option<Transfer> {
         let target = self.choose_target(remaining)?;
         let other_region =
@@ -174,8 +174,8 @@
         Some(Transfer { target: target.vm, sources, cross_region, turns: Vec::new() })
     }
 
-    /// Returns the store that takes the place of a lost holder: in the region of those that are left, and
-    /// in a failure domain of its own where there is one.
+    /// Chooses the store that replaces a lost holder, preferably in the main region of the
+    /// remaining ones and in a failure domain of its own.
     fn choose_target(&self, remaining: &BTreeSet<VmId>) -> Option<&Candidate> {
         let region = self.main_region(remaining)?;
         let key: String = remaining.iter().map(|vm| format!("{}/", vm.0)).collect();
@@ -190,7 +190,8 @@
         })
     }
 
-    /// Returns the region with most of these stores; of two alike, the one with more others.
+    /// Returns the region with most of the remaining holders, or among equals the one with more
+    /// stores.
     fn main_region(&self, remaining: &BTreeSet<VmId>) -> Option<&CompactString> {
         let regions = remaining.iter().filter_map(|vm| self.find(*vm)).map(|store| &store.region);
         regions.max_by_key(|region| {
--- a/crates/core/src/turns/holders.rs
+++ b/crates/core/src/turns/holders.rs
@@ -1,7 +1,7 @@
-//! Which stores hold the text of a program's turns.
+//! Choice of the stores that hold the texts of a program's turns.
 //!
-//! Rendezvous hashing: each entry VM works out the same stores for a program, so the texts of one
-//! conversation lie together, and a store that comes or goes moves only what it holds.
+//! Uses rendezvous hashing: each entry VM computes the same stores for a program, so the texts of a
+//! conversation stay together, and a store that is added or removed affects only its own texts.
 
 use std::collections::BTreeSet;
 
@@ -10,11 +10,12 @@
 use crate::prelude::*;
 use crate::replication::repair::Candidate;
 
-/// Returns stores in the order in which they should hold the texts that belong to `key`; those that are
-/// to be emptied are left out.
+/// Returns the stores in order of preference for the texts that belong to `key`, without those that
+/// are retiring.
 ///
-/// Those of `region` come first, for the link between regions is narrow and paid by volume. Within a
-/// region one store of each failure domain comes before a second one of any.
+/// Stores in `region` come first, since the links between regions have little bandwidth and are
+/// billed by volume. Within a region, one store of each failure domain comes before a second one of
+/// any.
 pub fn preferred_stores(key: &str, region: &str, stores: &[Candidate]) -> Vec<VmId> {
     let mut ranked: Vec<&Candidate> = stores.iter().filter(|store| !store.retiring).collect();
     ranked.sort_by_key(|store| (store.region != region, score(key, store.vm), store.vm));
@@ -24,7 +25,7 @@
         let repeats_domain = !domains.insert(&store.domain);
         order.push((store.region != region, repeats_domain, store.vm));
     }
-    // Stable, so the order by score stays within each part.
+    // The sort is stable, so the order by score is preserved within each class.
     order.sort_by_key(|(cross_region, repeats_domain, _)| (*cross_region, *repeats_domain));
     order.into_iter().map(|(_, _, vm)| vm).collect()
 }
--- a/crates/core/src/turns/mod.rs
+++ b/crates/core/src/turns/mod.rs
@@ -1,10 +1,10 @@
-//! Turns that callers continue, and the token budgets of their programs.
+//! The turn group: turns that callers can continue, and the token budgets of their programs.
 //!
-//! A caller names the turn that it continues, so turns form a tree: several may continue the same
-//! one. The group keeps which turns there are and which stores hold their texts, see
-//! docs/design/texts.md. It also counts the tokens of each program, so that entry VMs share one budget,
-//! and knows which engine read its prompts last, so that they find it. Every replica applies the same
-//! commands in the same order; see docs/design/provider.md.
+//! A caller names the turn that it continues. Several turns may continue the same one, so they form
+//! a tree. The group records which turns exist and which stores hold their texts, see
+//! docs/design/texts.md. It also counts the tokens of each program, so that all entry VMs share one
+//! budget, and records which engine last read a prompt, so that its cache can be reused. Every
+//! replica applies the same commands in the same order, see docs/design/provider.md.
 
 mod budget;
 mod clock;
--- a/crates/core/src/turns/snapshot.rs
+++ b/crates/core/src/turns/snapshot.rs
@@ -1,4 +1,4 @@
-//! A turn group's state as one message, for snapshots and restarts.
+//! Serialization of a turn group's state for snapshots.
 
 use bytes::Bytes;
 use prost::Message;
@@ -10,16 +10,16 @@
 use crate::prelude::*;
 use crate::wire::turn as wire;
 
-/// Format of the snapshot; a reader refuses any other.
+/// Version of the snapshot format. Snapshots of any other version are rejected.
 const FORMAT: u32 = 2;
 
-/// Why a snapshot can't be read.
+/// Reason why a snapshot can't be restored.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RestoreError {
-    /// The bytes aren't a snapshot.
+    /// The bytes can't be decoded.
     #[error("the turn snapshot is damaged: {0}")]
     Damaged(CompactString),
-    /// Another version wrote it.
+    /// Another release wrote the snapshot, in the format of this number.
     #[error(
         "the turn snapshot has format {0}, this version reads {FORMAT}: run the version that \
         wrote it, or start with an empty data folder"
@@ -28,7 +28,7 @@
 }
 
 impl Turns {
-    /// Returns the whole state.
+    /// Encodes the whole state.
     pub fn snapshot(&self) -> Bytes {
         let programs = self.budgets.programs.iter().map(|(name, usage)| program(name, usage));
         let turns = self.tree.turns.iter().map(|(id, turn)| record(id, turn));
@@ -41,10 +41,11 @@
         snapshot.encode_to_vec().into()
     }
 
-    /// Reads a state that [`Turns::snapshot`] wrote.
+    /// Restores a state that [`Turns::snapshot`] encoded.
     ///
     /// # Errors
-    /// Returns why the bytes can't be read; the replica must not answer then.
+    ///
+    /// Returns an error if the snapshot can't be read; the replica must not serve requests then.
     pub fn restore(snapshot: &Bytes) -> Result<Turns, RestoreError> {
         let snapshot = wire::Snapshot::decode(snapshot.clone())
             .map_err(|error| RestoreError::Damaged(error.to_compact_string()))?;
--- a/crates/core/src/turns/state.rs
+++ b/crates/core/src/turns/state.rs
@@ -6,8 +6,8 @@
 use crate::wire::turn::command::Body as CommandBody;
 use crate::wire::turn::reply::Body as ReplyBody;
 
-/// Milliseconds of the group's clock between two sweeps for what may be forgotten: rare enough that
-/// a sweep over some ten thousand turns costs little. Every replica sweeps at the same command.
+/// Interval between two removals of expired state, in milliseconds of the group's time. Every
+/// replica removes it at the same command.
 const SWEEP_MS: u64 = 5_000;
 
 /// The replicated state of a turn group.
@@ -15,7 +15,8 @@
 pub struct Turns {
     pub(super) budgets: Budgets,
     pub(super) tree: TurnTree,
-    /// Latest time of any command, in milliseconds; zero before the first.
+    /// The group's time: the latest time of any command, in milliseconds. Zero before the first
+    /// command.
     pub(super) clock: u64,
 }
 
@@ -31,12 +32,13 @@
         wire::Reply { body: Some(body) }
     }
 
-    /// Returns how many turns are kept.
+    /// Returns the number of recorded turns, including those that are only held for a turn in
+    /// progress.
     pub fn kept(&self) -> usize {
         self.tree.len()
     }
 
-    /// Returns which of these turns are still kept, with how much longer.
+    /// Returns those of these turns whose texts are still needed, with their remaining time.
     pub fn still_kept(&self, turns: &[String]) -> Vec<wire::KeptTurn> {
         let kept = turns.iter().filter_map(|turn| {
             let left_ms = self.tree.remaining(self.clock, turn)?;
@@ -45,12 +47,12 @@
         kept.collect()
     }
 
-    /// Returns the group's time, in milliseconds; nothing before the first command.
+    /// Returns the group's time, in milliseconds, or `None` before the first command.
     pub fn time(&self) -> Option<u64> {
         (self.clock > 0).then_some(self.clock)
     }
 
-    /// Returns how many programs are remembered.
+    /// Returns the number of programs whose budget use is recorded.
     pub fn programs(&self) -> usize {
         self.budgets.programs.len()
     }
@@ -99,8 +101,10 @@
         ReplyBody::Settled(wire::Settled {})
     }
 
-    /// Takes the time of a command. It never goes back: what a deposed leader proposed may come after
-    /// its successor's first command, and must not make an expired turn come back.
+    /// Advances the group's time to that of a command, and returns it.
+    ///
+    /// The time never goes back: a command of a deposed leader may be applied after commands of its
+    /// successor, and must not revive an expired turn.
     fn advance(&mut self, now: u64) -> u64 {
         let before = self.clock;
         self.clock = self.clock.max(now);
--- a/crates/core/src/turns/tree.rs
+++ b/crates/core/src/turns/tree.rs
@@ -5,30 +5,32 @@
 use crate::prelude::*;
 use crate::wire::turn as wire;
 
-/// More turns than any chain has; a longer one is a loop in damaged state.
+/// Maximum length of a chain of turns, so that a loop in damaged state ends.
 const MAX_CHAIN: usize = 100_000;
 
-/// How long a turn is remembered past its time, and past the longest time of what continues it, in
-/// milliseconds: longer than a settlement takes. A turn that continues it may have been reserved just
-/// before, and keeps it once it is settled.
+/// How long a turn is recorded after its retention and after the deadline of turns that continue
+/// it, in milliseconds. It must exceed the time of a settlement, since a turn reserved shortly
+/// before the end extends the retention when it is settled.
 const SETTLE_GRACE_MS: u64 = 30_000;
 
-/// Stores that are remembered as holders of one text: more than ever hold it at one time, and few enough
-/// that losses one after another don't fill the state.
+/// Maximum number of recorded holders of one text, more than hold it at the same time.
 const MAX_HOLDERS: usize = 8;
 
-/// One kept turn. Its text is on the disks of its holders, see docs/design/texts.md.
+/// A recorded turn. Its text is on the disks of its holders, see docs/design/texts.md.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Turn {
+    /// Id of the turn that it continues, empty for the first of a chain.
     pub(super) previous: CompactString,
-    /// Stores that have the turn's text, or had it: those noted last come first.
+    /// Stores that hold or held the turn's text, most recently recorded first.
     pub(super) holders: Vec<VmId>,
     /// Length of the text, in bytes.
     pub(super) bytes: u64,
+    /// How long the turn is kept after it was settled, in milliseconds.
     pub(super) retention: u64,
-    /// The group's time until which it is kept, in milliseconds.
+    /// The group's time until which it can be continued, in milliseconds.
     pub(super) kept_until: u64,
-    /// Time until which a turn that continues it may be under way, in milliseconds; zero without one.
+    /// The group's time until which a turn that continues it may run, in milliseconds; zero without
+    /// one.
     pub(super) held_until: u64,
 }
 
@@ -44,7 +46,7 @@
         }
     }
 
-    /// Returns the time until which it is remembered.
+    /// Returns the group's time at which the turn is removed, in milliseconds.
     fn expires_at(&self) -> u64 {
         self.kept_until.max(self.held_until).saturating_add(SETTLE_GRACE_MS)
     }
@@ -63,7 +65,7 @@
     }
 }
 
-/// Returns each store once, the first [`MAX_HOLDERS`]. One that is named twice is still one disk.
+/// Returns the first [`MAX_HOLDERS`] distinct stores.
 fn distinct(stores: impl Iterator<Item = VmId>) -> Vec<VmId> {
     let mut found = Vec::new();
     for vm in stores {
@@ -74,25 +76,25 @@
     found
 }
 
-/// Where the text of one turn is.
+/// The stores that hold the text of one turn.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Holding {
-    /// The turn.
+    /// Id of the turn.
     pub turn: CompactString,
-    /// Stores that have its text.
+    /// Stores that hold its text.
     pub holders: Vec<VmId>,
     /// Length of the text, in bytes.
     pub bytes: u64,
 }
 
 impl Holding {
-    /// Returns the message for other processes.
+    /// Converts the holding to its wire message.
     pub fn to_wire(&self) -> wire::Holding {
         let holders = self.holders.iter().map(|vm| vm.0).collect();
         wire::Holding { turn: self.turn.to_string(), holders, bytes: self.bytes }
     }
 
-    /// Reads the message of another process.
+    /// Converts a wire message.
     pub fn from_wire(holding: &wire::Holding) -> Holding {
         Holding {
             turn: holding.turn.to_compact_string(),
@@ -102,14 +104,16 @@
     }
 }
 
-/// Turns by their id.
+/// The recorded turns by id. Each names the turn that it continues.
 #[derive(Clone, Debug, Default)]
 pub struct TurnTree {
     pub(super) turns: BTreeMap<CompactString, Turn>,
 }
 
 impl TurnTree {
-    /// Keeps a turn, and its whole chain for as long as itself.
+    /// Records a turn, and extends the retention of its whole chain to its own.
+    ///
+    /// A turn that is recorded already isn't changed.
     pub fn keep(&mut self, now: u64, id: &str, kept: &wire::Kept) {
         if self.turns.contains_key(id) {
             return;
@@ -127,15 +131,16 @@
         }
     }
 
-    /// Remembers a chain for as long as a turn that continues it may take.
+    /// Holds a chain for as long as a turn that continues it may run.
     ///
-    /// A stream may outlast the time of what it continues. Were that forgotten meanwhile, the turn would
-    /// end whole and yet its own continuation be unknown. No other turn may continue it for longer.
+    /// A stream may outlast the retention of the turns that it continues. If these were removed
+    /// meanwhile, the turn would complete, but couldn't be continued. Holding a chain doesn't allow
+    /// other turns to continue it for longer.
     pub fn hold(&mut self, now: u64, previous: &str, duration: u64) {
         let held_until = now.saturating_add(duration);
         let mut next = CompactString::from(previous);
         while let Some(turn) = self.turns.get_mut(&next) {
-            // What precedes a turn is held at least as long as the turn.
+            // The turns before this one are held at least as long.
             if duration == 0 || turn.held_until >= held_until {
                 break;
             }
@@ -144,8 +149,8 @@
         }
     }
 
-    /// Returns where the texts of everything that precedes a turn that continues `previous` are,
-    /// oldest first. Nothing if no such turn is kept.
+    /// Returns the holders of all texts up to and including the turn `previous`, oldest first, or
+    /// `None` if that turn is no longer kept. An empty `previous` has an empty chain.
     pub fn chain(&self, now: u64, previous: &str) -> Option<Vec<Holding>> {
         let mut chain = Vec::new();
         let mut next = previous;
@@ -158,22 +163,22 @@
         Some(chain)
     }
 
-    /// Tells whether a turn is kept, as the start of every chain is. Its chain is kept at least as
-    /// long.
+    /// Returns `true` if a turn can be continued, or if `id` is empty, which begins a new chain.
+    /// The turns before it are kept at least as long.
     pub fn is_kept(&self, now: u64, id: &str) -> bool {
         id.is_empty() || self.turns.get(id).is_some_and(|turn| turn.kept_until > now)
     }
 
-    /// Returns how much longer a turn's text must be held, in milliseconds; nothing if it need not.
+    /// Returns how much longer a turn's text is needed, in milliseconds, or `None` if it isn't.
     pub fn remaining(&self, now: u64, id: &str) -> Option<u64> {
         let expires_at = self.turns.get(id)?.expires_at();
         expires_at.checked_sub(now).filter(|remaining| *remaining > 0)
     }
 
-    /// Notes that other stores hold a turn's text now.
+    /// Records the new holders of a turn's text.
     ///
-    /// Those that held it before are remembered after them: one that was only silent still has it on its
-    /// disk, and a leader that was deposed for a while may not know of all.
+    /// Earlier holders stay recorded after them: one that was only unreachable still has the text
+    /// on its disk, and a leader that was deposed for a while may not know of all holders.
     pub fn record_holders(&mut self, holding: &Holding) {
         if let Some(turn) = self.turns.get_mut(&holding.turn) {
             let before = std::mem::take(&mut turn.holders);
@@ -181,17 +186,17 @@
         }
     }
 
-    /// Forgets turns whose time is over, and which no turn under way can continue.
+    /// Removes turns that have expired and that no running turn continues.
     pub fn expire(&mut self, now: u64) {
         self.turns.retain(|_, turn| turn.expires_at() > now);
     }
 
-    /// Returns how many turns are kept.
+    /// Returns the number of recorded turns.
     pub fn len(&self) -> usize {
         self.turns.len()
     }
 
-    /// Tells whether no turn is kept.
+    /// Returns `true` if no turn is recorded.
     pub fn is_empty(&self) -> bool {
         self.turns.is_empty()
     }
