--- a/crates/core/src/bundle/check.rs
+++ b/crates/core/src/bundle/check.rs
@@ -1,4 +1,4 @@
-//! Checks of a bundle's whole content; each adds its findings and goes on.
+//! Validation of a bundle's content. All findings are collected.
 
 use std::collections::HashSet;
 use std::ops::RangeInclusive;
@@ -8,25 +8,26 @@
 };
 use super::{Digest, Findings, routes};
 
-/// Most characters of a name.
+/// Maximum length of a name, in bytes.
 const MAX_NAME: usize = 64;
-/// Longest timeout, idle time or program, in milliseconds: 30 days.
+/// Maximum timeout, idle time or duration of a program, in milliseconds: 30 days.
 const MAX_MILLIS: u64 = 30 * 24 * 3_600 * 1_000;
-/// Most tokens, calls or millionths, so that sums over a group's programs can't overflow.
+/// Maximum number of tokens, calls or millionths, so that sums over programs can't overflow.
 const MAX_AMOUNT: u64 = 1 << 50;
-/// Largest share of an organisation.
+/// Maximum share of an organisation.
 const MAX_SHARE: u64 = 1_000;
-/// Largest weight of the routing policy.
+/// Maximum weight in the routing policy.
 const MAX_WEIGHT: f64 = 1_000.0;
 
 const NAME: &str = "1 to 64 letters, digits, '.', '_' or '-'";
-const PATTERN: &str = "an instance name, or the start of one followed by '*'";
-const UNIQUE: &str = "a name used once in its list";
+const PATTERN: &str = "an instance name, or a prefix of one followed by '*'";
+const UNIQUE: &str = "a name that is unique in its list";
 
-/// Adds every finding of the bundle's content.
+/// Validates the content of a bundle.
 pub(super) fn check(bundle: &Bundle, findings: &mut Findings) {
     if bundle.version.parse::<Version>().is_err() {
-        findings.push("version", &bundle.version, "1 to 4 numbers parted by dots, as 2026.12.1");
+        let allowed = "1 to 4 numbers separated by dots, such as 2026.12.1";
+        findings.push("version", &bundle.version, allowed);
     }
     let known = DefinedNames::of(bundle);
     let mut names = UniqueValues::default();
@@ -45,7 +46,8 @@
     for (index, org) in bundle.organisations.iter().enumerate() {
         let path = format!("organisations[{index}]");
         check_organisation(&path, org, &known, &mut names, findings);
-        keys.add(&format!("{path}.key_digest"), &org.key_digest, "one key for one name", findings);
+        let allowed = "a key that no other organisation uses";
+        keys.add(&format!("{path}.key_digest"), &org.key_digest, allowed, findings);
     }
     routes::check(&bundle.routes, &bundle.pools, findings);
     check_policy(&bundle.policy, findings);
@@ -55,7 +57,7 @@
     }
 }
 
-/// Names that other parts of the bundle may refer to.
+/// Names that the bundle defines and refers to elsewhere.
 struct DefinedNames<'a> {
     models: HashSet<&'a str>,
     services: HashSet<&'a str>,
@@ -72,7 +74,7 @@
     }
 }
 
-/// Values that may stand once in their list.
+/// Values that must be unique in their list.
 #[derive(Default)]
 struct UniqueValues<'a>(HashSet<&'a str>);
 
@@ -211,7 +213,7 @@
 fn check_digest(path: &str, digest: &str, findings: &mut Findings) {
     let lower = !digest.bytes().any(|byte| byte.is_ascii_uppercase());
     if !lower || digest.parse::<Digest>().is_err() {
-        findings.push(path, digest, "a SHA-256 as 64 lower-case hexadecimal digits");
+        findings.push(path, digest, "a SHA-256 digest as 64 lower-case hexadecimal digits");
     }
 }
 
--- a/crates/core/src/bundle/content.rs
+++ b/crates/core/src/bundle/content.rs
@@ -1,4 +1,4 @@
-//! The types of a bundle's text.
+//! Types of a bundle's content.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,53 +8,54 @@
 use super::{Findings, MAX_CONTENT};
 use crate::prelude::*;
 
-/// What operators sign off: agent programs, what each may use and how much, and who may run it.
+/// Signed configuration of a deployment: models, services and routes, the agent programs with their
+/// limits, and the organisations that may run them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Bundle {
-    /// Version as dotted decimal numbers, such as `2026.12.1`; never used for other content.
+    /// Version as dotted decimal numbers, such as `2026.12.1`, used for this content only.
     pub version: CompactString,
     /// Models that agents may use.
     #[serde(default)]
     pub models: Vec<Model>,
-    /// Plain services that agents may call.
+    /// Services other than models that agents may call.
     #[serde(default)]
     pub services: Vec<Service>,
-    /// Agent programs.
+    /// Agent programs that callers may run.
     #[serde(default)]
     pub agents: Vec<Agent>,
-    /// Callers' organisations.
+    /// Organisations whose callers may run programs.
     #[serde(default)]
     pub organisations: Vec<Organisation>,
-    /// Weights of routing.
+    /// Weights of the routing policy.
     #[serde(default)]
     pub policy: Policy,
     /// Endpoints that don't check fencing numbers.
     #[serde(default)]
     pub fencing: Fencing,
-    /// Operators' word on quarantined requests.
+    /// Requests that operators released from quarantine.
     #[serde(default)]
     pub quarantine: Quarantine,
-    /// Callers' paths whose requests are passed through to endpoints as they are.
+    /// Routes whose requests are passed through to endpoints unchanged.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub routes: Vec<Route>,
     /// Pools of endpoints that routes lead to.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub pools: Vec<Pool>,
-    /// What callers of the routes may send.
+    /// Limits for the callers of routes.
     #[serde(default)]
     pub callers: CallerLimits,
-    /// The order that the bundle was made from, in the operator's own format, if it came so.
+    /// The operator's order that the bundle was generated from, in the operator's own format.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub original: Option<CompactString>,
 }
 
 impl Bundle {
-    /// Reads and checks a bundle's text.
+    /// Parses and validates a bundle's text.
     ///
     /// # Errors
     ///
-    /// Returns every finding together. Text that isn't YAML, or a value of the wrong type, ends
-    /// the reading, so it is reported alone with its place.
+    /// Returns all findings of the validation together. A syntax error or a value of the wrong type
+    /// stops the parser, so the values after it aren't checked.
     pub fn parse(yaml: &[u8]) -> Result<Bundle, Findings> {
         let mut findings = Findings::default();
         if yaml.len() > MAX_CONTENT {
@@ -71,34 +72,34 @@
         if findings.is_empty() { Ok(bundle) } else { Err(findings) }
     }
 
-    /// Returns the model of this name, if the bundle has it.
+    /// Returns the model with this name, if the bundle defines it.
     pub fn model(&self, name: &str) -> Option<&Model> {
         self.models.iter().find(|model| model.name == name)
     }
 
-    /// Returns the service of this name, if the bundle has it.
+    /// Returns the service with this name, if the bundle defines it.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.iter().find(|service| service.name == name)
     }
 
-    /// Returns the agent program of this name, if the bundle has it.
+    /// Returns the agent program with this name, if the bundle defines it.
     pub fn agent(&self, name: &str) -> Option<&Agent> {
         self.agents.iter().find(|agent| agent.name == name)
     }
 
-    /// Returns the organisation of this name, if the bundle has it.
+    /// Returns the organisation with this name, if the bundle defines it.
     pub fn organisation(&self, name: &str) -> Option<&Organisation> {
         self.organisations.iter().find(|org| org.name == name)
     }
 }
 
-/// Most brackets open at one place, those within text counted too.
+/// Maximum nesting depth of brackets.
 const MAX_NESTING: usize = 64;
 
-/// Returns how many brackets are open at the deepest place.
+/// Returns the maximum nesting depth of brackets, including those within strings.
 ///
-/// The YAML reader looks at every open bracket again at each token. A bundle of brackets alone
-/// would keep a store's control group busy for days; counting them first costs one pass.
+/// The YAML parser's time for each token grows with the depth, so a bundle of brackets could occupy
+/// the control group for days.
 fn nesting_depth(yaml: &[u8]) -> usize {
     let mut depth = 0_usize;
     let mut deepest = 0;
@@ -113,11 +114,7 @@
     deepest
 }
 
-/// Reads the text of a bundle.
-///
-/// JSON is YAML too, and its own reader is faster: a bundle of 350 routes that a tool wrote takes
-/// 1.4 ms and not 6.7 (medians of 101 readings, `cargo run --release -p gypsumglade-core --example
-/// bundle_read`).
+/// Deserializes a bundle. JSON is valid YAML, but its own parser is several times faster.
 fn read(text: &[u8], findings: &mut Findings) -> Result<Bundle, Findings> {
     if text.first() == Some(&b'{') {
         let mut document = serde_json::Deserializer::from_slice(text);
@@ -141,107 +138,107 @@
     })
 }
 
-/// A model at one version, from one supplier's endpoints.
+/// A version of a model and the endpoints that serve it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Model {
     /// Name that agents and callers use.
     pub name: CompactString,
-    /// Version that endpoints must have loaded.
+    /// Version that an endpoint must have loaded to serve the model.
     pub version: CompactString,
     /// Price of one prompt token, in millionths of the currency.
     pub input_micros: u64,
     /// Price of one generated token, in millionths of the currency.
     pub output_micros: u64,
-    /// Most tokens of prompt and answer together.
+    /// Maximum number of tokens of prompt and answer together.
     pub context_tokens: u64,
-    /// Endpoints that may serve it.
+    /// Endpoints that may serve the model.
     pub endpoints: Vec<EndpointPattern>,
 }
 
-/// A plain service beside the models.
+/// A service other than a model.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Service {
     /// Name that agents and callers use.
     pub name: CompactString,
     /// Endpoints that may serve it.
     pub endpoints: Vec<EndpointPattern>,
-    /// What it can be asked to do.
+    /// Operations that callers can request.
     pub operations: Vec<Operation>,
 }
 
 impl Service {
-    /// Returns the operation of this name, if the service has it.
+    /// Returns the operation with this name, if the service has it.
     pub fn operation(&self, name: &str) -> Option<&Operation> {
         self.operations.iter().find(|operation| operation.name == name)
     }
 }
 
-/// One operation of a plain service.
+/// An operation of a service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Operation {
-    /// Name in the caller's path.
+    /// Name in the path of a call.
     pub name: CompactString,
-    /// Whether a call that may have run may be run again.
+    /// Whether a call may be repeated if it may already have been executed.
     pub repeatable: bool,
-    /// Milliseconds after which the call counts as hung.
+    /// Time after which the call counts as hung, in milliseconds.
     pub timeout_ms: u64,
     /// Price of one call, in millionths of the currency.
     #[serde(default)]
     pub micros: u64,
 }
 
-/// An agent program.
+/// An agent program that callers can run, and its limits.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Agent {
-    /// Name that callers give.
+    /// Name that callers use to start a program.
     pub name: CompactString,
-    /// Names of the models it may use.
+    /// Names of the models that a program may use.
     #[serde(default)]
     pub models: Vec<CompactString>,
-    /// Names of the services it may call.
+    /// Names of the services that a program may call.
     #[serde(default)]
     pub services: Vec<CompactString>,
-    /// Urgency of its calls.
+    /// Priority class of the program's calls.
     #[serde(default)]
     pub class: Class,
     /// Limits of one program from its start to its end.
     pub budget: AgentBudget,
-    /// Milliseconds without a call after which a program ends.
+    /// Time without a call after which a program ends, in milliseconds.
     pub idle_ms: u64,
-    /// Most model calls of one program.
+    /// Maximum number of model calls of one program.
     pub max_turns: u32,
 }
 
-/// Urgency of an agent program's calls.
+/// Priority class of an agent program's calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Class {
-    /// Ordinary work.
+    /// The default priority.
     #[default]
     Normal,
-    /// Placed before ordinary work, within the starvation bound.
+    /// Scheduled before normal calls, within the starvation bound.
     Urgent,
 }
 
-/// Limits of one program.
+/// Limits on the total use of one program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AgentBudget {
-    /// Most prompt and answer tokens.
+    /// Maximum number of prompt and answer tokens.
     pub tokens: u64,
-    /// Most calls of models and services.
+    /// Maximum number of calls of models and services.
     pub calls: u64,
-    /// Most milliseconds from the first call.
+    /// Maximum time since the first call, in milliseconds.
     pub millis: u64,
-    /// Most money, in millionths of the currency.
+    /// Maximum cost, in millionths of the currency.
     pub micros: u64,
 }
 
 /// An organisation whose callers may run programs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Organisation {
-    /// Name that programs are kept under.
+    /// Name under which its programs run.
     pub name: CompactString,
-    /// SHA-256 of the callers' API key, so that the bundle holds no secret.
+    /// SHA-256 digest of the callers' API key, so that the bundle contains no secret.
     pub key_digest: CompactString,
     /// Weight in the fair sharing of capacity.
     #[serde(default = "one_share")]
@@ -254,13 +251,13 @@
     1
 }
 
-/// Weights of routing.
+/// Weights of the routing policy.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Policy {
-    /// Weight of a second of latency.
+    /// Weight of one second of latency.
     pub latency_weight: f64,
-    /// Weight of a second of prefill whose memory is thrown away.
+    /// Weight of one second of prefill whose cache entries are evicted.
     pub waste_weight: f64,
 }
 
@@ -270,22 +267,22 @@
     }
 }
 
-/// Which endpoints ignore fencing numbers.
+/// Endpoints that don't check fencing numbers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Fencing {
-    /// Endpoints that obey an order whatever number it carries.
+    /// Endpoints that execute an order regardless of its fencing number.
     pub ignored_by: Vec<EndpointPattern>,
 }
 
 impl Fencing {
-    /// Returns true when this endpoint doesn't check fencing numbers.
+    /// Returns `true` if this endpoint doesn't check fencing numbers.
     pub fn is_ignored_by(&self, endpoint: &str) -> bool {
         self.ignored_by.iter().any(|pattern| pattern.matches(endpoint))
     }
 }
 
-/// Operators' word on quarantined requests.
+/// Operators' decisions about quarantined requests.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Quarantine {
@@ -293,13 +290,13 @@
     pub lift: Vec<CompactString>,
 }
 
-/// An endpoint's instance name, or the start of one followed by `*`.
+/// An endpoint's instance name, or a prefix of one followed by `*`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct EndpointPattern(pub CompactString);
 
 impl EndpointPattern {
-    /// Returns true when the pattern covers this instance name.
+    /// Returns `true` if the pattern matches this instance name.
     pub fn matches(&self, endpoint: &str) -> bool {
         match self.0.strip_suffix('*') {
             Some(prefix) => endpoint.starts_with(prefix),
@@ -308,14 +305,14 @@
     }
 }
 
-/// A bundle's version as numbers, so that versions have an order.
+/// A bundle's parsed version. Versions are ordered number by number.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Version(Vec<u64>);
 
 impl FromStr for Version {
     type Err = VersionError;
 
-    /// Reads one to four decimal numbers parted by dots, without leading zeros.
+    /// Parses one to four decimal numbers separated by dots, without leading zeros.
     fn from_str(text: &str) -> Result<Version, VersionError> {
         let numbers = text.split('.').map(parse_number).collect::<Option<Vec<_>>>();
         match numbers {
@@ -325,9 +322,9 @@
     }
 }
 
-/// Most numbers in a version.
+/// Maximum number of numbers in a version.
 const MAX_NUMBERS: usize = 4;
-/// Most digits of a version's number, so that each fits its type.
+/// Maximum number of digits of each number in a version.
 const MAX_DIGITS: usize = 9;
 
 fn parse_number(part: &str) -> Option<u64> {
@@ -339,9 +336,9 @@
     part.parse().ok()
 }
 
-/// The text isn't a version.
+/// Error returned when a text isn't a valid version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("a version is one to four decimal numbers parted by dots, such as 2026.12.1")]
+#[error("a version must be one to four decimal numbers separated by dots, such as 2026.12.1")]
 pub struct VersionError;
 
 impl fmt::Display for Version {
--- a/crates/core/src/bundle/digest.rs
+++ b/crates/core/src/bundle/digest.rs
@@ -1,4 +1,4 @@
-//! SHA-256 digest of content.
+//! SHA-256 digests.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,10 +7,10 @@
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use sha2::{Digest as _, Sha256};
 
-/// Bytes of a digest.
+/// Length of a digest, in bytes.
 pub const DIGEST_LENGTH: usize = 32;
 
-/// SHA-256 of some bytes, written as 64 lower-case hexadecimal digits.
+/// A SHA-256 digest. Its text form has 64 lower-case hexadecimal digits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Digest(pub [u8; DIGEST_LENGTH]);
 
@@ -20,12 +20,12 @@
         Digest(Sha256::digest(content).into())
     }
 
-    /// Returns the digest that a message carries, or `None` if it has the wrong length.
+    /// Converts the bytes of a wire message, or returns `None` if they have the wrong length.
     pub fn from_wire(bytes: &[u8]) -> Option<Digest> {
         Some(Digest(bytes.try_into().ok()?))
     }
 
-    /// Returns the bytes that a message carries.
+    /// Converts the digest to the bytes of a wire message.
     pub fn to_wire(self) -> bytes::Bytes {
         bytes::Bytes::copy_from_slice(&self.0)
     }
--- a/crates/core/src/bundle/findings.rs
+++ b/crates/core/src/bundle/findings.rs
@@ -1,17 +1,17 @@
-//! Findings of a check, collected with their place and reported together.
+//! Findings of a bundle's validation, which are reported together.
 
 use std::fmt;
 
 use crate::prelude::*;
 
-/// One fault in a bundle: where it is, what stands there and what may stand there.
+/// An invalid value in a bundle.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Finding {
     /// Path from the bundle's root, such as `agents[2].models[0]`.
     pub path: CompactString,
-    /// The value found there.
+    /// The invalid value, or a description of it.
     pub value: CompactString,
-    /// What is allowed, as a sentence part that follows "allowed:".
+    /// Description of the allowed values, as a phrase that follows "allowed:".
     pub allowed: CompactString,
 }
 
@@ -21,13 +21,13 @@
     }
 }
 
-/// Every fault of one bundle, so that an operator mends them in one go.
+/// All findings of one bundle, so that an operator can fix them at once.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Findings(pub Vec<Finding>);
 
 impl Findings {
-    /// Adds one finding.
+    /// Adds a finding about the value at `path`.
     pub fn push(&mut self, path: &str, value: impl fmt::Display, allowed: &str) {
         let finding = Finding {
             path: path.to_compact_string(),
@@ -37,7 +37,7 @@
         self.0.push(finding);
     }
 
-    /// Returns true when nothing was found.
+    /// Returns `true` if there are no findings.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
@@ -45,7 +45,7 @@
 
 impl fmt::Display for Findings {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "the bundle has {} fault(s)", self.0.len())?;
+        write!(f, "the bundle has {} error(s)", self.0.len())?;
         for finding in &self.0 {
             write!(f, "\n  {finding}")?;
         }
--- a/crates/core/src/bundle/mod.rs
+++ b/crates/core/src/bundle/mod.rs
@@ -1,8 +1,7 @@
-//! Bundle content as operators write and sign it, and its checks.
+//! Bundles: their content, validation and signatures.
 //!
-//! A bundle is YAML text. Its digest is taken over the bytes as they were signed, so no
-//! canonical form is needed and a byte changed anywhere voids the signatures. See
-//! docs/design/bundles.md.
+//! A bundle is YAML text. Its digest covers the exact bytes that were signed, so no canonical form
+//! is needed and any change invalidates the signatures. See docs/design/bundles.md.
 
 mod check;
 mod content;
@@ -22,5 +21,5 @@
     KeyPair, OperatorKeys, PublicKey, RollBackOrder, Signature, SignatureError, SignedBundle,
 };
 
-/// Most bytes of one bundle's text.
+/// Maximum size of a bundle's text, in bytes.
 pub const MAX_CONTENT: usize = 16 * 1024 * 1024;
--- a/crates/core/src/bundle/routes.rs
+++ b/crates/core/src/bundle/routes.rs
@@ -1,116 +1,116 @@
-//! Routes: callers' paths whose requests are passed through to a pool of endpoints.
+//! Routes: paths whose requests are passed through to pools of endpoints.
 
 use std::collections::HashSet;
 
 use super::Findings;
 use crate::prelude::*;
 
-/// One route.
+/// A host and path prefix, and how requests to it are handled.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Route {
-    /// Name for logs and metrics.
+    /// Name used in logs and metrics.
     pub name: CompactString,
-    /// Host that callers name.
+    /// Host that the route applies to.
     pub host: CompactString,
-    /// Start of the paths that it covers; begins and ends with a slash.
+    /// Prefix of the paths that it matches; begins and ends with a slash.
     pub prefix: CompactString,
-    /// What may be repeated.
+    /// Whether requests may be repeated.
     pub repeat: Repeat,
-    /// Longest time that the operator wants a request kept waiting, in milliseconds.
+    /// Maximum time that a request may wait, in milliseconds.
     pub timeout_ms: u64,
-    /// Time within which an answer is worth most to callers, in milliseconds.
+    /// Response time up to which an answer has its full value to callers, in milliseconds.
     pub target_ms: u64,
-    /// Rank among the routes of a pool; zero is the most urgent.
+    /// Priority among the routes of a pool; zero is the most urgent.
     pub rank: u8,
-    /// Most endpoints that may run one request.
+    /// Maximum number of endpoints that may run one request.
     pub attempts: u32,
-    /// Whether endpoints are faster at requests whose kind they handled lately.
+    /// Whether endpoints are faster at requests of a kind that they handled recently.
     #[serde(default)]
     pub sticky: bool,
     /// Pools that requests go to, with their weights.
     pub shares: Vec<Share>,
-    /// Present where answers are streams of events.
+    /// Settings of event streams, if the route's answers are such.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub stream: Option<Stream>,
 }
 
-/// What may be repeated when it may have run.
+/// Whether a request may be repeated if it may already have been executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Repeat {
-    /// A request may run again, elsewhere too.
+    /// A request may be repeated, also at another endpoint.
     Idempotent,
-    /// A request runs at most once.
+    /// A request is executed at most once.
     Never,
 }
 
-/// A pool's part of a route.
+/// A pool's share of a route's requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Share {
     /// Name of the pool.
     pub pool: CompactString,
-    /// Part of the requests, against the sum of the weights.
+    /// Weight of the pool, relative to the sum of the route's weights.
     pub weight: u32,
 }
 
-/// How a route's streams behave.
+/// Settings of a route's event streams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stream {
-    /// How long a turn is kept for those that continue it, in milliseconds; absent where callers
-    /// send all that precedes.
+    /// How long a turn is kept so that it can be continued, in milliseconds. Absent if callers send
+    /// the whole history with each request.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub keep_ms: Option<u64>,
-    /// Whether a stream that broke may go on at another endpoint.
+    /// Whether a broken stream may be resumed at another endpoint.
     #[serde(default)]
     pub resumable: bool,
-    /// Longest pause between events that callers find acceptable, in milliseconds.
+    /// Maximum pause between events that is acceptable to callers, in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub gap_ms: Option<u64>,
 }
 
-/// A pool of endpoints of one kind.
+/// A pool of equivalent endpoints.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Pool {
     /// Name that endpoints announce.
     pub name: CompactString,
-    /// Most connections that an endpoint takes from all callers together.
+    /// Maximum number of connections that an endpoint accepts from all callers together.
     pub connections: u32,
-    /// Path of the health check.
+    /// Path of the endpoints' health check.
     pub health_path: CompactString,
-    /// Present where the endpoints are model engines.
+    /// Properties of the endpoints, if they are model engines.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub engine: Option<PoolEngine>,
 }
 
-/// What the engines of a pool have in common.
+/// Properties shared by the model engines of a pool.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PoolEngine {
-    /// Requests in a batch.
+    /// Maximum number of requests in a batch.
     pub slots: u32,
-    /// Tokens that running requests and prefix memory share.
+    /// Capacity of the KV cache, in tokens, shared by running requests and cached prefixes.
     pub cache_tokens: u64,
-    /// Bytes of KV cache for each token.
+    /// Size of the KV cache for each token, in bytes.
     pub token_bytes: u64,
-    /// Tokens in each event of a stream.
+    /// Number of tokens in each event of a stream.
     pub event_tokens: u64,
 }
 
-/// What callers of the routes may send, and how long they may take.
+/// Limits on the size and duration of requests to the routes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct CallerLimits {
-    /// Most bytes of a request's head.
+    /// Maximum size of a request's head, in bytes.
     pub header_bytes: u64,
-    /// Most bytes of a request's body.
+    /// Maximum size of a request's body, in bytes.
     pub body_bytes: u64,
-    /// Longest time to send a head, in milliseconds.
+    /// Maximum time to send a request's head, in milliseconds.
     pub header_ms: u64,
-    /// Longest time that a connection may stay idle, in milliseconds.
+    /// Maximum idle time of a connection, in milliseconds.
     pub idle_ms: u64,
 }
 
 impl Default for CallerLimits {
-    /// Room for a history of 140,000 tokens, some 0.6 MB of text, and for a slow phone's head.
+    /// Returns limits that fit long conversation histories and slow mobile connections.
     fn default() -> CallerLimits {
         CallerLimits {
             header_bytes: 16 << 10,
@@ -121,11 +121,11 @@
     }
 }
 
-/// Adds every finding of the routes and pools.
+/// Validates the routes and pools.
 pub(super) fn check(routes: &[Route], pools: &[Pool], findings: &mut Findings) {
     let names: HashSet<&str> = pools.iter().map(|pool| pool.name.as_str()).collect();
     if names.len() < pools.len() {
-        findings.push("pools", "a name twice", "a name used once in its list");
+        findings.push("pools", "a duplicate name", "names that are unique in the list");
     }
     let mut seen = HashSet::new();
     for (index, route) in routes.iter().enumerate() {
@@ -133,7 +133,7 @@
         check_route(&path, route, &names, findings);
         if !seen.insert((route.host.as_str(), route.prefix.as_str())) {
             let place = format!("{}{} again", route.host, route.prefix);
-            findings.push(&path, place, "a host and prefix that no other route has");
+            findings.push(&path, place, "a host and prefix that no other route uses");
         }
     }
 }
@@ -155,6 +155,6 @@
     }
     let weight: u64 = route.shares.iter().map(|share| u64::from(share.weight)).sum();
     if weight == 0 {
-        findings.push(&format!("{path}.shares"), "no weight", "weights of which one is above 0");
+        findings.push(&format!("{path}.shares"), "no weight", "at least one weight above 0");
     }
 }
--- a/crates/core/src/bundle/signing.rs
+++ b/crates/core/src/bundle/signing.rs
@@ -1,4 +1,4 @@
-//! Operators' signatures over a bundle: m of n keys that the settings name.
+//! Operators' signatures over bundles and roll backs, of which the settings require m of n.
 
 use std::collections::HashSet;
 use std::fmt;
@@ -11,17 +11,17 @@
 use crate::prelude::*;
 use crate::wire::control as wire;
 
-/// Start of the bytes signed for a bundle, so that a signature can't be used for anything else.
+/// Prefix of the signed bytes of a bundle, so that a signature can't be used for anything else.
 const BUNDLE_DOMAIN: &[u8] = b"gypsumglade bundle v1\0";
-/// Start of the bytes signed for a roll back.
+/// Prefix of the signed bytes of a roll back.
 const ROLL_BACK_DOMAIN: &[u8] = b"gypsumglade roll back v1\0";
 
-/// An operator's public key, written as 64 hexadecimal digits.
+/// An operator's Ed25519 public key. Its text form has 64 hexadecimal digits.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub struct PublicKey([u8; 32]);
 
 impl PublicKey {
-    /// Returns the key's bytes.
+    /// Returns the raw bytes of the key.
     pub fn to_bytes(self) -> [u8; 32] {
         self.0
     }
@@ -63,48 +63,48 @@
     }
 }
 
-/// One operator's signature.
+/// An operator's signature over a bundle or a roll back.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Signature {
-    /// Who signed.
+    /// Public key of the operator who signed.
     pub key: PublicKey,
     /// Ed25519 signature, 64 bytes.
     pub bytes: Bytes,
 }
 
 impl Signature {
-    /// Returns the signature as messages carry it.
+    /// Converts the signature to its wire message.
     pub fn to_wire(&self) -> wire::Signature {
         wire::Signature { key: Bytes::copy_from_slice(&self.key.0), signature: self.bytes.clone() }
     }
 
-    /// Reads a message's signature, or `None` if the key has the wrong length.
+    /// Converts a wire message, or returns `None` if the key has the wrong length.
     pub fn from_wire(signature: &wire::Signature) -> Option<Signature> {
         let key = PublicKey(signature.key.as_ref().try_into().ok()?);
         Some(Signature { key, bytes: signature.signature.clone() })
     }
 }
 
-/// An operator's private key.
+/// An operator's Ed25519 key pair, which signs bundles and roll backs.
 pub struct KeyPair(SigningKey);
 
 impl KeyPair {
-    /// Makes the key pair of a seed, which must come from a secure source of randomness.
+    /// Creates the key pair of a seed, which must come from a secure source of randomness.
     pub fn from_seed(seed: [u8; 32]) -> KeyPair {
         KeyPair(SigningKey::from_bytes(&seed))
     }
 
-    /// Returns the public half.
+    /// Returns the public key.
     pub fn public(&self) -> PublicKey {
         PublicKey(self.0.verifying_key().to_bytes())
     }
 
-    /// Signs a bundle's digest and version.
+    /// Signs the digest and version of a bundle.
     pub fn sign_bundle(&self, digest: &Digest, version: &str) -> Signature {
         self.sign(&bundle_message(digest, version))
     }
 
-    /// Signs a roll back.
+    /// Signs a roll back order.
     pub fn sign_roll_back(&self, order: &RollBackOrder) -> Signature {
         self.sign(&order.message())
     }
@@ -115,14 +115,15 @@
     }
 }
 
-/// What operators sign to roll back. It names the base, so that it can't be replayed later.
+/// The fields of a roll back that operators sign. They include the base, so that the signature
+/// can't be replayed on a later revision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RollBackOrder {
-    /// Revision in force when the order was made.
+    /// Current revision when the order was created.
     pub base: RevisionNumber,
-    /// Earlier revision whose content comes back.
+    /// Earlier revision to restore.
     pub target: RevisionNumber,
-    /// Digest of that content.
+    /// Digest of the target's content.
     pub digest: Digest,
 }
 
@@ -143,12 +144,12 @@
     message
 }
 
-/// The operators' keys of the settings, and how many must sign.
+/// The operators' public keys, and how many of them must sign.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OperatorKeys {
-    /// Keys whose signatures count.
+    /// Public keys whose signatures are accepted.
     pub keys: Vec<PublicKey>,
-    /// Signatures needed, each by another key; at least one.
+    /// Number of different keys that must sign. Zero counts as one.
     pub threshold: usize,
 }
 
@@ -157,7 +158,7 @@
     ///
     /// # Errors
     ///
-    /// See [`SignatureError`].
+    /// Returns an error if a known key's signature is invalid or there are too few signatures.
     pub fn check_bundle(
         &self,
         digest: &Digest,
@@ -171,7 +172,7 @@
     ///
     /// # Errors
     ///
-    /// See [`SignatureError`].
+    /// Returns an error if a known key's signature is invalid or there are too few signatures.
     pub fn check_roll_back(
         &self,
         order: &RollBackOrder,
@@ -180,8 +181,10 @@
         self.check(&order.message(), signatures)
     }
 
-    /// A signature by a key that the settings don't name is passed over, not an error: an
-    /// operator who left may still stand among the signatures of an old bundle.
+    /// Checks the signatures over a message.
+    ///
+    /// Signatures by unknown keys are ignored, since an old bundle may carry the signature of an
+    /// operator whose key was removed.
     fn check(&self, message: &[u8], signatures: &[Signature]) -> Result<(), SignatureError> {
         let needed = self.threshold.max(1);
         let mut signers = HashSet::new();
@@ -206,53 +209,55 @@
     key.verify_strict(message, &parsed).map_err(|_| SignatureError::Invalid(signature.key))
 }
 
-/// Why signatures don't count.
+/// Reason why signatures are rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SignatureError {
-    /// The text isn't an Ed25519 public key.
-    #[error("an operator key is an Ed25519 public key as 64 hexadecimal digits")]
+    /// A key isn't a valid Ed25519 public key.
+    #[error("an operator key must be an Ed25519 public key as 64 hexadecimal digits")]
     MalformedKey,
-    /// A named operator's signature belongs to other content.
-    #[error("the signature of operator {0} is not over this content: sign it again")]
+    /// The signature of a known key doesn't match the content.
+    #[error("the signature of operator {0} doesn't match this content: sign it again")]
     Invalid(PublicKey),
     /// Not enough operators signed.
-    #[error("{found} of the settings' operators signed, {needed} are needed: collect more")]
+    #[error(
+        "{found} operators in the settings signed, {needed} are needed: collect more signatures"
+    )]
     TooFew {
-        /// Distinct named operators who signed.
+        /// Number of known keys that signed.
         found: usize,
-        /// The settings' threshold.
+        /// Number of known keys that must sign.
         needed: usize,
     },
-    /// The content itself has faults, so its version can't be read.
+    /// The content isn't a valid bundle, so its version is unknown.
     #[error(transparent)]
     Content(#[from] Findings),
 }
 
-/// A bundle's text with the signatures collected for it; the file that `bundle sign` writes.
+/// A bundle's text with the signatures collected so far; the file that `bundle sign` writes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SignedBundle {
     /// YAML text, exactly as signed.
     pub content: Bytes,
-    /// Signatures collected so far.
+    /// Signatures over the content's digest and version, at most one for each key.
     pub signatures: Vec<Signature>,
 }
 
 impl SignedBundle {
-    /// Starts with no signature.
+    /// Creates an unsigned bundle.
     ///
     /// # Errors
     ///
-    /// Returns the content's findings.
+    /// Returns the findings if the content isn't a valid bundle.
     pub fn new(content: Bytes) -> Result<SignedBundle, Findings> {
         Bundle::parse(&content)?;
         Ok(SignedBundle { content, signatures: Vec::new() })
     }
 
-    /// Adds an operator's signature, in place of an earlier one by the same key.
+    /// Adds an operator's signature, and replaces an earlier one by the same key.
     ///
     /// # Errors
     ///
-    /// Returns the content's findings.
+    /// Returns the findings if the content isn't a valid bundle.
     pub fn sign(&mut self, pair: &KeyPair) -> Result<(), Findings> {
         let version = Bundle::parse(&self.content)?.version;
         let signature = pair.sign_bundle(&self.digest(), &version);
@@ -266,11 +271,11 @@
         Digest::of(&self.content)
     }
 
-    /// Checks content and signatures and returns the content's digest.
+    /// Checks the content and its signatures, and returns the content's digest.
     ///
     /// # Errors
     ///
-    /// Returns the findings, or why the signatures don't count.
+    /// Returns an error if the content isn't a valid bundle or the signatures are rejected.
     pub fn verify(&self, keys: &OperatorKeys) -> Result<Digest, SignatureError> {
         let bundle = Bundle::parse(&self.content)?;
         let digest = self.digest();
