--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -1,18 +1,18 @@
-//! Names that every module shares. All are small and `Copy`, but for text given from outside.
+//! Identifiers used in all modules.
 
 use std::fmt;
 
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
 
-/// A VM of the system, numbered by the operators in its settings and never reused.
+/// Identity of a VM, a number that is never reused.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct VmId(pub u32);
 
-/// A replicated log and the state machine behind it. Zero is the control group.
+/// Identity of a replication group: a replicated log and its state machine.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -20,24 +20,24 @@
 pub struct GroupId(pub u32);
 
 impl GroupId {
-    /// The group that holds bundles, leases and placement.
+    /// The control group, which holds bundles, leases and placement.
     pub const CONTROL: GroupId = GroupId(0);
-    /// The group that holds kept turns and token budgets; far from the program groups' numbers.
+    /// The turn group, which holds turns and token budgets. Program groups are numbered from 1.
     pub const TURNS: GroupId = GroupId(1 << 16);
 }
 
-/// One of a fixed count of shares of the program space; placement maps slots to groups.
+/// One of [`SLOTS`] partitions of the programs. Each slot belongs to a program group.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct Slot(pub u16);
 
-/// How many slots there are. Fixed for the life of a deployment: see docs/design/placement.md.
+/// Number of slots, fixed for the lifetime of a deployment. See docs/design/placement.md.
 pub const SLOTS: u16 = 1024;
 
 impl Slot {
-    /// Returns the slot of a program, the same on every VM and in every version.
+    /// Returns the slot of a program, which is the same on all VMs and in all releases.
     pub fn of(org: &str, program: &str) -> Slot {
         let mut hash = xxhash_rust::xxh3::Xxh3::new();
         hash.update(org.as_bytes());
@@ -47,34 +47,34 @@
     }
 }
 
-/// A failure domain's index in the settings' list.
+/// Identity of a failure domain: its index in the settings' list.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct DomainId(pub u16);
 
-/// A region's index in the settings' list.
+/// Identity of a region: its index in the settings' list.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct RegionId(pub u16);
 
-/// A bundle revision's number. Revisions only grow; a roll back is a new revision.
+/// Number of a bundle revision. Numbers only grow, since a roll back creates a new revision.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct RevisionNumber(pub u64);
 
-/// An organisation's name, as the bundle writes it.
+/// An organisation's name, as defined in the bundle.
 pub type OrgName = CompactString;
 
 /// A program's name, unique within its organisation.
 pub type ProgramName = CompactString;
 
-/// An endpoint's instance name, as it announces itself.
+/// An endpoint's instance name, as it announces it.
 pub type EndpointName = CompactString;
 
 macro_rules! display_number {
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,8 +1,8 @@
-//! Every decision of gypsumglade, without input or output.
+//! The decision logic of gypsumglade, free of I/O.
 //!
-//! Nothing here opens a socket or a file, reads a clock or draws randomness of its own: time and
-//! seeds are passed in, and what is to be done comes back as a list of effects. The parts are
-//! embeddable one by one; docs/ARCHITECTURE.md shows how the daemons put them together.
+//! Nothing in this crate opens a socket or a file, reads a clock or creates its own random seeds.
+//! Time and seeds are passed in, and state machines return the actions to take as effects. The
+//! modules can be embedded separately; docs/ARCHITECTURE.md shows how the daemons combine them.
 
 pub mod bundle;
 pub mod control;
--- a/crates/core/src/prelude.rs
+++ b/crates/core/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The types that nearly every module uses.
+//! Types that nearly all modules use.
 
 pub use std::time::Duration;
 
--- a/crates/core/src/roster.rs
+++ b/crates/core/src/roster.rs
@@ -1,10 +1,10 @@
-//! Processes that introduced themselves, where nobody hands out a list of them.
+//! Service discovery: the list of stores that a process knows.
 //!
-//! Each process says hello to stores it knows of, at first to those that its settings name, and is
-//! told of all stores. What is known is soft state with an age; nothing durable depends on it.
+//! Each process sends a hello to stores that it knows, initially those named in its settings, and
+//! receives their list of stores. The list is soft state that expires.
 //!
-//! Only stores are listed: nobody asks an entry VM for anything, and lists of entries would grow with
-//! the square of their number.
+//! Only stores are listed. Nobody sends requests to entry VMs, and the traffic for a list of them
+//! would grow with the square of their number.
 
 use std::collections::BTreeMap;
 
@@ -13,14 +13,13 @@
 use crate::prelude::*;
 use crate::wire::discovery::{Led, Node, Nodes, Role};
 
-/// Silence after which a process is no longer listed.
+/// Time since a store was last seen after which it is removed.
 ///
-/// Processes say hello every half second, and a restart takes one to two seconds; a store that is
-/// listed too long costs a caller one failed connection.
+/// It is several times longer than a restart takes.
 const EXPIRE_AFTER: Duration = Duration::from_secs(10);
 
-/// Longest age that is passed on, so that two processes can't keep a third one's memory alive by
-/// telling each other.
+/// Maximum time since a store was last seen for it to be sent to others, so that processes don't
+/// keep a dead store listed by sending it to each other.
 const MAX_SHARED_AGE: Duration = Duration::from_secs(5);
 
 #[derive(Clone, Debug)]
@@ -29,8 +28,8 @@
     last_seen: Time,
 }
 
-/// Returns what tells one list of stores from another: their identities and addresses. Never zero,
-/// which stands for an asker without a list.
+/// Returns a digest of the identities and addresses of these stores. It is never zero, which stands
+/// for no list.
 pub fn digest(nodes: &[Node]) -> u64 {
     let mut known: Vec<(u32, &str)> =
         nodes.iter().map(|node| (node.vm, node.peers.as_str())).collect();
@@ -43,18 +42,19 @@
     hasher.digest().max(1)
 }
 
-/// Stores heard of lately.
+/// The stores that were seen recently.
 #[derive(Clone, Debug, Default)]
 pub struct Roster {
     nodes: BTreeMap<VmId, KnownNode>,
 }
 
 impl Roster {
-    /// Takes in a store, heard from itself or through another; other processes are passed over.
+    /// Records a store that announced itself or was listed by another process. Processes that
+    /// aren't stores are ignored.
     ///
-    /// Only a later introduction counts as a sign of life. Were the age alone compared, each relay
-    /// would add the time under way to the moment of the last one, and a dead process would seem to
-    /// live on for seconds.
+    /// Only an announcement with a higher sequence number counts as a sign of life. The age can't
+    /// be used, since it doesn't include the time in transit: a dead store would stay listed longer
+    /// with each relay.
     pub fn observe(&mut self, now: Time, node: Node) {
         if node.role() != Role::Store {
             return;
@@ -65,8 +65,8 @@
         if known.is_some_and(|known| known.node.sequence >= node.sequence) {
             return;
         }
-        // A process that restarted with an empty disk has a new identity at its old address. The
-        // earlier one is gone for good, and nothing should be sent to it there.
+        // A store that restarted with an empty disk has a new identity at its old address, and
+        // replaces the earlier one.
         let newer = |other: &Node| other.sequence > node.sequence;
         let taken = self.nodes.values().any(|other| {
             other.node.peers == node.peers && VmId(other.node.vm) != vm && newer(&other.node)
@@ -78,15 +78,15 @@
         self.nodes.insert(vm, KnownNode { node, last_seen });
     }
 
-    /// Forgets processes that have been silent for long.
+    /// Removes stores that haven't been seen for long.
     pub fn expire(&mut self, now: Time) {
         self.nodes.retain(|_, known| now.since(known.last_seen) < EXPIRE_AFTER);
     }
 
-    /// Returns the stores to tell a process of, with their ages.
+    /// Returns the list of stores for another process, with their ages.
     ///
-    /// `known` is the digest of those that it was told of last. An entry VM only needs to know which
-    /// stores there are, and where; told that they are the same, it costs a store a few bytes.
+    /// `known` is the digest of the list that it received last. If the list is the same, only that
+    /// is reported, which keeps the answers to hellos small.
     pub fn nodes(&self, now: Time, known: u64) -> Nodes {
         let nodes = self.nodes.values().filter(|known| now.since(known.last_seen) < MAX_SHARED_AGE);
         let aged = nodes.map(|known| {
@@ -102,10 +102,10 @@
         }
     }
 
-    /// Notes that a store has just told that these are there.
+    /// Marks these stores as seen now, since another store has just reported that its list is
+    /// unchanged.
     ///
-    /// Counted from the oldest sign of life that it may have had, they would be forgotten after half
-    /// the time, and an entry VM that was cut off for some seconds would know no store any more.
+    /// Without it, an entry VM that was disconnected for some seconds would have lost all stores.
     pub fn confirm(&mut self, now: Time, stores: &[VmId]) {
         for vm in stores {
             if let Some(known) = self.nodes.get_mut(vm) {
@@ -114,38 +114,41 @@
         }
     }
 
-    /// Tells whether all of these are still remembered. A process that has forgotten some must ask for
-    /// the whole list: told that it is the same as before, it would never learn of them again, and go on
-    /// under the bundle that it had.
+    /// Returns `true` if all of these stores are still listed.
+    ///
+    /// Otherwise a process must request the whole list: after an unchanged digest it would never
+    /// receive the missing stores again.
     pub fn contains_all(&self, stores: &[VmId]) -> bool {
         stores.iter().all(|vm| self.nodes.contains_key(vm))
     }
 
-    /// Returns the stores heard of, with the time each was last heard.
+    /// Returns the listed stores, with the time at which each was last seen.
     pub fn stores(&self) -> impl Iterator<Item = (&Node, Time)> {
         let stores = self.nodes.values().filter(|known| known.node.role() == Role::Store);
         stores.map(|known| (&known.node, known.last_seen))
     }
 
-    /// Returns the members of each group, as told by its leader within `age`. Where two stores
-    /// think that they lead, both are told: what either still counts on must not be taken away.
+    /// Returns the groups that stores seen within `age` report to lead.
+    ///
+    /// If two stores report to lead the same group, both reports are returned, since neither's
+    /// members may be removed.
     pub fn led_groups(&self, now: Time, age: Duration) -> Vec<Led> {
         let fresh = self.nodes.values().filter(|known| now.since(known.last_seen) < age);
         fresh.flat_map(|known| known.node.led.iter().cloned()).collect()
     }
 
-    /// Returns when a process was last heard.
+    /// Returns when a store was last seen.
     pub fn last_seen(&self, vm: VmId) -> Option<Time> {
         self.nodes.get(&vm).map(|known| known.last_seen)
     }
 
-    /// Returns the process that listens at an address now.
+    /// Returns the store that listens at an address.
     pub fn at_address(&self, peers: &str) -> Option<VmId> {
         let found = self.nodes.values().find(|known| known.node.peers == peers);
         found.map(|known| VmId(known.node.vm))
     }
 
-    /// Returns the process with this name.
+    /// Returns the store with this name, the one seen last if there are several.
     pub fn named(&self, name: &str) -> Option<&Node> {
         let found = self.nodes.values().filter(|known| known.node.name == name);
         found.max_by_key(|known| known.last_seen).map(|known| &known.node)
--- a/crates/core/src/stream.rs
+++ b/crates/core/src/stream.rs
@@ -1,35 +1,35 @@
-//! Finds the events in a stream that is passed through as bytes.
+//! Scanner for server-sent events in a stream that is passed through unchanged.
 //!
-//! Library parsers hand out decoded events; what a caller gets must be the endpoint's own bytes. So
-//! only the boundaries are looked for here, and the data of each event for the turn's record. See
-//! the format in the HTML standard, "Server-sent events".
+//! Callers receive the endpoint's exact bytes, so the scanner only finds the boundaries of events
+//! and collects their data for the turn's text. The format is specified in the HTML standard,
+//! "Server-sent events".
 
 use bytes::{Buf, Bytes, BytesMut};
 
-/// What a piece of the stream completed.
+/// The events that a piece of the stream completed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Completed {
-    /// Bytes up to the end of the last whole event, to be passed on.
+    /// Bytes to pass on, up to the end of the last complete event.
     pub bytes: Bytes,
-    /// Whole events among them that carry data.
+    /// Number of these events that carry data.
     pub events: u64,
 }
 
-/// Splits a stream into whole events.
+/// Splits a stream into complete events.
 ///
-/// An endpoint may break off in the middle of an event. Passing on whole events only means that
-/// the caller never holds a piece of one, so that a stream can be taken up again after the last.
+/// An endpoint may fail in the middle of an event. Since only complete events are passed on, the
+/// stream can be resumed after the last one.
 #[derive(Debug, Default)]
 pub struct EventScanner {
     pending: BytesMut,
-    /// Bytes of `pending` that hold no event's end.
+    /// Length of the prefix of `pending` that contains no end of an event.
     scanned: usize,
     data: BytesMut,
     last_id: Option<u64>,
 }
 
 impl EventScanner {
-    /// Takes the next piece of the stream.
+    /// Adds the next piece of the stream and returns the events that it completed.
     pub fn feed(&mut self, piece: &[u8]) -> Completed {
         self.pending.extend_from_slice(piece);
         let mut end = 0;
@@ -44,28 +44,28 @@
         Completed { bytes, events }
     }
 
-    /// Forgets an event that has begun, before the stream goes on from the last whole one.
+    /// Discards an incomplete event, before the stream is resumed after the last complete one.
     pub fn drop_partial(&mut self) {
         self.pending.clear();
         self.scanned = 0;
     }
 
-    /// Tells whether an event has begun and not ended.
+    /// Returns `true` if the last event is incomplete.
     pub fn has_partial(&self) -> bool {
         self.pending.has_remaining()
     }
 
-    /// Returns the id of the last whole event.
+    /// Returns the last numeric id of a complete event.
     pub fn last_id(&self) -> Option<u64> {
         self.last_id
     }
 
-    /// Returns the data of all events so far, each followed by a line feed.
+    /// Returns the data lines of all events, each followed by a line feed.
     pub fn into_data(self) -> Bytes {
         self.data.freeze()
     }
 
-    /// Returns the place after the blank line that ends the event which starts at `start`.
+    /// Returns the position after the blank line that ends the event at `start`.
     fn event_end(&self, start: usize) -> Option<usize> {
         let from = start.max(self.scanned.min(self.pending.len()));
         let from = from.saturating_sub(2).max(start);
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Notes the data and id of one event, and tells whether it has data.
+    /// Collects the data and id of an event. Returns `true` if it has data.
     fn read_event(&mut self, start: usize, end: usize) -> bool {
         let mut found = false;
         let event = self.pending[start..end].to_vec();
@@ -97,7 +97,7 @@
     }
 }
 
-/// Returns the value of a line that sets the field `name`.
+/// Returns the value of a line that sets the field `name`, or `None` for other lines.
 fn field<'a>(line: &'a [u8], name: &[u8]) -> Option<&'a [u8]> {
     let value = line.strip_prefix(name)?.strip_prefix(b":")?;
     Some(value.strip_prefix(b" ").unwrap_or(value))
--- a/crates/core/src/time.rs
+++ b/crates/core/src/time.rs
@@ -1,6 +1,6 @@
-//! Monotonic time as the core sees it: a number that callers pass in.
+//! Monotonic time, passed in by the users of this crate.
 //!
-//! The core never reads a clock, so every decision can be replayed in a test.
+//! The core never reads a clock, so tests can replay every decision.
 
 use std::fmt;
 use std::ops::{Add, Sub};
@@ -8,31 +8,31 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A point on one process's monotonic clock, in microseconds since an arbitrary start.
+/// A point in time of a process's monotonic clock, in microseconds since an arbitrary start.
 ///
-/// Points of two processes must never be compared: their clocks share no start.
+/// Times of different processes must not be compared, since their clocks start differently.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Time(pub u64);
 
 impl Time {
-    /// The clock's start.
+    /// The start of the clock.
     pub const ZERO: Time = Time(0);
-    /// Later than any point a process can reach.
+    /// A time that is never reached.
     pub const MAX: Time = Time(u64::MAX);
 
-    /// Returns the point `millis` milliseconds after the clock's start.
+    /// Returns the time `millis` milliseconds after the start of the clock.
     pub const fn from_millis(millis: u64) -> Time {
         Time(millis * 1_000)
     }
 
-    /// Returns the whole milliseconds since the clock's start.
+    /// Returns the whole milliseconds since the start of the clock.
     pub const fn as_millis(self) -> u64 {
         self.0 / 1_000
     }
 
-    /// Returns how long ago `earlier` was, or zero if it lies ahead.
+    /// Returns the duration since `earlier`, or zero if `earlier` is later.
     pub fn since(self, earlier: Time) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
