--- a/crates/core/src/bundle/routes.rs
+++ b/crates/core/src/bundle/routes.rs
@@ -132,8 +132,8 @@
         let path = format!("routes[{index}]");
         check_route(&path, route, &names, findings);
         if !seen.insert((route.host.as_str(), route.prefix.as_str())) {
-            let place = format!("{}{} again", route.host, route.prefix);
-            findings.push(&path, place, "a host and prefix that no other route uses");
+            let duplicate = format!("a duplicate of {}{}", route.host, route.prefix);
+            findings.push(&path, duplicate, "a host and prefix that no other route uses");
         }
     }
 }
--- a/crates/core/src/control/delta.rs
+++ b/crates/core/src/control/delta.rs
@@ -80,8 +80,8 @@
 
     /// Finds whole lines of the base that match the start of `rest`.
     ///
-    /// Prefers a match at `cursor`, then one at the next position of the first line, wrapping
-    /// around.
+    /// Uses a match at `cursor` if it is long enough to copy, and otherwise the next position of
+    /// the first line, wrapping around.
     fn longest_match(&self, rest: &[u8], cursor: usize) -> Match {
         let following = self.match_at(cursor, rest);
         if following.length >= MIN_COPY {
--- a/crates/core/src/control/plan.rs
+++ b/crates/core/src/control/plan.rs
@@ -42,7 +42,7 @@
 pub struct GroupReport {
     /// Group that the report is about.
     pub group: GroupId,
-    /// Last placement change that the group committed to its own membership.
+    /// Last placement change that the group has committed in its own log.
     pub change: u64,
     /// Whether the learner holds every entry that was committed when it was last asked.
     pub caught_up: bool,
--- a/crates/core/src/membership/gossip.rs
+++ b/crates/core/src/membership/gossip.rs
@@ -8,7 +8,8 @@
 use crate::prelude::*;
 use crate::wire::membership as wire;
 
-/// Number of times that an update is sent, multiplied by the logarithm of the number of members.
+/// Number of times that an update is sent, multiplied by the decimal logarithm of the number of
+/// members.
 const RETRANSMIT_FACTOR: f64 = 4.0;
 /// Maximum size of the profile updates in one datagram, in bytes.
 ///
@@ -28,8 +29,8 @@
     sent: u32,
     /// Whether the liveness changed. Such updates are sent before changed profiles.
     urgent: bool,
-    /// Whether the profile is included. Refutations leave it out, since they are frequent under
-    /// packet loss and much smaller without it.
+    /// Whether the profile is included. Changes of liveness leave it out, since they are frequent
+    /// under packet loss and much smaller without it.
     profile: bool,
 }
 
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -322,8 +322,8 @@
         }
     }
 
-    /// Returns the VMs that this one suspects first. They receive every round of gossip, so that
-    /// they can refute the suspicion even if datagrams are lost.
+    /// Returns the VMs whose suspicion this VM raised first. They receive every round of gossip, so
+    /// that they can refute the suspicion even if datagrams are lost.
     fn own_suspects(&self) -> Vec<VmId> {
         let mine = |record: &&Record| {
             let accuser = record.suspicion.as_ref().map(Suspicion::accuser);
--- a/crates/core/src/membership/settings.rs
+++ b/crates/core/src/membership/settings.rs
@@ -46,8 +46,8 @@
     pub direct_ms: u64,
     /// Number of VMs that are asked for an indirect probe.
     pub indirect: usize,
-    /// Minimum suspicion timeout, in probe periods, multiplied by the logarithm of the number of
-    /// members.
+    /// Minimum suspicion timeout, in probe periods, multiplied by the decimal logarithm of the
+    /// number of members.
     pub suspicion: u64,
     /// Factor between the minimum suspicion timeout and that of an unconfirmed suspicion.
     pub patience: u64,
--- a/crates/core/src/membership/sync.rs
+++ b/crates/core/src/membership/sync.rs
@@ -12,7 +12,8 @@
 use crate::wire::membership::datagram::Body;
 
 impl Membership {
-    /// Pings a random dead VM, and a seed at whose address no VM is up.
+    /// Pings a random dead VM and a seed at whose address no VM is up, or all seeds if no other VM
+    /// is up.
     ///
     /// After a partition in which each side declared the other dead, the two halves would otherwise
     /// never merge. Contact between any two VMs is enough, since the updates spread by gossip.
--- a/crates/core/src/turns/tree.rs
+++ b/crates/core/src/turns/tree.rs
@@ -1,4 +1,4 @@
-//! The tree of kept turns.
+//! The tree of turns that can be continued.
 
 use std::collections::BTreeMap;
 
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Holds a chain for as long as a turn that continues it may run.
+    /// Holds a chain for `duration` milliseconds, in which a turn that continues it may run.
     ///
     /// A stream may outlast the retention of the turns that it continues. If these were removed
     /// meanwhile, the turn would complete, but couldn't be continued. Holding a chain doesn't allow
