--- a/crates/gypsumglade/src/gateway/attempt.rs
+++ b/crates/gypsumglade/src/gateway/attempt.rs
@@ -127,7 +127,7 @@
         return left;
     }
     let time = state.routing().answer_times.get(&call.route.name).copied().unwrap_or_default();
-    time.hedge_delay(left, further)
+    time.attempt_timeout(left, further)
 }
 
 fn record_answer_time(state: &GatewayState, call: &Call, took: Duration) {
