--- a/crates/gypsumglade/src/gateway/attempt.rs
+++ b/crates/gypsumglade/src/gateway/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: place a request, send it, and read the head of what comes back.
+//! Attempts at endpoints: choose one, send the request, and classify the head of the answer.
 
 use std::sync::Arc;
 
@@ -16,13 +16,13 @@
 use super::placement::{ActiveDispatch, place};
 use super::state::GatewayState;
 
-/// Endpoints that may refuse a request before it is given up: with more than that full, another
-/// try would only add to their queues.
+/// Number of endpoints that may refuse a request or be unreachable before the caller is told to retry
+/// later; more attempts would add load to a pool that is probably full.
 const MAX_REFUSALS: usize = 3;
-/// When to come back after several endpoints were full: some of their requests have ended by then.
+/// Retry delay for callers whose request no endpoint has accepted.
 const FULL_RETRY_AFTER: Duration = Duration::from_millis(250);
 
-/// An answer whose head is an endpoint's word on the request.
+/// An endpoint's answer to the request, with its head read and its body unread.
 pub(super) struct EndpointAnswer {
     pub(super) response: Response<Incoming>,
     pub(super) head: AnswerHead,
@@ -30,36 +30,37 @@
     pub(super) dispatch: ActiveDispatch,
 }
 
-/// How one attempt went.
+/// Result of one attempt.
 enum DispatchOutcome {
     Answered(Box<EndpointAnswer>),
-    /// Surely not run there.
+    /// The endpoint has not run the request.
     NotRun,
-    /// It may have run.
+    /// The endpoint may have run the request.
     MaybeRun,
 }
 
-/// A request's attempts so far.
+/// Attempts made for a request so far.
 #[derive(Debug, Default)]
 pub(super) struct Attempts {
-    /// Endpoints that it must not go to again.
+    /// Endpoints that must not be chosen again; the last one is the current one.
     pub(super) tried: Vec<EndpointName>,
-    /// Attempts that may have run.
+    /// Number of attempts that may have run.
     pub(super) runs: u32,
 }
 
 impl Attempts {
-    /// Tells whether a request that broke may be sent again.
+    /// Returns whether the request may be sent again although an attempt may have run.
     pub(super) fn may_retry(&self, call: &Call) -> bool {
         call.is_idempotent() && self.runs < call.route.attempts
     }
 }
 
-/// Sends a request until an endpoint answers, and returns the answer with its head read.
+/// Sends a request to one endpoint after another until one answers. A stream starts after the event
+/// `after`.
 ///
 /// # Errors
-/// Tells the caller whether it may have run. A request that may not be repeated is never sent again
-/// once a byte of it may have been read.
+/// Fails when no endpoint answers in time; the refusal states whether the request may have run. A
+/// request that is not idempotent is never sent again after an endpoint may have read it.
 pub(super) async fn send_until_answered(
     state: &Arc<GatewayState>,
     call: &Call,
@@ -101,7 +102,7 @@
                 attempts.runs += 1;
                 let now = state.clock.now();
                 state.routing().registry.overdue(now, endpoint);
-                slog::info!(state.log, "answer overdue"; "request" => %call.head.id,
+                slog::info!(state.log, "no answer in time, another endpoint is tried"; "request" => %call.head.id,
                     "route" => %call.route.name, "endpoint" => attempts.tried.last().map(|name| name.as_str()),
                     "ms" => timeout.as_millis() as u64);
             }
@@ -113,8 +114,9 @@
     }
 }
 
-/// Returns how long to wait for an attempt's answer. A stream shows by its events that it is alive, and a
-/// call that may not be repeated has no other attempt.
+/// Returns how long to wait for the answer head of an attempt: all the time left for streams, whose
+/// events show progress, and for requests that can't be retried; otherwise less, so that there is
+/// time for another attempt.
 fn answer_timeout(
     state: &GatewayState,
     call: &Call,
@@ -137,7 +139,7 @@
     }
 }
 
-/// Says why a request's time ended between two attempts.
+/// Returns the refusal for a request whose deadline passed between two attempts.
 fn timeout_refusal(attempts: &Attempts) -> Refusal {
     match attempts.runs {
         0 => Refusal::Unavailable { retry_after: Duration::ZERO },
@@ -160,7 +162,7 @@
     if sent.as_ref().is_err_and(|error| *error == ConnectionError::NotSent)
         && connection.is_reused()
     {
-        // The endpoint closed an idle connection; that says nothing about the endpoint.
+        // The endpoint has closed the idle connection, which is not a failure of the endpoint.
         let Ok(fresh) = state.connections.connect(dispatch.address).await else {
             dispatch.failed();
             return DispatchOutcome::NotRun;
@@ -203,13 +205,13 @@
                 dispatch,
             }))
         }
-        // Full: it is not the endpoint's fault, and the load that it told keeps others away.
+        // A full endpoint is healthy; the load recorded above keeps other requests away from it.
         AnswerKind::NotRun => DispatchOutcome::NotRun,
         AnswerKind::OtherEndpoint => {
             dispatch.misdirected();
             DispatchOutcome::NotRun
         }
-        // The connection is dropped with it: what else is on it belongs to no request either.
+        // Drops the connection too: the next answer on it may be just as wrong.
         AnswerKind::Untrusted => {
             dispatch.failed();
             DispatchOutcome::MaybeRun
--- a/crates/gypsumglade/src/gateway/buffered.rs
+++ b/crates/gypsumglade/src/gateway/buffered.rs
@@ -1,4 +1,4 @@
-//! Requests with one whole answer.
+//! Requests whose answer is read completely before it is passed on.
 
 use std::sync::Arc;
 
@@ -12,13 +12,13 @@
 use super::headers::{forwarded_headers, is_encoded};
 use super::state::GatewayState;
 
-/// Most bytes of an answer that is read whole before it is passed on.
+/// Largest answer that is buffered.
 const MAX_ANSWER_BYTES: usize = 4 << 20;
 
-/// Answers a request with an endpoint's whole answer.
+/// Sends a request and returns the endpoint's complete answer.
 ///
-/// It is read to its end before a byte goes to the caller: an answer that breaks off or is spoilt
-/// on the way can then still be asked for again, or be told as lost, and never looks like a success.
+/// The caller gets nothing before the answer has been read to its end, so an incomplete answer can
+/// still lead to a retry or an error and is never taken for a success.
 pub(super) async fn answer(state: &Arc<GatewayState>, call: &Call) -> Result<Answer, Refusal> {
     let mut attempts = Attempts::default();
     loop {
@@ -33,7 +33,8 @@
     }
 }
 
-/// Reads an answer to its end; `None` if it broke off.
+/// Reads an answer to its end. Returns `None` if it is incomplete, too large or has a content
+/// encoding.
 pub(super) async fn read_to_end(
     state: &GatewayState,
     call: &Call,
@@ -60,7 +61,7 @@
     answer
 }
 
-/// Returns the answer to a request that has none of an endpoint.
+/// Returns the caller's answer to a request that no endpoint has answered.
 pub(super) fn refusal_answer(state: &GatewayState, refusal: Refusal) -> Answer {
     state.dialect.refuse(&refusal).map(full_body)
 }
--- a/crates/gypsumglade/src/gateway/call.rs
+++ b/crates/gypsumglade/src/gateway/call.rs
@@ -1,4 +1,4 @@
-//! A request on its way, and the answer to it.
+//! A caller's request with its route, and the answer to it.
 
 use std::sync::Arc;
 
@@ -13,21 +13,21 @@
 use super::dialect::CallHead;
 use crate::entry::active_bundle::ActiveBundle;
 
-/// Why a relayed body ends before it is whole; the connection is cut.
+/// Error that ends a relayed body early; the connection to the caller is closed.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
-#[error("the answer broke off")]
+#[error("the endpoint's answer is incomplete")]
 pub(super) struct IncompleteBody;
 
-/// Body of an answer to a caller.
+/// Body of an [`Answer`].
 pub(super) type AnswerBody = BoxBody<Bytes, IncompleteBody>;
 
-/// Answer to a caller.
+/// HTTP response to a caller.
 pub(super) type Answer = Response<AnswerBody>;
 
-/// Longest time that a request may take where neither caller nor operator bounds it.
+/// Upper bound of a request's timeout, whatever caller and route allow.
 const MAX_TIMEOUT: Duration = Duration::from_secs(300);
 
-/// The route of a request, with the pool that its weights chose and the bundle it stands in.
+/// Route of a request, the pool chosen by its weights, and the bundle that defines it.
 #[derive(Debug)]
 pub(super) struct RouteMatch {
     pub(super) route: Route,
@@ -35,23 +35,23 @@
     pub(super) bundle: Arc<ActiveBundle>,
 }
 
-/// One attempt of a caller, with its route.
+/// A caller's request that has a route.
 #[derive(Debug)]
 pub(super) struct Call {
     pub(super) head: CallHead,
     pub(super) parts: request::Parts,
-    /// What is sent to the endpoint: the caller's body, after a turn's history if it has one.
+    /// The body as the caller sent it.
     pub(super) body: Bytes,
     pub(super) route: Route,
     pub(super) pool: CompactString,
     pub(super) bundle: Arc<ActiveBundle>,
     pub(super) arrived: Instant,
-    /// End of the time that the caller and the operator give it.
+    /// Arrival plus the smaller of the caller's and the route's timeout.
     pub(super) deadline: Instant,
 }
 
 impl Call {
-    /// Puts a request together with its route.
+    /// Combines a request with its route and computes its deadline.
     pub(super) fn new(
         head: CallHead,
         parts: request::Parts,
@@ -65,42 +65,42 @@
         Call { head, parts, body, route, pool, bundle, arrived, deadline }
     }
 
-    /// Returns the time that is left.
+    /// Returns the time until the deadline, or zero after it.
     pub(super) fn time_left(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// Tells whether a request that may have run may be sent again.
+    /// Returns whether the request may run more than once.
     pub(super) fn is_idempotent(&self) -> bool {
         self.route.repeat == Repeat::Idempotent
     }
 
-    /// Returns how streams of the route behave, where it has streams.
+    /// Returns the stream settings of the route, or `None` if its answers are not streams.
     pub(super) fn stream(&self) -> Option<Stream> {
         self.route.stream
     }
 
-    /// Returns the program that a turn belongs to, for logs.
+    /// Returns the program of a turn.
     pub(super) fn program(&self) -> Option<&str> {
         self.head.turn.as_ref().map(|turn| turn.program.as_str())
     }
 
-    /// Returns the time until the program should be finished, as the caller told it.
+    /// Returns the time until the program should be finished, as stated by the caller.
     pub(super) fn finish_within(&self) -> Option<Duration> {
         self.head.turn.as_ref().and_then(|turn| turn.finish_within)
     }
 
-    /// Returns the line of turns that a turn belongs to, for logs.
+    /// Returns the session within the program that a turn belongs to.
     pub(super) fn session(&self) -> Option<&str> {
         self.head.turn.as_ref().map(|turn| turn.session.as_str())
     }
 
-    /// Returns the tokens in each event of the pool's engines.
+    /// Returns the number of tokens in each event of the pool's engines, or 0 without an engine.
     pub(super) fn event_tokens(&self) -> u64 {
         self.engine().map_or(0, |engine| engine.event_tokens)
     }
 
-    /// Returns how many requests each engine of the pool runs at one time.
+    /// Returns how many requests each engine of the pool runs at the same time, or 0 without one.
     pub(super) fn engine_slots(&self) -> u32 {
         self.engine().map_or(0, |engine| engine.slots)
     }
@@ -110,7 +110,7 @@
     }
 }
 
-/// Wraps a body that is whole.
+/// Wraps a complete body.
 pub(super) fn full_body(body: Bytes) -> AnswerBody {
     Full::new(body).map_err(|never| match never {}).boxed()
 }
--- a/crates/gypsumglade/src/gateway/connections.rs
+++ b/crates/gypsumglade/src/gateway/connections.rs
@@ -1,7 +1,8 @@
-//! Connections to endpoints, reused with care.
+//! Pool of HTTP/1 connections to endpoints.
 //!
-//! An endpoint serves one request at a time on a connection. A connection goes back only after a
-//! whole answer that was the endpoint's own; anything else on it poisons it.
+//! A connection carries one request at a time. It is reused only after a complete answer of the
+//! intended endpoint; after anything else it is closed, since stray bytes on it could be taken for
+//! the next answer.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -19,18 +20,17 @@
 
 use super::dialect::AnswerHead;
 
-/// Longest time to open a connection; within a region it takes some milliseconds, and another
-/// endpoint is tried after it.
+/// Time limit for opening a connection; another endpoint is tried after it.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long an idle connection is kept where the endpoint does not say.
+/// Idle timeout assumed for an endpoint that states none.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
-/// Part of the endpoint's own idle time for which a connection is kept: one that the endpoint
-/// closes while a request is on its way leaves open whether the request ran.
+/// Fraction of the endpoint's idle timeout for which a connection is kept. If the endpoint closed it
+/// just as a request was sent, it would be unknown whether the request ran.
 const IDLE_FRACTION: f64 = 0.6;
-/// Most idle connections kept for one endpoint.
+/// Most idle connections per endpoint.
 const MAX_IDLE: usize = 16;
 
-/// A connection that may carry the next request.
+/// An HTTP/1 connection to one endpoint.
 #[derive(Debug)]
 pub(super) struct Connection {
     address: SocketAddr,
@@ -38,12 +38,12 @@
     reused: bool,
 }
 
-/// Why a request has no answer head.
+/// Why a request got no response head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectionError {
-    /// Surely not a byte was read by the endpoint.
+    /// The endpoint has read nothing of the request.
     NotSent,
-    /// It may have been read.
+    /// The endpoint may have read the request.
     MaybeSent,
 }
 
@@ -53,14 +53,14 @@
     expires: Instant,
 }
 
-/// Idle connections by endpoint.
+/// Idle connections by endpoint address.
 #[derive(Debug, Default)]
 pub(super) struct ConnectionPool {
     idle: Mutex<HashMap<SocketAddr, Vec<Idle>>>,
 }
 
 impl ConnectionPool {
-    /// Takes an idle connection, or opens one.
+    /// Returns an idle connection, or opens a new one.
     pub(super) async fn open(&self, address: SocketAddr) -> Result<Connection, ConnectionError> {
         if let Some(connection) = self.take_idle(address) {
             return Ok(connection);
@@ -68,14 +68,14 @@
         self.connect(address).await
     }
 
-    /// Opens a connection.
+    /// Opens a new connection.
     pub(super) async fn connect(&self, address: SocketAddr) -> Result<Connection, ConnectionError> {
         let opening = async {
             let stream = TcpStream::connect(address).await.ok()?;
             stream.set_nodelay(true).ok()?;
             let io = TokioIo::new(stream);
             let (sender, connection) = Builder::new().handshake(io).await.ok()?;
-            // Its error shows in the request that it carries.
+            // A connection error is reported by the request in flight.
             tokio::spawn(async move { drop(connection.await) });
             Some(Connection { address, sender, reused: false })
         };
@@ -83,8 +83,8 @@
         opened.ok_or(ConnectionError::NotSent)
     }
 
-    /// Keeps a connection whose answer was whole for the next request, as long as the answer's head
-    /// says that the endpoint does.
+    /// Returns a connection to the pool after a complete answer, unless the endpoint closes it. It
+    /// expires before the idle timeout that `head` states.
     pub(super) fn put_back(&self, mut connection: Connection, head: &AnswerHead) {
         if head.closes || connection.sender.is_closed() {
             return;
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Closes the connections whose idle time is over.
+    /// Closes idle connections that have expired or that the endpoint has closed.
     pub(super) fn close_expired(&self) {
         let now = Instant::now();
         let mut all = self.idle.lock().expect("no panic while held");
@@ -109,7 +109,7 @@
         });
     }
 
-    /// Takes the connection that was used last: those that stay unused then run out.
+    /// Takes the most recently used idle connection, so that surplus ones expire.
     fn take_idle(&self, address: SocketAddr) -> Option<Connection> {
         let now = Instant::now();
         let mut all = self.idle.lock().expect("no panic while held");
@@ -124,19 +124,19 @@
 }
 
 impl Connection {
-    /// Tells whether it carried a request before.
+    /// Returns whether the connection has carried a request before.
     pub(super) fn is_reused(&self) -> bool {
         self.reused
     }
 
-    /// Sends a request and returns the head of what comes back.
+    /// Sends a request and returns the response once its head has arrived.
     pub(super) async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
     ) -> Result<Response<Incoming>, ConnectionError> {
         match self.sender.try_send_request(request).await {
             Ok(response) => Ok(response),
-            // The library gives the request back only if not a byte of it was written.
+            // hyper returns the request only if it has written nothing of it.
             Err(error) if error.message().is_some() => Err(ConnectionError::NotSent),
             Err(_) => Err(ConnectionError::MaybeSent),
         }
--- a/crates/gypsumglade/src/gateway/dialect.rs
+++ b/crates/gypsumglade/src/gateway/dialect.rs
@@ -1,147 +1,147 @@
-//! What a platform's dialect tells the gateway, and what it is told.
+//! Translation between a platform's HTTP headers and the gateway's types.
 
 use bytes::Bytes;
 use gypsumglade_core::prelude::*;
 use http::{HeaderMap, Response, request, response};
 
-/// How callers and endpoints of one platform say what the gateway needs to know.
+/// Reads and writes the headers by which one platform's callers and endpoints communicate.
 ///
-/// A dialect only translates: it keeps no state and decides nothing.
+/// A dialect only translates: it keeps no state and makes no routing decisions.
 pub trait Dialect: Send + Sync + 'static {
-    /// Reads the head of a caller's request; `None` if it lacks what every request has.
+    /// Reads the head of a caller's request. Returns `None` if a mandatory header is missing.
     fn read_call(&self, head: &request::Parts) -> Option<CallHead>;
 
-    /// Returns the headers with which a request goes to an endpoint: the caller's own that are
-    /// meant for it, and those of the order.
+    /// Returns the headers of a request to an endpoint: those of the caller that may be forwarded,
+    /// and those that express `attempt`.
     fn write_attempt(&self, caller: &HeaderMap, attempt: &AttemptHead<'_>) -> HeaderMap;
 
-    /// Reads the head of an endpoint's answer to the request `id`.
+    /// Reads the head of an endpoint's answer to the request with this id.
     fn read_answer(&self, head: &response::Parts, id: &str) -> AnswerHead;
 
-    /// Returns the caller's answer to a request that has no answer of an endpoint.
+    /// Returns the caller's answer to a request that no endpoint has answered.
     fn refuse(&self, refusal: &Refusal) -> Response<Bytes>;
 }
 
-/// The head of a caller's request.
+/// Contents of the head of a caller's request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CallHead {
-    /// Unique id of this attempt; endpoints echo it.
+    /// Unique id of this attempt of the caller; endpoints echo it.
     pub id: CompactString,
-    /// Host that the caller names, without a port.
+    /// Host header, without a port.
     pub host: CompactString,
-    /// How long the caller waits.
+    /// How long the caller waits for the answer; unbounded if `None`.
     pub timeout: Option<Duration>,
-    /// Present for a request of a program.
+    /// Set for a request of a program.
     pub turn: Option<TurnHead>,
-    /// Prompt, in parts that other requests may share, in order.
+    /// Parts of the prompt in order; other requests may share a prefix of them.
     pub prompt: Vec<PromptPart>,
-    /// Tokens of the whole prompt.
+    /// Tokens of the entire prompt, zero if the caller does not state them.
     pub prompt_tokens: u64,
-    /// Most tokens that the answer may have.
+    /// Most tokens that the answer may have, zero if the caller does not state a limit.
     pub max_tokens: u64,
-    /// The last event that the caller has of an earlier attempt.
+    /// Id of the last event that the caller received from an earlier attempt.
     pub last_event: Option<u64>,
-    /// Requests with the same value concern the same thing, and run faster where it was handled
-    /// lately.
+    /// Requests with the same key run faster on an endpoint that has recently handled one of them.
     pub affinity: Option<CompactString>,
 }
 
-/// What a request says of its program.
+/// Contents of a request head that concern its program.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TurnHead {
-    /// The program.
+    /// Id of the program.
     pub program: CompactString,
-    /// The line of turns within it that the request belongs to.
+    /// Sequence of turns within the program that the request belongs to.
     pub session: CompactString,
-    /// Time until the program should be finished.
+    /// Time until the entire program should be finished.
     pub finish_within: Option<Duration>,
-    /// Most tokens that all turns of the program may generate.
+    /// Most tokens that all turns of the program together may generate.
     pub budget: Option<u64>,
-    /// The turn that this one continues, empty at the start of a chain.
+    /// Id of the turn that this one continues; empty for the first turn.
     pub previous: CompactString,
 }
 
-/// A part of a prompt.
+/// A part of a prompt that other prompts may contain too.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptPart {
     /// Hash of its content.
     pub hash: u64,
-    /// Its tokens.
+    /// Length in tokens.
     pub tokens: u64,
 }
 
-/// How one attempt is sent to an endpoint.
+/// Contents of a request head that differ from one attempt at an endpoint to the next.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptHead<'a> {
-    /// The endpoint that is meant; another one at the address must refuse.
+    /// Name of the intended endpoint; a different one at the same address must refuse the request.
     pub endpoint: &'a str,
-    /// Time that is left.
+    /// Time until the caller's deadline.
     pub time_left: Duration,
-    /// Event after which a stream goes on.
+    /// Id of the event after which a stream resumes.
     pub after_event: Option<u64>,
 }
 
-/// What an endpoint's answer says.
+/// Contents of the head of an endpoint's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AnswerHead {
-    /// Whether it is the endpoint's word on this request.
+    /// Whether the answer belongs to this request, and whether the request has run.
     pub kind: AnswerKind,
-    /// Load that came with it.
+    /// Load that the endpoint reports.
     pub load: Option<EndpointLoad>,
-    /// How long the endpoint keeps the connection when idle.
+    /// How long the endpoint keeps an idle connection open.
     pub idle_timeout: Option<Duration>,
-    /// True when the endpoint closes the connection after it.
+    /// Whether the endpoint closes the connection after this answer.
     pub closes: bool,
 }
 
-/// Whether an answer is the endpoint's word on a request.
+/// Whether an answer can be attributed to the endpoint and the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerKind {
-    /// The endpoint ran the request, and this is its answer.
+    /// The endpoint ran the request and this is its answer, which may be an error.
     Answered,
-    /// The endpoint has not run it and never will.
+    /// The endpoint has not run the request and will not run it.
     NotRun,
-    /// Another endpoint has the address; the request has not run.
+    /// A different endpoint has the address; the request has not run.
     OtherEndpoint,
-    /// It belongs to no request here, or can't be the endpoint's whole answer.
+    /// The answer belongs to a different request or is not authentic; whether this request ran is
+    /// unknown.
     Untrusted,
 }
 
-/// Load of an endpoint as it told.
+/// Load of an endpoint, as reported by the endpoint itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EndpointLoad {
-    /// Requests running.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests waiting there.
+    /// Number of requests in the endpoint's queue.
     pub waiting: u32,
 }
 
-/// Why a request has no answer of an endpoint.
+/// Why a request has no answer from an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// The head lacks what every request has.
+    /// A mandatory header is missing, or the body could not be read.
     Malformed,
-    /// No route covers the path.
+    /// No route matches the host and path.
     NoRoute,
-    /// The body is larger than the operator allows.
+    /// The body exceeds the size limit of the bundle.
     TooLarge,
-    /// The program's budget holds no further turn; it has not run.
+    /// The program's token budget is exhausted; the request has not run.
     BudgetSpent,
-    /// The turn to continue is not kept, surely.
+    /// The turn to continue is not kept; the request has not run.
     UnknownTurn,
-    /// It has not run and never will; it is worth coming back after this time.
+    /// The request has not run and will not run; the caller may retry.
     Unavailable {
-        /// When to come back.
+        /// Recommended delay before the retry.
         retry_after: Duration,
     },
-    /// It may have run; the endpoint's answer was lost.
+    /// The request may have run, but its answer was lost.
     Lost,
-    /// It may have run; its time is over.
+    /// The request may have run, but the deadline has passed.
     TimedOut,
 }
 
 impl Refusal {
-    /// Returns the name that logs and metrics use.
+    /// Returns the name used in logs and metrics.
     pub const fn name(self) -> &'static str {
         match self {
             Refusal::Malformed => "malformed",
--- a/crates/gypsumglade/src/gateway/headers.rs
+++ b/crates/gypsumglade/src/gateway/headers.rs
@@ -1,4 +1,4 @@
-//! Header lines that concern one connection only.
+//! Headers that an intermediary must not forward.
 
 use http::header::{
     CONNECTION, CONTENT_ENCODING, CONTENT_LENGTH, HeaderMap, HeaderName, PROXY_AUTHENTICATE,
@@ -6,7 +6,7 @@
 };
 use http::response;
 
-/// Names that concern one connection, or that the HTTP library sets itself.
+/// Hop-by-hop headers, and those that the HTTP library sets itself.
 const HOP_BY_HOP: [HeaderName; 10] = [
     CONNECTION,
     CONTENT_LENGTH,
@@ -20,7 +20,8 @@
     UPGRADE,
 ];
 
-/// Returns the headers to pass on: all but those that concern one connection only.
+/// Returns the headers to pass on: all except hop-by-hop headers, including those that `Connection`
+/// lists.
 pub fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
     let named = headers.get_all(CONNECTION).iter().filter_map(|value| value.to_str().ok());
     let named: Vec<&str> = named.flat_map(|value| value.split(',')).map(str::trim).collect();
@@ -34,7 +35,7 @@
     kept
 }
 
-/// Tells whether an answer's body is encoded, which nobody asked for.
+/// Returns whether an answer's body has a content encoding, which the gateway does not support.
 pub(super) fn is_encoded(head: &response::Parts) -> bool {
     head.headers.contains_key(CONTENT_ENCODING)
 }
--- a/crates/gypsumglade/src/gateway/mod.rs
+++ b/crates/gypsumglade/src/gateway/mod.rs
@@ -1,8 +1,8 @@
-//! The entry's interface for requests that are passed through to endpoints as they are.
+//! HTTP gateway that passes callers' requests through to endpoints unchanged.
 //!
-//! A request goes through fixed steps: read its head in the callers' dialect, find its route, for a
-//! turn set its tokens aside, place it, send it, relay the answer, settle. What differs from one
-//! platform to another is behind [`Dialect`]. docs/design/provider.md has the reasons.
+//! Each request goes through these steps: read its head in the platform's dialect, find its route,
+//! reserve tokens if it is a turn, choose an endpoint, send the request, relay the answer, settle the
+//! reservation. Platform differences are behind [`Dialect`]. See docs/design/provider.md.
 
 mod attempt;
 mod buffered;
--- a/crates/gypsumglade/src/gateway/placement.rs
+++ b/crates/gypsumglade/src/gateway/placement.rs
@@ -1,4 +1,4 @@
-//! Chooses an endpoint for an attempt, and counts the attempt there until it is over.
+//! Chooses an endpoint for an attempt, and tracks the attempt in the registry until it ends.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,10 +21,11 @@
 use super::dialect::EndpointLoad;
 use super::state::{GatewayState, RoutingState};
 
-/// Part of the tokens that an answer may have that it is expected to have.
+/// Expected length of an answer, as a fraction of its token limit.
 const OUTPUT_FRACTION: f64 = 0.5;
 
-/// An attempt at an endpoint, counted as in flight there until it is dropped.
+/// An attempt in flight at an endpoint. Dropping it without [`ActiveDispatch::finished`] or
+/// [`ActiveDispatch::failed`] cancels it, which has no effect on the endpoint's health.
 pub(super) struct ActiveDispatch {
     state: Arc<GatewayState>,
     pub(super) endpoint: EndpointKey,
@@ -32,16 +33,15 @@
     pub(super) name: EndpointName,
     pub(super) incarnation: u64,
     pub(super) address: SocketAddr,
-    /// Prompt tokens that the endpoint was expected to lack.
+    /// Prompt tokens that were not expected in the endpoint's prefix cache.
     pub(super) uncached: u64,
-    /// When it was placed.
     pub(super) started: Instant,
-    /// How often this process had stood still by then.
+    /// Number of stalls of this process before the start.
     pub(super) stalls: Stalls,
 }
 
-/// Returns the pool of a request, by the weights of its route. A program stays with one pool, where
-/// its prompts are known.
+/// Chooses a request's pool by the weights of its route. Equal keys give equal pools, so that a program
+/// stays where its prompts are cached.
 pub(super) fn choose_pool(route: &gypsumglade_core::bundle::Route, key: &str) -> CompactString {
     let total: u64 = route.shares.iter().map(|share| u64::from(share.weight)).sum();
     let mut point = xxh3_64(key.as_bytes()) % total.max(1);
@@ -54,12 +54,12 @@
     CompactString::default()
 }
 
-/// Returns what an engine pool's endpoints are known by in the registry.
+/// Returns the model id under which the registry lists a pool's engines.
 pub(super) fn pool_model(pool: &str) -> ModelId {
     ModelId::new(pool, "")
 }
 
-/// Returns what runs and waits at the endpoints of a request's pool.
+/// Returns the load of the available engines of a request's pool.
 pub(super) fn pool_load(state: &GatewayState, call: &Call) -> PoolLoad {
     let now = state.clock.now();
     let routing = state.routing();
@@ -75,21 +75,21 @@
     })
 }
 
-/// What is known of the speed of a pool's engines.
+/// Estimated speed of a pool's engines; `None` before the first streams.
 pub(super) struct SpeedEstimate {
-    /// Generating.
+    /// Time per generated token.
     pub(super) decode: Option<BatchCost>,
-    /// Seconds to read a prompt token.
+    /// Seconds per uncached prompt token.
     pub(super) prefill: Option<f64>,
 }
 
-/// Returns what is known of the speed of a call's pool.
+/// Returns the estimated speed of the engines of a request's pool.
 pub(super) fn speed_estimate(state: &GatewayState, call: &Call) -> SpeedEstimate {
     let speed = state.routing().speeds.get(&call.pool).copied().unwrap_or_default();
     SpeedEstimate { decode: speed.decode.cost(call.engine_slots()), prefill: speed.prefill.token() }
 }
 
-/// Notes how long a stream's first event took an engine that had to read this many prompt tokens.
+/// Updates the pool's prefill speed from the time that a stream took to its first event.
 pub(super) fn record_first_event(state: &GatewayState, call: &Call, dispatch: &ActiveDispatch) {
     if dispatch.was_stalled() {
         return;
@@ -100,7 +100,8 @@
     speed.prefill.observe(uncached as f64, first.as_secs_f64());
 }
 
-/// Notes how fast a stream came.
+/// Updates the pool's decode speed from a stream: the mean time between its events, and the load of
+/// its endpoint.
 pub(super) fn record_speed(
     state: &GatewayState,
     call: &Call,
@@ -112,7 +113,7 @@
         return;
     }
     let token = gap.as_secs_f64() / call.event_tokens().max(1) as f64;
-    // The request itself is among those running.
+    // The reported load includes the request itself.
     let beside = f64::from(load.running.saturating_sub(1));
     let mut routing = state.routing();
     let speed = routing.speeds.entry(call.pool.clone()).or_default();
@@ -120,8 +121,8 @@
     speed.pace.observe(gap);
 }
 
-/// Notes where a prompt's start was read last, as the turn group knows it. Other VMs' turns are news
-/// here; of own ones it says what is known.
+/// Records which endpoint last read a prompt prefix, as reported by the turn group, which also knows
+/// the turns of other VMs.
 pub(super) fn record_prompt_run(state: &GatewayState, run: &PromptRun) {
     let now = state.clock.now();
     let mut routing = state.routing();
@@ -130,10 +131,10 @@
     }
 }
 
-/// Chooses an endpoint that `excluded` does not name.
+/// Chooses an endpoint that is not in `excluded`, and counts the attempt there.
 ///
 /// # Errors
-/// Returns when it is worth coming back.
+/// Returns the recommended delay before a retry if no endpoint is available.
 pub(super) fn place(
     state: &Arc<GatewayState>,
     call: &Call,
@@ -156,8 +157,8 @@
     dispatch.ok_or(NO_ADDRESS_RETRY_AFTER)
 }
 
-/// When to come back for an endpoint whose address can't be read: it will not become readable, but
-/// another endpoint may have come.
+/// Retry delay when the chosen endpoint's address is invalid; a different one may be available by
+/// then.
 const NO_ADDRESS_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 fn start_dispatch(
@@ -220,8 +221,8 @@
     }
 }
 
-/// Returns the starts of the prompt, each known by the content of all parts up to its end: a part
-/// is in an engine's memory only together with those before it.
+/// Returns the prefixes of the prompt, one per part. Each hash covers all parts up to there, since
+/// engines cache a part only together with those before it.
 pub(super) fn shared_prefixes(call: &Call) -> Vec<SharedPrefix> {
     let mut hash = 0;
     let mut tokens = 0;
@@ -235,14 +236,14 @@
 }
 
 impl ActiveDispatch {
-    /// Tells whether this process stood still since the attempt was placed, so that its times say
-    /// nothing of the endpoint.
+    /// Returns whether this process has stalled since the start, which makes the measured times
+    /// useless.
     fn was_stalled(&self) -> bool {
         let now = self.state.clock.now();
         self.state.routing().stall_watch.stalls(now) != self.stalls
     }
 
-    /// Takes the load that came with an answer.
+    /// Passes the load that came with an answer on to the registry.
     pub(super) fn record_load(&self, load: EndpointLoad) {
         let now = self.state.clock.now();
         let report =
@@ -250,14 +251,14 @@
         self.state.routing().registry.reported(now, self.endpoint, report);
     }
 
-    /// Notes that the engine has read the prompt.
+    /// Records that the engine has read the prompt.
     pub(super) fn prefilled(&self) {
         if let Some(key) = self.key {
             self.state.routing().registry.filled(key);
         }
     }
 
-    /// Ends with an answer of the endpoint.
+    /// Ends the attempt with an answer.
     pub(super) fn finished(mut self) {
         if let Some(key) = self.key.take() {
             let now = self.state.clock.now();
@@ -265,7 +266,7 @@
         }
     }
 
-    /// Ends with a failure of the endpoint, which counts against it.
+    /// Ends the attempt with a failure, which counts against the endpoint's health.
     pub(super) fn failed(mut self) {
         if let Some(key) = self.key.take() {
             let now = self.state.clock.now();
@@ -273,7 +274,8 @@
         }
     }
 
-    /// Ends because another endpoint has the address; this one gets no more work.
+    /// Ends the attempt because a different endpoint has the address, and marks the intended one as
+    /// leaving, so that it gets no more work.
     pub(super) fn misdirected(self) {
         let now = self.state.clock.now();
         self.state.routing().registry.leave(now, &self.name, self.incarnation);
@@ -289,7 +291,7 @@
     }
 }
 
-/// Returns what an endpoint of a pool is, as the registry knows it.
+/// Returns the registry's description of an endpoint of a pool.
 pub(super) fn endpoint_kind(
     bundle: &crate::entry::active_bundle::ActiveBundle,
     pool: &str,
@@ -307,6 +309,6 @@
     }
 }
 
-/// Tokens a second of an engine before its pool's first streams show its speed: no limit, so that
-/// reading and generating decide nothing until then.
+/// Tokens per second assumed before there is an estimate. Infinity keeps prompt and answer lengths out
+/// of the choice.
 const UNKNOWN_RATE: f64 = f64::INFINITY;
--- a/crates/gypsumglade/src/gateway/state.rs
+++ b/crates/gypsumglade/src/gateway/state.rs
@@ -1,4 +1,4 @@
-//! What all tasks of a gateway share.
+//! State shared by all tasks of a gateway.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -26,7 +26,7 @@
 use crate::rpc::PeerClients;
 use crate::settings::Settings;
 
-/// One gateway.
+/// Settings, clients and routing state of one gateway.
 pub(super) struct GatewayState {
     pub(super) vm: VmId,
     pub(super) settings: Settings,
@@ -38,38 +38,38 @@
     pub(super) dialect: Arc<dyn Dialect>,
     pub(super) connections: ConnectionPool,
     pub(super) turns: TurnClient,
-    /// Settlements that nobody waits for.
+    /// Settlements that run in the background.
     pub(super) settlements: SettlementQueue,
     pub(super) texts: TextClient,
     pub(super) histories: HistoryCache,
     pub(super) metrics: Metrics,
     pub(super) log: slog::Logger,
-    /// Cancelled when a planned stop begins.
+    /// Cancelled at the start of a planned stop.
     pub(super) stop: CancellationToken,
-    /// Connections and relays under way, which a planned stop waits for.
+    /// Open connections and running relays; a planned stop waits for them.
     pub(super) tasks: TaskTracker,
     pub(super) routing: Mutex<RoutingState>,
 }
 
-/// The routing decisions' state, behind one lock that is never held across a wait.
+/// State of the routing decisions, behind one lock that is never held across an await.
 pub(super) struct RoutingState {
     pub(super) registry: Registry,
     pub(super) router: Router,
-    /// How fast each pool's engines are.
+    /// Engine speed by pool.
     pub(super) speeds: HashMap<CompactString, PoolSpeed>,
-    /// How long each route's answers take.
+    /// Answer time by route.
     pub(super) answer_times: HashMap<CompactString, AnswerTime>,
     pub(super) stall_watch: StallWatch,
 }
 
-/// How fast a pool's engines are, as this VM's streams show it.
+/// Speed of a pool's engines, estimated from the streams of this VM.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct PoolSpeed {
-    /// Generating now, against idle.
+    /// Current time between events, relative to idle engines.
     pub(super) pace: PoolPace,
-    /// Generating, by what runs on one engine.
+    /// Time per generated token, by the number of requests on the engine.
     pub(super) decode: BatchFit,
-    /// Reading prompts.
+    /// Time per prompt token.
     pub(super) prefill: FillFit,
 }
 
@@ -78,8 +78,8 @@
         self.routing.lock().expect("no panic while held")
     }
 
-    /// Tells whether this VM should get callers: it knows its routes and some endpoint, and does
-    /// not stop.
+    /// Returns whether the balancer should send callers here: a bundle is in force, at least one
+    /// endpoint is known and no stop has begun.
     pub(super) fn is_ready(&self) -> bool {
         let configured = self.config.active(self.clock.now()).is_ok();
         let served = self.routing().registry.iter().next().is_some();
