--- a/crates/gypsumglade/src/gateway/history_cache.rs
+++ b/crates/gypsumglade/src/gateway/history_cache.rs
@@ -1,8 +1,8 @@
-//! Histories of turns that ended here, so that the next turn need not fetch them.
+//! Cache of the histories of turns that ended at this gateway.
 //!
-//! A conversation grows with each turn. Fetched whole from the turn group before each turn, histories
-//! would be most of what crosses the link between regions, and delay commits behind them. Nothing rests
-//! on the cache: the turn group says whether a turn is still kept.
+//! A history grows with each turn, and fetching it from the stores before each turn would fill the link
+//! between regions. The cache is only an optimisation: the turn group decides whether a turn is still
+//! kept.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -11,9 +11,9 @@
 use gypsumglade_core::prelude::*;
 use tokio::time::Instant;
 
-/// How long a history waits for the next turn.
+/// How long a history stays in the cache.
 const TTL: Duration = Duration::from_secs(10);
-/// Most bytes of all histories.
+/// Most bytes of all cached histories together.
 const MAX_BYTES: usize = 2 << 20;
 
 #[derive(Debug)]
@@ -22,22 +22,22 @@
     expires: Instant,
 }
 
-/// Histories by the turn that ends each.
+/// Histories by the id of their last turn.
 #[derive(Debug, Default)]
 pub(super) struct HistoryCache {
     entries: Mutex<HashMap<CompactString, Entry>>,
 }
 
 impl HistoryCache {
-    /// Returns everything up to the end of a turn, if it ended here lately.
+    /// Returns the history that ends with a turn, unless it has expired or was never cached.
     pub(super) fn get(&self, turn: &str) -> Option<Bytes> {
         let entries = self.entries.lock().expect("no panic while held");
         let found = entries.get(turn).filter(|entry| entry.expires > Instant::now());
         found.map(|entry| entry.history.clone())
     }
 
-    /// Takes the history of a turn in the place of the one that it continues: few turns are
-    /// continued twice, and those fetch it.
+    /// Caches the history that ends with `turn` and removes that of `previous`, since few turns are
+    /// continued more than once. Does nothing if the cache is full.
     pub(super) fn put(&self, turn: CompactString, previous: &str, history: Bytes) {
         let now = Instant::now();
         let mut entries = self.entries.lock().expect("no panic while held");
--- a/crates/gypsumglade/src/gateway/relay.rs
+++ b/crates/gypsumglade/src/gateway/relay.rs
@@ -1,4 +1,4 @@
-//! Passes an endpoint's events on to a caller as they come.
+//! Relays an endpoint's event stream to a caller.
 
 use std::sync::Arc;
 
@@ -21,10 +21,10 @@
 };
 use super::state::GatewayState;
 
-/// A piece of a caller's answer.
+/// A frame of the answer's body, or the error that cuts it off.
 pub(super) type RelayFrame = Result<Frame<Bytes>, IncompleteBody>;
 
-/// Where events come from.
+/// The endpoint's answer from which events are read.
 pub(super) struct Source {
     body: Incoming,
     dispatch: ActiveDispatch,
@@ -33,7 +33,7 @@
 }
 
 impl Source {
-    /// Wraps an endpoint's answer whose head has been read.
+    /// Wraps an answer whose head has been read.
     pub(super) fn new(
         body: Incoming,
         dispatch: ActiveDispatch,
@@ -44,36 +44,36 @@
     }
 }
 
-/// How the endpoint's part of a stream ended.
+/// How forwarding a stream ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum StreamEnd {
-    /// The endpoint sent all of it.
+    /// The endpoint sent the complete stream.
     Whole,
-    /// It broke off.
+    /// The endpoint's answer ended early.
     Broken,
-    /// The caller went away, or its time is over.
+    /// The caller disconnected, or its deadline passed.
     Abandoned,
 }
 
-/// How a stream's settlement ended.
+/// How waiting for a stream's settlement ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum SettlementEnd {
-    /// Nothing of it is left to wait for.
+    /// The settlement is durable, or the stream needs none.
     Durable,
-    /// The caller's time was over before.
+    /// The caller's deadline passed first.
     Late,
-    /// The caller left before.
+    /// The caller disconnected first.
     Alone,
 }
 
-/// A stream on its way from an endpoint to a caller.
+/// A stream in progress from an endpoint to a caller.
 pub(super) struct Relay {
     state: Arc<GatewayState>,
     call: Arc<Call>,
     body: Bytes,
     source: Option<Source>,
     scanner: EventScanner,
-    /// Read from the endpoint and not passed on yet.
+    /// Complete events that have been read but not forwarded.
     pending: Bytes,
     events: u64,
     attempts: Attempts,
@@ -81,17 +81,17 @@
     pub(super) timeline: Timeline,
 }
 
-/// When a stream reached its steps, counted from its arrival.
+/// Time from the arrival of a request to each step, for logs and speed estimates.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Timeline {
-    /// Leave to run was given.
+    /// The turn's tokens were reserved.
     pub(super) reserved: Duration,
-    /// The first event came.
+    /// The first event arrived.
     pub(super) first: Duration,
 }
 
 impl Relay {
-    /// Starts with an endpoint's answer.
+    /// Creates a relay that starts with `source`; `body` is sent again if the stream resumes elsewhere.
     pub(super) fn new(
         state: Arc<GatewayState>,
         call: Arc<Call>,
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Reads up to the end of the first event; false if the endpoint broke off before it.
+    /// Reads up to the end of the first event. Returns false if the endpoint's answer ends early.
     pub(super) async fn read_first_event(&mut self) -> bool {
         while self.pending.is_empty() {
             match self.next_chunk().await {
@@ -121,7 +121,7 @@
                     self.pending = completed.bytes;
                     self.events += completed.events;
                 }
-                // A stream without an event is whole too.
+                // A complete stream may have no events.
                 None => return true,
                 Some(Err(IncompleteBody)) => return false,
             }
@@ -129,7 +129,7 @@
         true
     }
 
-    /// Passes the stream on until it ends, then settles.
+    /// Forwards the stream until it ends, resuming it at other endpoints if needed, then settles it.
     pub(super) async fn run(mut self, caller: mpsc::Sender<RelayFrame>) {
         let mut end = self.forward_events(&caller).await;
         while end == StreamEnd::Broken && self.resume().await {
@@ -147,7 +147,7 @@
             let left = self.call.time_left();
             let chunk = tokio::select! {
                 chunk = self.next_chunk() => chunk,
-                // A caller that left must not keep an engine at work.
+                // Stops the engine's work when the caller has disconnected.
                 () = caller.closed() => return StreamEnd::Abandoned,
                 () = tokio::time::sleep(left) => return StreamEnd::Abandoned,
             };
@@ -169,7 +169,7 @@
         matches!(tokio::time::timeout(left, sending).await, Ok(Ok(())))
     }
 
-    /// Reads the next piece; nothing at the end of the endpoint's answer.
+    /// Reads the next chunk and returns the events that it completes, or `None` at the end of the answer.
     async fn next_chunk(&mut self) -> Option<Result<Completed, IncompleteBody>> {
         let source = self.source.as_mut()?;
         let frame = match source.body.frame().await? {
@@ -186,7 +186,8 @@
         Some(Ok(completed))
     }
 
-    /// Goes on at another endpoint after the last event that the caller has.
+    /// Resumes the stream at another endpoint, after the last event that the caller has. Returns false
+    /// if that is not possible.
     async fn resume(&mut self) -> bool {
         let resumable = self.call.stream().is_some_and(|stream| stream.resumable);
         if let Some(source) = self.source.take() {
@@ -211,7 +212,7 @@
         true
     }
 
-    /// Learns from a stream how fast its engine generates.
+    /// Updates the pool's decode speed from the stream.
     fn observe_speed(&self, source: &Source, last: Duration) {
         let Some(events) = u32::try_from(self.events).ok().filter(|events| *events > 1) else {
             return;
@@ -283,10 +284,11 @@
     }
 }
 
-/// Ends a caller's answer in a way that can't be taken for its end.
+/// Closes the caller's connection in the middle of the answer, so that the answer can't be taken for a
+/// complete one.
 ///
-/// What was passed on before is flushed first: the connection is cut at the break, and a caller that
-/// may take its stream up again would lose the events that it had not been sent.
+/// Waits first until earlier events are flushed, since a caller may resume after the last event that
+/// it received.
 async fn abort_answer(caller: &mpsc::Sender<RelayFrame>) {
     let flushed = async {
         while caller.capacity() < caller.max_capacity() {
@@ -294,22 +296,22 @@
         }
         tokio::time::sleep(FLUSH_INTERVAL).await;
     };
-    // A caller that reads too slowly, or has gone, is cut all the same.
+    // A caller that reads too slowly or has disconnected is not waited for.
     let _ = tokio::time::timeout(FLUSH_TIMEOUT, flushed).await;
     let _ = caller.send(Err(IncompleteBody)).await;
 }
 
-/// Pause between two looks whether a caller's connection has taken all events.
+/// How often to check whether the caller's connection has taken all events.
 const FLUSH_INTERVAL: Duration = Duration::from_millis(2);
-/// Longest wait for that: a caller that reads at all takes them in less than a round trip.
+/// Time limit for flushing events before the connection is closed.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(60);
 
-/// Returns seconds as microseconds, for logs.
+/// Converts seconds to microseconds.
 fn micros(seconds: Option<f64>) -> Option<f64> {
     seconds.map(|seconds| seconds * 1e6)
 }
 
-/// Ends the attempt at an endpoint, and keeps its connection if the answer was whole.
+/// Ends the dispatch and returns its connection to the pool if the answer was complete.
 fn release(state: &GatewayState, source: Source, end: StreamEnd) {
     let Source { dispatch, connection, head, .. } = source;
     match end {
@@ -318,8 +320,7 @@
             state.connections.put_back(connection, &head);
         }
         StreamEnd::Broken => dispatch.failed(),
-        // Dropped: counted out without a verdict, and the connection is closed, which stops the
-        // endpoint's work.
+        // Dropping the dispatch cancels it, and closing the connection stops the endpoint's work.
         StreamEnd::Abandoned => {}
     }
 }
--- a/crates/gypsumglade/src/gateway/settlement.rs
+++ b/crates/gypsumglade/src/gateway/settlement.rs
@@ -1,4 +1,4 @@
-//! Sets a turn's tokens aside before it runs, and settles them after.
+//! Reserves a turn's tokens before it runs, and settles the reservation afterwards.
 
 use std::sync::Arc;
 
@@ -17,24 +17,24 @@
 use super::placement::shared_prefixes;
 use super::state::GatewayState;
 
-/// Longest wait for the histories of turns before a caller is better off at another VM, as a part of its
-/// time.
+/// A history may take the caller's remaining time divided by this; the rest is left for a retry at
+/// another VM.
 const FETCH_DIVISOR: u32 = 4;
-/// Longest wait for one try at putting a text, before stores are chosen anew.
+/// Time limit of one attempt at storing a text, after which stores are chosen anew.
 const PUT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Pause before the next try; it doubles with each, since texts are large and a link may be full.
+/// Initial delay between attempts at storing a text; it doubles with each.
 const PUT_BACKOFF: Duration = Duration::from_millis(50);
-/// When to come back while histories can't be had: a store's copy is fetched from others.
+/// Retry delay for callers whose turn's history could not be fetched.
 const NO_TEXT_RETRY_AFTER: Duration = Duration::from_millis(400);
 
-/// A turn whose tokens are set aside.
+/// A turn whose tokens are reserved.
 #[derive(Clone, Debug)]
 pub(super) struct Reservation {
     turn: CompactString,
     program: CompactString,
-    /// The whole prompt, where the caller told its parts.
+    /// The entire prompt, if the caller described its parts.
     prompt: Option<SharedPrefix>,
-    /// Present where the turn is kept for those that continue it.
+    /// Set if the turn is kept for turns that continue it.
     retained: Option<RetainedTurn>,
 }
 
@@ -45,19 +45,23 @@
     retention_ms: u64,
 }
 
-/// Leave to run a turn.
+/// A turn that may run.
 pub(super) struct ReservedTurn {
-    /// What to send: everything that precedes, then the turn's own input.
+    /// Body for the endpoint: the history followed by the turn's own input.
     pub(super) body: Bytes,
-    /// Whether the program had a turn before this one.
+    /// Whether the program has had an earlier turn.
     pub(super) under_way: bool,
-    /// Where the prompt's start was read last.
+    /// The endpoint that last read a prefix of the prompt.
     pub(super) last_run: Option<PromptRun>,
-    /// What to settle later; nothing for a request without budget whose turns are not kept.
+    /// The reservation to settle; `None` for a turn that has no budget and is not kept.
     pub(super) guard: Option<ReservationGuard>,
 }
 
-/// Asks for leave to run a turn.
+/// Reserves the tokens of a turn with the turn group, and fetches the history that it continues.
+///
+/// # Errors
+/// Fails when the budget is exhausted, the turn to continue is unknown, the turn group does not answer
+/// or the history can't be fetched. The turn has not run.
 pub(super) async fn reserve(
     state: &Arc<GatewayState>,
     call: &Call,
@@ -143,15 +147,15 @@
     }
 }
 
-/// A reservation that was made, or may have been. Dropped before its turn runs to a caller, it is settled
-/// to nothing: its tokens would count as used for good.
+/// A reservation that may have been made. Dropping the guard settles it with zero tokens unless it has
+/// been taken, so that its tokens don't stay reserved.
 pub(super) struct ReservationGuard {
     state: Arc<GatewayState>,
     reservation: Option<Reservation>,
 }
 
 impl ReservationGuard {
-    /// Returns the reservation, to be settled by whoever takes it.
+    /// Returns the reservation, so that dropping the guard no longer settles it.
     pub(super) fn take(mut self) -> Option<Reservation> {
         self.reservation.take()
     }
@@ -176,28 +180,29 @@
     state.metrics.turn_wait(began.elapsed().as_secs_f64(), step, outcome);
 }
 
-/// What a turn used.
+/// Resources that a turn used.
 #[derive(Clone, Debug, Default)]
 pub(super) struct TurnUsage {
-    /// Tokens that were handed to the caller.
+    /// Tokens sent to the caller.
     pub(super) tokens: u64,
-    /// The engine that read its prompt.
+    /// Endpoint that read the prompt; `None` if no event arrived.
     pub(super) endpoint: Option<EndpointName>,
 }
 
-/// What a stream waited for after its engine had ended it.
+/// Time that a finished stream waited for each step of its settlement.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct SettleTimes {
-    /// Its text was put on disks.
+    /// Storing the text.
     pub(super) put: Duration,
-    /// The group took its settlement.
+    /// Committing the settlement.
     pub(super) settle: Duration,
 }
 
-/// Settles a turn that ended whole, and returns once it is durable, or when the caller's time is over.
-/// A turn that may be continued must be: its caller would go on from it at another VM.
+/// Settles a turn whose stream is complete. Returns true once the settlement is durable, and false if
+/// that does not succeed before the caller's deadline.
 ///
-/// The answer is ready, so nothing is worth more to its caller than the rest of its time.
+/// A kept turn must be durable before its stream ends, since the caller may continue it at another VM.
+/// A turn that is not kept is settled in the background.
 pub(super) async fn settle_completed(
     state: &GatewayState,
     call: &Call,
@@ -239,16 +244,16 @@
     settled
 }
 
-/// What a turn was sent with and what it gave.
+/// Texts of a turn that has run to its end.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct CompletedTurn<'a> {
-    /// Everything before it, and its own input.
+    /// The history followed by the turn's own input.
     pub(super) sent: &'a Bytes,
-    /// Its output.
+    /// The turn's output.
     pub(super) output: &'a Bytes,
 }
 
-/// Puts a turn's text on stores, and on others while those can't take it, as long as its caller waits.
+/// Stores a turn's text, retrying until the caller's deadline. Returns the stores that hold it.
 async fn put_text(
     state: &GatewayState,
     call: &Call,
@@ -270,7 +275,7 @@
     None
 }
 
-/// Settles a turn that is not kept, without a wait.
+/// Settles a turn in the background; it is not kept.
 pub(super) fn settle_in_background(
     state: &GatewayState,
     reservation: &Reservation,
--- a/crates/gypsumglade/src/gateway/settlement_queue.rs
+++ b/crates/gypsumglade/src/gateway/settlement_queue.rs
@@ -1,4 +1,4 @@
-//! Settlements that nobody waits for.
+//! Background settlement of turns.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
@@ -13,23 +13,23 @@
 
 use super::turn_client::TurnClient;
 
-/// Settlements that ask at one time: all entry VMs begin at once when a leader is there again.
+/// Settlements sent at the same time; limits the load on the stores after an election.
 const MAX_CONCURRENT: usize = 4;
-/// Settlements under way, those that wait for their turn included; some hundred bytes each.
+/// Most settlements in progress or queued; bounds memory.
 const MAX_QUEUED: usize = 2_048;
-/// Time after which a settlement is given up. It spans an election and restarts of stores.
+/// Time limit of a settlement, retries included; long enough for an election and restarts of stores.
 const GIVE_UP_AFTER: Duration = Duration::from_secs(30);
-/// Longest wait for one answer.
+/// Time limit of one attempt.
 const ASK_TIMEOUT: Duration = Duration::from_secs(1);
-/// Pause before the first repeat; it doubles with each.
+/// Delay before the first retry; it doubles with each.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
-/// The longest it grows to.
+/// Longest delay between retries.
 const MAX_BACKOFF: Duration = Duration::from_secs(3);
 
-/// Makes settlements in the background, a few at a time.
+/// Settles turns in the background with bounded concurrency.
 ///
-/// Each reservation that found no answer needs one. Asking for all of them time after time while nobody
-/// leads, entry VMs would keep the stores from electing a leader.
+/// Every reservation that got no answer needs a settlement. Without a bound, retries of all of them
+/// while there is no leader could overload the stores and delay the election.
 pub(super) struct SettlementQueue {
     shared: Arc<Shared>,
     tasks: TaskTracker,
@@ -44,7 +44,7 @@
 }
 
 impl SettlementQueue {
-    /// Starts with nothing to settle. A planned stop waits for `tasks`.
+    /// Creates an empty queue. Settlements run on `tasks`, for which a planned stop waits.
     pub(super) fn new(
         client: TurnClient,
         tasks: TaskTracker,
@@ -56,7 +56,7 @@
         SettlementQueue { shared, tasks }
     }
 
-    /// Settles a turn, without a wait.
+    /// Queues a settlement; logs and drops it if the queue is full.
     pub(super) fn settle(&self, settle: Settle) {
         let shared = Arc::clone(&self.shared);
         if shared.queued.fetch_add(1, Ordering::Relaxed) >= MAX_QUEUED {
@@ -93,10 +93,10 @@
         false
     }
 
-    /// Leaves the turn's tokens set aside: the program's budget is never exceeded.
+    /// Logs a dropped settlement. The turn's tokens stay reserved, so the program can't exceed its budget.
     fn give_up(&self, settle: &Settle) {
         let count = self.given_up.fetch_add(1, Ordering::Relaxed) + 1;
-        slog::warn!(self.log, "settlement given up"; "turn" => &settle.turn,
+        slog::warn!(self.log, "settlement abandoned, its tokens stay reserved"; "turn" => &settle.turn,
             "program" => &settle.program, "count" => count);
     }
 }
--- a/crates/gypsumglade/src/gateway/streaming.rs
+++ b/crates/gypsumglade/src/gateway/streaming.rs
@@ -20,13 +20,13 @@
 use super::settlement::{ReservationGuard, ReservedTurn, reserve};
 use super::state::GatewayState;
 
-/// Frames that may wait for a caller that reads slowly before its endpoint is slowed down.
+/// Frames buffered for a slow caller before reading from the endpoint pauses.
 const FRAME_BUFFER: usize = 16;
 
-/// Answers a request with an endpoint's stream.
+/// Answers a request with an endpoint's event stream.
 ///
-/// The head goes out with the first event, not before: until then the request can still be sent
-/// elsewhere, or be refused with a word on whether it ran.
+/// The caller gets the head together with the first event. Until then the request can be sent to
+/// another endpoint, or be refused with a status that states whether it may have run.
 pub(super) async fn answer(state: &Arc<GatewayState>, call: Arc<Call>) -> Result<Answer, Refusal> {
     let ReservedTurn { body, under_way, last_run, guard } = reserve(state, &call).await?;
     let mechanisms = state.settings.policy.mechanisms();
@@ -50,7 +50,7 @@
     }
 }
 
-/// Turns a new program away while its pool has more work than it can do in time.
+/// Refuses the first turn of a program while its pool is overloaded.
 fn admit(state: &GatewayState, call: &Call, under_way: bool) -> Result<(), Refusal> {
     if !state.settings.policy.mechanisms().has(Mechanism::Admission) {
         return Ok(());
@@ -59,7 +59,7 @@
     let standing = Standing { rank: call.route.rank, under_way };
     let spread = rand::random::<f64>();
     overload::admit(load, standing, spread).map_err(|retry_after| {
-        slog::info!(state.log, "new program turned away"; "request" => %call.head.id,
+        slog::info!(state.log, "new program refused, its pool is overloaded"; "request" => %call.head.id,
             "route" => %call.route.name, "calls" => load.calls, "slots" => load.slots,
             "stretch" => load.stretch);
         Refusal::Unavailable { retry_after }
@@ -67,9 +67,9 @@
 }
 
 enum StreamStart {
-    /// A stream with its first event read.
+    /// A stream whose first event has been read, and its head.
     Stream(Box<Relay>, Box<http::response::Parts>),
-    /// An answer that is no stream.
+    /// A complete answer with a status other than 200.
     Whole(Answer),
 }
 
--- a/crates/gypsumglade/src/gateway/text_client.rs
+++ b/crates/gypsumglade/src/gateway/text_client.rs
@@ -1,4 +1,4 @@
-//! Puts texts of kept turns on stores' disks, and fetches them; see docs/design/texts.md.
+//! Client that writes the texts of kept turns to stores and fetches them; see docs/design/texts.md.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -16,26 +16,26 @@
 use crate::discovery::Discovery;
 use crate::rpc::{Method, PeerClients};
 
-/// Wait for a store to put a text on its disk before another one is asked as well.
+/// Hedge delay of puts: how long stores may take before another one is asked as well.
 const PUT_HEDGE_DELAY: Duration = Duration::from_millis(200);
-/// Longest wait for one store to put a text on its disk.
+/// Time limit of a put to one store.
 const PUT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Wait for a store to give texts before another one is asked as well.
+/// Hedge delay of fetches: how long a store may take before another one is asked as well.
 const FETCH_HEDGE_DELAY: Duration = Duration::from_millis(200);
-/// Longest wait for one store to give texts.
+/// Time limit of a fetch from one store.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(1);
-/// Bytes of texts that are asked for at one time: far below what one answer may have.
+/// Bytes of texts after which no further ones are added to a fetch; keeps answers within their limit.
 const MAX_FETCH_BYTES: u64 = 4 * 1024 * 1024;
-/// Calls to one store that may fail before it is given up: one may have broken with its connection.
+/// Failed fetches after which a store is no longer asked; one may be due to a stale connection.
 const MAX_FAILURES: u32 = 2;
-/// Silence after which a store is not chosen.
+/// Time since a store was last seen after which it is not chosen.
 const STALE_AFTER: Duration = Duration::from_secs(5);
-/// Time for which a store that did not answer is chosen last.
+/// How long a store that did not answer is chosen last.
 const AVOID_FOR: Duration = Duration::from_millis(1_500);
-/// How much longer than its turn a text is kept before its holder asks about it.
+/// Added to the turn's retention for its text, so that a store checks on the turn only after its expiry.
 const RETENTION_GRACE: Duration = Duration::from_secs(15);
 
-/// Puts and fetches texts; clones share what they learn.
+/// Stores and fetches texts. Clones share their state.
 #[derive(Clone)]
 pub struct TextClient {
     discovery: Option<Arc<Discovery>>,
@@ -43,15 +43,15 @@
     peers: PeerClients,
     region: CompactString,
     copies: usize,
-    /// Stores that did not answer lately.
+    /// When each store last failed to answer; removed when it answers.
     unresponsive: Arc<Mutex<HashMap<VmId, Instant>>>,
     hedging: RetrySettings,
-    /// Hedges that puts have earned: while every store is slow, more would add to what slows them.
+    /// Limits hedged puts to a fraction of all puts, so that they don't overload slow stores.
     hedge_budget: Arc<Mutex<RepeatBudget>>,
 }
 
 impl TextClient {
-    /// Creates a client that puts each text on `copies` stores.
+    /// Creates a client that stores each text on `copies` stores.
     pub fn new(
         discovery: Option<Arc<Discovery>>,
         directory: Arc<Directory>,
@@ -74,7 +74,8 @@
         }
     }
 
-    /// Puts a text on as many stores as must have it, and returns them; nothing if `until` passes first.
+    /// Writes a text to the configured number of stores and returns them. Returns `None` if too few have
+    /// confirmed it by the deadline, or too few stores are left to ask.
     pub async fn put(
         &self,
         program: &str,
@@ -86,7 +87,7 @@
             u64::try_from((retention + RETENTION_GRACE).as_millis()).unwrap_or(u64::MAX);
         let put = Arc::new(TextPut { texts: vec![text], retention_ms });
         let order = self.preferred(program);
-        // A turn that is acknowledged with fewer copies is lost with as many disks as must be borne.
+        // With fewer copies the text might not survive the store failures that the settings tolerate.
         let copies = self.copies;
         self.hedge_budget().earn(&self.hedging);
         let mut next = order.into_iter().peekable();
@@ -113,7 +114,7 @@
                     }
                 },
                 () = tokio::time::sleep_until(hedge.min(deadline)) => {
-                    // They are chosen last from now on, until they answer.
+                    // Choose slow stores last until they answer.
                     asked.iter().filter(|vm| !holders.contains(vm)).for_each(|vm| self.record_response(*vm, false));
                     if let Some(vm) = next.next_if(|_| self.hedge_budget().spend()) {
                         asked.push(vm);
@@ -123,13 +124,13 @@
                 }
             }
         }
-        // What is still under way may be stored as well; its holder drops it later.
+        // Puts in flight may still succeed; a store drops surplus copies later.
         putting.detach_all();
         (holders.len() == copies && copies > 0).then_some(holders)
     }
 
-    /// Returns the texts of a chain joined, oldest first; nothing once no store is left that may have
-    /// what is lacking, or `until` passes.
+    /// Returns the concatenated texts of a chain, oldest first. Returns `None` when the deadline passes or
+    /// no store is left that may hold a missing text.
     pub async fn fetch(&self, chain: &[Holding], deadline: Instant) -> Option<Bytes> {
         let mut found: HashMap<String, Text> = HashMap::new();
         let mut state = FetchState::default();
@@ -161,15 +162,15 @@
                     found.extend(state.finish_request(answer));
                 }
                 () = tokio::time::sleep_until(hedge.min(deadline)) => {
-                    // They are chosen last from now on, until they answer.
+                    // Choose slow stores last until they answer.
                     state.in_flight.iter().for_each(|vm| self.record_response(*vm, false));
                 }
             }
         }
     }
 
-    /// Returns the store to ask next: of those that may have a lacking text, one that failed least and has
-    /// most.
+    /// Returns the store to ask next among those that may hold a missing text. Prefers few failures, then
+    /// responsive stores, then those with the most missing texts, then the own region.
     fn choose_source(&self, lacking: &[&Holding], state: &FetchState) -> Option<VmId> {
         let mut counts: HashMap<VmId, usize> = HashMap::new();
         for holding in lacking {
@@ -190,8 +191,8 @@
         let left = deadline.saturating_duration_since(Instant::now()).min(FETCH_TIMEOUT);
         let texts = match self.directory.store(source) {
             Some(address) => {
-                let requests = self.peers.ask::<_, Texts>(address, Method::Texts, &query, left);
-                requests.await.ok().map(|texts| texts.texts)
+                let request = self.peers.ask::<_, Texts>(address, Method::Texts, &query, left);
+                request.await.ok().map(|texts| texts.texts)
             }
             None => None,
         };
@@ -212,19 +213,19 @@
             let timeout = deadline.saturating_duration_since(Instant::now()).min(PUT_TIMEOUT);
             let stored = client.peers.ask(address, Method::PutTexts, put.as_ref(), timeout).await;
             client.record_response(vm, stored.is_ok());
-            // A store whose disk was wiped answers at the same address under another identity.
+            // A store that was wiped has the same address but a new id.
             (vm, stored.is_ok_and(|stored: TextStored| stored.stored && stored.vm == vm.0))
         });
     }
 
-    /// Returns stores in the order in which they should hold a program's texts, the silent ones last.
+    /// Returns the stores in order of preference for a program's texts, the unresponsive ones last.
     fn preferred(&self, program: &str) -> Vec<VmId> {
         let mut order = preferred(program, &self.region, &self.known_stores());
         order.sort_by_key(|vm| self.is_unresponsive(*vm));
         order
     }
 
-    /// Returns the stores heard of; where the settings list them, all of them.
+    /// Returns the stores that discovery has recently seen or, without discovery, those in the settings.
     fn known_stores(&self) -> Vec<Candidate> {
         if let Some(discovery) = &self.discovery {
             return discovery.stores_heard(STALE_AFTER);
@@ -238,7 +239,7 @@
         stores.collect()
     }
 
-    /// Returns the stores heard of, those of the own region first.
+    /// Returns the known stores, those of the own region first.
     fn stores_by_region(&self) -> Vec<VmId> {
         let mut stores = self.known_stores();
         stores.sort_by_key(|store| store.region != self.region);
@@ -263,21 +264,21 @@
     }
 }
 
-/// What a store answered that was asked for texts.
+/// A store's answer to a fetch.
 struct FetchAnswer {
     source: VmId,
-    /// The turns that it was asked for.
+    /// Turns whose texts were asked for.
     turns: Vec<String>,
-    /// Nothing if it didn't answer.
+    /// `None` if the store did not answer.
     texts: Option<Vec<Text>>,
 }
 
-/// What one fetch knows of the stores that hold its texts.
+/// What one fetch has learnt about the stores that may hold its texts.
 #[derive(Default)]
 struct FetchState {
     in_flight: HashSet<VmId>,
     failures: HashMap<VmId, u32>,
-    /// Turns whose texts a store answered that it hasn't.
+    /// Texts that a store has answered not to hold, by turn.
     missing: HashSet<(VmId, String)>,
 }
 
@@ -286,19 +287,20 @@
         self.failures.get(&vm).copied().unwrap_or_default()
     }
 
-    /// Tells whether a store may be asked for a turn's text now.
+    /// Returns whether a store may be asked for a turn's text now.
     fn may_have(&self, vm: VmId, turn: &str) -> bool {
         !self.in_flight.contains(&vm)
             && self.failures(vm) < MAX_FAILURES
             && !self.missing.contains(&(vm, turn.to_owned()))
     }
 
-    /// Tells whether a store may be asked at once: none is under way, and this one has not just failed.
+    /// Returns whether a store may be asked without the hedge delay: no request is in flight and the store
+    /// has not failed.
     fn may_ask_now(&self, vm: VmId) -> bool {
         self.in_flight.is_empty() && self.failures(vm) == 0
     }
 
-    /// Returns what to ask a store for, and notes that it is asked.
+    /// Marks a store as being asked, and returns the turns to ask it for.
     fn start_request(&mut self, vm: VmId, lacking: &[&Holding]) -> Vec<String> {
         let mut bytes = 0;
         let held = lacking
@@ -314,7 +316,7 @@
         turns
     }
 
-    /// Takes a store's answer, and returns its texts.
+    /// Records a store's answer and returns its texts by turn.
     fn finish_request(&mut self, answer: FetchAnswer) -> HashMap<String, Text> {
         let vm = answer.source;
         self.in_flight.remove(&vm);
