--- a/crates/gypsumglade/src/gateway/endpoint_sync.rs
+++ b/crates/gypsumglade/src/gateway/endpoint_sync.rs
@@ -1,4 +1,4 @@
-//! Follows the endpoints that the control group knows.
+//! Keeps the registry in sync with the control group's list of endpoints.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -14,31 +14,31 @@
 use crate::leader_hint::LeaderHint;
 use crate::rpc::{Method, RpcError};
 
-/// How long a question waits at the leader for news.
+/// How long the leader may hold a query until there is a change.
 const LONG_POLL: Duration = Duration::from_millis(800);
-/// The same while the endpoints known can't be used yet, for want of a bundle: a loop that waits for
-/// news meanwhile keeps refusing requests after all processes were killed.
+/// The same while endpoints can't be announced for lack of a bundle. Short, so that they are announced
+/// as soon as the bundle arrives.
 const PENDING_LONG_POLL: Duration = Duration::from_millis(50);
-/// Longest wait for the answer: a leader that fell silent is noticed this fast, well within the
-/// time that a draining endpoint goes on serving.
+/// Time limit of a query; how fast a failed leader is noticed. Must be shorter than the time that a
+/// draining endpoint keeps serving.
 const TIMEOUT: Duration = Duration::from_millis(1_300);
-/// Pause after a store that does not lead.
+/// Delay after a failed query.
 const RETRY_INTERVAL: Duration = Duration::from_millis(40);
-/// Time for which an endpoint counts as there without a word from the control group. The group
-/// tells when one goes; this only bounds a partition from it, which callers are served through.
+/// How long endpoints stay usable without contact with the control group, so that callers are served
+/// during a partition from it.
 const ENDPOINT_LEASE: Duration = Duration::from_secs(60);
 
-/// What is known of the endpoints.
+/// The latest known list of endpoints, and when it was last announced to the registry.
 struct EndpointSync {
     state: Arc<GatewayState>,
     seen_change: u64,
     endpoints: HashMap<CompactString, EndpointRecord>,
-    /// Numbers the announcements to the registry, which takes none twice.
+    /// Number of the latest announcement; the registry ignores numbers that it has seen.
     sequence: u64,
     renewal: Renewal,
 }
 
-/// Follows until the process stops taking work.
+/// Queries the control group and updates the registry until shutdown.
 pub(super) async fn run(state: Arc<GatewayState>, shutdown: tokio_util::sync::CancellationToken) {
     let mut sync = EndpointSync {
         seen_change: 0,
@@ -99,13 +99,13 @@
         self.remove_gone(&next);
         self.endpoints = next;
         self.renewal.hurry();
-        slog::info!(self.state.log, "endpoints followed"; "change" => self.seen_change,
+        slog::info!(self.state.log, "endpoint list updated"; "change" => self.seen_change,
             "endpoints" => self.endpoints.len(),
             "leaving" => self.endpoints.values().filter(|record| record.leaving).count());
     }
 
-    /// Takes endpoints out that are gone or have started anew. Their name may be at another address
-    /// by now, which the registry would refuse while it thinks that the former start is there.
+    /// Marks endpoints that are gone or have restarted as leaving. A restarted one may have a new
+    /// address, which the registry refuses while the old incarnation is in use.
     fn remove_gone(&self, next: &HashMap<CompactString, EndpointRecord>) {
         let now = self.state.clock.now();
         let mut routing = self.state.routing();
@@ -117,8 +117,8 @@
         }
     }
 
-    /// Tells the registry of all endpoints when there is news of them, when another bundle is in
-    /// force, and now and then to renew their leases.
+    /// Announces all endpoints to the registry after a change of the list or of the bundle, and
+    /// periodically to renew their leases.
     fn announce_if_due(&mut self) {
         let now = self.state.clock.now();
         let bundle = self.state.config.active(now).ok();
--- a/crates/gypsumglade/src/gateway/ingress.rs
+++ b/crates/gypsumglade/src/gateway/ingress.rs
@@ -1,4 +1,4 @@
-//! Takes callers' connections and requests in, and sends each request on its way.
+//! Accepts callers' connections and handles their requests.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -22,23 +22,22 @@
 use super::state::GatewayState;
 use super::streaming;
 
-/// Longest time that a caller's connection may stay idle or take to send a head. It is above any
-/// idle time that operators tell callers, so that no request crosses a close.
+/// How long a caller's connection may be idle or take to send a head. Longer than any idle timeout
+/// that callers are told, so that a connection is not closed just as a request arrives.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
-/// Time after a planned stop began until connections that are idle are closed and no further one is
-/// taken. By then the balancer has missed two answers and sends no more, and most callers have had
-/// an answer that tells them to open another connection.
+/// How long a planned stop keeps accepting connections and keeps idle ones open. By its end the
+/// balancer sends no more callers, and most callers have got a `Connection: close`.
 const DRAIN_DELAY: Duration = Duration::from_millis(3_000);
-/// When to come back to a VM that knows no bundle: an election takes about a second, and callers who
-/// are told less have used up their attempts by then.
+/// Retry delay for callers while no bundle is in force; about as long as an election, so that callers
+/// don't use up their attempts during one.
 const NO_BUNDLE_RETRY_AFTER: Duration = Duration::from_millis(900);
-/// Longest time that a caller may take to send its body, if neither it nor the operator bounds the request
-/// closer. It ends what a caller that fell silent has left behind.
+/// Upper bound of the time for a caller to send its body, so that unresponsive callers don't hold
+/// resources.
 const BODY_TIMEOUT: Duration = Duration::from_secs(30);
-/// Pause after a failed accept (typically: out of file descriptors), so that the loop can't spin.
+/// Delay after a failed accept (typically: out of file descriptors), which prevents a busy loop.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
-/// Takes connections until a planned stop is far enough.
+/// Accepts connections until [`DRAIN_DELAY`] after the start of a planned stop.
 pub(super) async fn accept(state: Arc<GatewayState>, socket: TcpListener) {
     let closing = async {
         state.stop.cancelled().await;
@@ -55,16 +54,16 @@
                 drop(state.tasks.spawn(serve_connection(Arc::clone(&state), stream)))
             }
             Err(error) => {
-                slog::warn!(state.log, "cannot accept a caller"; "error" => %error);
+                slog::warn!(state.log, "cannot accept a connection"; "error" => %error);
                 tokio::time::sleep(ACCEPT_BACKOFF).await;
             }
         }
     }
 }
 
-/// Serves a caller's connection until it closes it, or a planned stop does.
+/// Serves a caller's connection until the caller or a planned stop closes it.
 async fn serve_connection(state: Arc<GatewayState>, stream: TcpStream) {
-    // Small frames of a token stream must not wait for an acknowledgement.
+    // Send the small frames of a token stream at once (Nagle's algorithm would delay them).
     let _ = stream.set_nodelay(true);
     let serving = Arc::clone(&state);
     let service = service_fn(move |request| {
@@ -81,7 +80,7 @@
         tokio::time::sleep(DRAIN_DELAY).await;
     };
     tokio::select! {
-        // A caller's connection that broke is the caller's to notice.
+        // Errors on a caller's connection need no handling: the caller notices them.
         _ = served.as_mut() => return,
         () = closing => {}
     }
@@ -89,7 +88,7 @@
     let _ = served.await;
 }
 
-/// Takes one request through all steps.
+/// Handles one request from its head to the caller's answer.
 async fn serve_request(state: Arc<GatewayState>, request: Request<Incoming>) -> Answer {
     let arrived = Instant::now();
     let (parts, body) = request.into_parts();
@@ -117,7 +116,7 @@
     state.metrics.call(arrived.elapsed().as_secs_f64(), "passed", outcome);
     let mut answer = result.unwrap_or_else(|refusal| refusal_answer(&state, refusal));
     if state.stop.is_cancelled() {
-        // The caller opens its next connection to another VM, with an answer in its hands.
+        // Makes the caller open its next connection, which the balancer sends to another VM.
         answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
     answer
@@ -155,7 +154,7 @@
     match reading.await {
         Ok(collected) => Ok(collected.to_bytes()),
         Err(error) if error.is::<http_body_util::LengthLimitError>() => Err(Refusal::TooLarge),
-        // A caller that broke off reads no answer.
+        // The caller has disconnected and does not read the answer.
         Err(_) => Err(Refusal::Malformed),
     }
 }
--- a/crates/gypsumglade/src/gateway/leader_search.rs
+++ b/crates/gypsumglade/src/gateway/leader_search.rs
@@ -1,4 +1,4 @@
-//! Looks for the turn group's leader, once for all who wait for it.
+//! Search for the leader of the turn group, shared by all tasks that wait for it.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,19 +15,19 @@
 use crate::directory::Directory;
 use crate::rpc::{Method, PeerClients};
 
-/// Longest wait for one store's word on who leads: it costs a round of heartbeats at most.
+/// Time limit for one store's answer.
 const ASK_TIMEOUT: Duration = Duration::from_millis(500);
-/// Pause between two stores at the start of a search, before each has been asked once.
+/// Mean delay between requests until every store has been asked once.
 const FIRST_ROUND_INTERVAL: Duration = Duration::from_millis(30);
-/// The same later: all entry VMs search at one time, and the stores have an election to hold.
+/// Mean delay between later requests; longer, since all entry VMs search during an election.
 const ASK_INTERVAL: Duration = Duration::from_millis(100);
-/// Time within which a store that others name is not asked again: followers of one that fell silent
-/// go on naming it.
+/// How soon a store that others name as the leader may be asked again. Followers of a failed leader
+/// keep naming it for a while.
 const REPEAT_AFTER: Duration = Duration::from_millis(200);
-/// Longest search; whoever still waits starts another.
+/// Time limit of a search; tasks that still need a leader start another one.
 const SEARCH_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A shared search; clones share what they learn.
+/// Finds the leader by asking the stores. Clones share their state.
 #[derive(Clone)]
 pub(super) struct LeaderSearch {
     shared: Arc<Shared>,
@@ -37,25 +37,25 @@
     directory: Arc<Directory>,
     peers: PeerClients,
     leader: watch::Sender<Option<VmId>>,
-    /// Whom a redirect named last.
+    /// Leader named by the latest redirect, if it has not been asked yet.
     redirect: Mutex<Option<VmId>>,
     searching: AtomicBool,
 }
 
 impl LeaderSearch {
-    /// Creates a search that knows no leader yet.
+    /// Creates an idle search with no known leader.
     pub(super) fn new(directory: Arc<Directory>, peers: PeerClients) -> LeaderSearch {
         let (leader, _) = watch::channel(None);
         let (redirect, searching) = (Mutex::default(), AtomicBool::new(false));
         LeaderSearch { shared: Arc::new(Shared { directory, peers, leader, redirect, searching }) }
     }
 
-    /// Returns who leads, now and later.
+    /// Returns a receiver of the known leader.
     pub(super) fn subscribe(&self) -> watch::Receiver<Option<VmId>> {
         self.shared.leader.subscribe()
     }
 
-    /// Notes that a store doesn't lead after all, and whom it named instead.
+    /// Records that `vm` does not lead, and the leader that it named, if any.
     pub(super) fn leader_lost(&self, vm: VmId, redirect: Option<VmId>) {
         let redirect = redirect.filter(|redirect| redirect.0 != 0 && *redirect != vm);
         *self.shared.redirect.lock().expect("no panic while held") = redirect;
@@ -68,7 +68,7 @@
         });
     }
 
-    /// Starts a search unless one is under way; `found` is called once it has found who leads.
+    /// Starts a search unless one is running. Calls `found` once a leader is found.
     pub(super) fn start(&self, found: impl FnOnce() + Send + 'static) {
         if self.shared.searching.swap(true, Ordering::AcqRel) {
             return;
@@ -80,20 +80,20 @@
             if leader.is_ok() {
                 found();
             }
-            // Sent even if it is the same: those who wait for a change must not wait on if they
-            // found the search under way and it then ended.
+            // Notifies receivers even if the value is the same: a task that could not start a search of its
+            // own waits for this one to end.
             shared.leader.send_modify(|known| *known = leader.ok().or(*known));
         });
     }
 }
 
 impl Shared {
-    /// Asks one store after another until one says that it leads.
+    /// Asks the stores one after another until one answers that it leads.
     async fn search(&self) -> VmId {
         let mut in_flight = JoinSet::new();
         let mut asked: BTreeMap<VmId, Instant> = BTreeMap::new();
         let mut next = Instant::now();
-        // The store that led is asked first: most often it still does, and is only slow.
+        // Start with the last known leader, which is most likely just slow.
         let mut queue: Vec<VmId> = self.leader.borrow().iter().copied().collect();
         loop {
             tokio::select! {
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Asks a store that another one named.
+    /// Asks a store that was named as the leader, unless it has just been asked.
     fn follow_redirect(
         &self,
         vm: VmId,
--- a/crates/gypsumglade/src/gateway/serve.rs
+++ b/crates/gypsumglade/src/gateway/serve.rs
@@ -1,4 +1,4 @@
-//! Starts and stops a gateway.
+//! Start and planned stop of a gateway.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -39,10 +39,10 @@
 use crate::settings::{DiscoverySettings, PolicySettings, Settings};
 use crate::tls;
 
-/// Time after a planned stop began until the process ends whatever is still under way. Requests are
-/// taken for three seconds and last four at most; the provider kills a process after eight.
+/// Time limit of a planned stop, after which requests in flight are abandoned. Shorter than the 8 s
+/// after which the provider kills the process.
 const STOP_TIMEOUT: Duration = Duration::from_millis(7_500);
-/// Pause between two looks for idle connections to endpoints whose time is over.
+/// How often expired idle connections to endpoints are closed.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A running gateway.
@@ -52,16 +52,16 @@
     ready: Listener,
     metrics: Option<Listener>,
     discovery: Option<Arc<Discovery>>,
-    /// Ends the background loops; cancelled last.
+    /// Ends the listeners and background loops at the end of a planned stop.
     shutdown: CancellationToken,
 }
 
-/// Addresses in use, with the ports that the kernel chose.
+/// Addresses in use, including ports chosen by the kernel.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct GatewayAddresses {
-    /// Callers' requests.
+    /// Listener for callers' requests.
     pub callers: SocketAddr,
-    /// The balancer's question.
+    /// Listener for the balancer's readiness check.
     pub ready: SocketAddr,
 }
 
@@ -69,7 +69,7 @@
     /// Binds the listeners and starts the background loops.
     ///
     /// # Errors
-    /// Fails when the settings name no gateway, or an address cannot be bound.
+    /// Fails when the settings have no `gateway` section or are invalid, or an address can't be bound.
     pub async fn start(
         settings: Settings,
         dialect: Arc<dyn Dialect>,
@@ -80,7 +80,12 @@
         let state = Arc::new(state);
         let shutdown = CancellationToken::new();
         let callers = TcpListener::bind(gateway.callers).await;
-        let callers = callers.with_context(|| format!("cannot listen on {}", gateway.callers))?;
+        let callers = callers.with_context(|| {
+            format!(
+                "cannot listen on {}: free the port or change `gateway.callers` in the settings",
+                gateway.callers
+            )
+        })?;
         let options = listener_options(&state.settings, None)?;
         let ready = ready_routes(&state);
         let ready = Listener::bind(gateway.ready, ready, options.clone(), shutdown.clone()).await?;
@@ -104,18 +109,18 @@
         self.addresses
     }
 
-    /// Takes what changed in the settings.
+    /// Applies the discovery seeds of changed settings; everything else needs a restart.
     pub fn reload(&self, settings: &DiscoverySettings) {
         if let Some(discovery) = &self.discovery {
             discovery.set_seeds(settings);
         }
     }
 
-    /// Stops as planned: no callers from the balancer, requests in flight finish, callers of open
-    /// connections are told to open others, then everything closes.
+    /// Performs a planned stop: fails the readiness check, lets requests in flight finish, asks callers to
+    /// open connections elsewhere, then closes everything.
     pub async fn stop(self) {
         let state = &self.state;
-        slog::info!(state.log, "gateway stops"; "in_flight" => state.tasks.len());
+        slog::info!(state.log, "gateway stopping"; "in_flight" => state.tasks.len());
         let began = Instant::now();
         state.stop.cancel();
         state.tasks.close();
@@ -188,7 +193,7 @@
     Ok((state, discovery))
 }
 
-/// Returns how the gateway weighs what an endpoint costs.
+/// Returns the router's settings with the mechanisms and link prices of the policy.
 fn route_settings(policy: &PolicySettings) -> RouteSettings {
     let mut settings =
         RouteSettings { mechanisms: policy.mechanisms(), ..RouteSettings::default() };
@@ -197,14 +202,13 @@
     settings
 }
 
-/// Bytes of a megabyte, in which prices are set.
+/// Bytes per megabyte, the unit of prices in the settings.
 const MEGABYTE: f64 = 1e6;
 
-/// When an endpoint is taken out for its failures, and how it comes back.
+/// When endpoints are ejected for failures, and how their load ramps up afterwards.
 ///
-/// A small pool that loses some answers has short runs of failures by chance; out for long each time,
-/// most of it would be gone. Endpoints start with what they need, so a short ramp is enough to spread
-/// what would come to a new one at once.
+/// Ejections are short, since a few failures in a row may be chance and long ejections could take out
+/// most of a small pool. The ramp keeps a new endpoint from getting all new requests at once.
 const HEALTH: HealthSettings = HealthSettings {
     failures: 4,
     ejection: Duration::from_secs(1),
@@ -212,7 +216,7 @@
     ramp: Duration::from_millis(1_500),
     floor: 0.25,
 };
-/// Longest lease of an endpoint here; the control group says when one goes.
+/// Longest lease of an endpoint; the control group reports earlier departures.
 const MAX_LEASE: Duration = Duration::from_secs(120);
 
 fn spawn_loops(
--- a/crates/gypsumglade/src/gateway/turn_client.rs
+++ b/crates/gypsumglade/src/gateway/turn_client.rs
@@ -1,4 +1,4 @@
-//! Asks the turn group on behalf of this process.
+//! Client of the turn group.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -16,17 +16,16 @@
 use crate::directory::Directory;
 use crate::rpc::{Method, PeerClients};
 
-/// Longest wait for one store: a commit takes two round trips between regions and two syncs, some
-/// 50 ms; a store that is silent for ten times that is passed over.
+/// Time limit of a call to one store, several times the duration of a commit across regions.
 const CALL_TIMEOUT: Duration = Duration::from_millis(500);
-/// Wait for the leader's answer before other stores are asked whether they lead.
+/// How long the leader may take before a search for another leader starts.
 const SEARCH_DELAY: Duration = Duration::from_millis(150);
-/// Pause before a leader is asked again that gave no answer.
+/// Delay before the first retry after a failed call; it doubles with each.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(25);
-/// The longest it grows to.
+/// Longest delay between retries.
 const MAX_BACKOFF: Duration = Duration::from_millis(400);
 
-/// A client of the turn group; clones share what they learn.
+/// Sends commands to the leader of the turn group. Clones share their state.
 #[derive(Clone)]
 pub(super) struct TurnClient {
     shared: Arc<Shared>,
@@ -41,19 +40,19 @@
     search: LeaderSearch,
 }
 
-/// Leave to ask the group, for a caller that may be refused.
+/// Permission to send one command; see [`TurnClient::admit`].
 pub(super) struct AskPermit {
     guard: AskGuard,
-    /// Longest wait for the answer.
+    /// Time limit for the answer.
     pub(super) timeout: Duration,
 }
 
-/// What one try at the leader gave.
+/// Result of one call to the believed leader.
 enum AskOutcome {
     Answered(ReplyBody),
-    /// It may have been handled all the same.
+    /// No usable answer; the command may have been executed.
     Failed,
-    /// Another store leads.
+    /// A different store turned out to lead.
     LeaderChanged,
 }
 
@@ -70,7 +69,10 @@
         TurnClient { shared: Arc::new(Shared { directory, peers, clock, log, health, search }) }
     }
 
-    /// Decides whether a caller may ask now.
+    /// Decides whether a command may be sent for a caller, which then waits for the answer.
+    ///
+    /// # Errors
+    /// Refuses when the group is unresponsive or too many callers are waiting for it.
     pub(super) fn admit(&self, need: Need) -> Result<AskPermit, AskRefused> {
         let now = self.shared.clock.now();
         match self.shared.health().admit(now, need) {
@@ -84,32 +86,32 @@
         }
     }
 
-    /// Asks with a caller's leave, until its patience is over.
+    /// Sends an admitted command until the group answers or the permit's time limit passes.
     pub(super) async fn ask_with(&self, permit: AskPermit, body: CommandBody) -> Option<ReplyBody> {
         let AskPermit { guard, timeout } = permit;
         self.shared.ask(guard, body, timeout).await
     }
 
-    /// Asks until the group answers or `whole` is over. Commands are idempotent by their turn's id,
-    /// so asking again is safe.
+    /// Sends a command until the group answers or `timeout` passes. Commands are idempotent by turn id,
+    /// so retries are safe.
     pub(super) async fn ask(&self, body: CommandBody, timeout: Duration) -> Option<ReplyBody> {
         let ask = self.shared.health().begin(self.shared.clock.now(), 0);
         let guard = AskGuard { shared: Arc::clone(&self.shared), ask: Some(ask) };
         self.shared.ask(guard, body, timeout).await
     }
 
-    /// Returns when a caller that found no answer should come back.
+    /// Returns the retry delay for a caller whose command got no answer.
     pub(super) fn retry_after(&self, need: Need) -> Duration {
         self.shared.health().pause(self.shared.clock.now(), need)
     }
 }
 
-/// A caller that is not to ask the group now.
+/// A refusal of [`TurnClient::admit`].
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AskRefused {
-    /// When to come back.
+    /// Recommended delay before the caller's retry.
     pub(super) retry_after: Duration,
-    /// Name of the reason, for metrics.
+    /// Name of the reason in metrics.
     pub(super) reason: &'static str,
 }
 
@@ -127,10 +129,10 @@
         answer
     }
 
-    /// Asks whoever leads, time after time.
+    /// Sends a command to the current leader until it answers.
     ///
-    /// Who that is, is looked for once for all asks of this process. Each ask on its own would go from
-    /// store to store for as long as an election lasts, and the stores would answer nothing else.
+    /// All commands of this process share one search for the leader; a search for each could overload
+    /// the stores during an election.
     async fn ask_leader(self: &Arc<Self>, command: &Command) -> ReplyBody {
         let mut leaders = self.search.subscribe();
         let mut backoff = INITIAL_BACKOFF;
@@ -139,7 +141,7 @@
             let target = known.and_then(|vm| Some((vm, self.directory.store(vm)?)));
             let Some((vm, address)) = target else {
                 self.find_leader();
-                // The sender lives as long as this client.
+                // Can't fail: the client owns the sender.
                 let _ = leaders.changed().await;
                 continue;
             };
@@ -174,7 +176,7 @@
                     self.find_leader();
                 }
                 changed = leaders.wait_for(|leader| leader.is_some_and(|leader| leader != vm)) => {
-                    // The command may be handled by both, which its turn's id makes safe.
+                    // Both stores may execute the command, which is idempotent by turn id.
                     drop(changed);
                     return AskOutcome::LeaderChanged;
                 }
@@ -200,7 +202,7 @@
     }
 }
 
-/// An ask that the health counts until its end, or until whoever asks has left.
+/// A command that [`GroupHealth`] counts as in flight until its end, or until the guard is dropped.
 struct AskGuard {
     shared: Arc<Shared>,
     ask: Option<Ask>,
@@ -217,11 +219,11 @@
         match change {
             None => {}
             Some(Change::Lost(silence)) => {
-                slog::warn!(self.shared.log, "turn group lost";
+                slog::warn!(self.shared.log, "turn group does not answer";
                     "silent_ms" => silence.as_millis() as u64);
             }
             Some(Change::Regained(silence)) => {
-                slog::info!(self.shared.log, "turn group regained";
+                slog::info!(self.shared.log, "turn group answers again";
                     "silent_ms" => silence.as_millis() as u64);
             }
         }
