--- a/crates/gypsumglade/src/gateway/endpoint_sync.rs
+++ b/crates/gypsumglade/src/gateway/endpoint_sync.rs
@@ -96,7 +96,7 @@
         }
         let named = news.endpoints.into_iter().map(|found| (found.name.to_compact_string(), found));
         next.extend(named);
-        self.remove_gone(&next);
+        self.mark_gone(&next);
         self.endpoints = next;
         self.renewal.hurry();
         slog::info!(self.state.log, "endpoint list updated"; "change" => self.seen_change,
@@ -106,7 +106,7 @@
 
     /// Marks endpoints that are gone or have restarted as leaving. A restarted one may have a new
     /// address, which the registry refuses while the old incarnation is in use.
-    fn remove_gone(&self, next: &HashMap<CompactString, EndpointRecord>) {
+    fn mark_gone(&self, next: &HashMap<CompactString, EndpointRecord>) {
         let now = self.state.clock.now();
         let mut routing = self.state.routing();
         for (name, record) in &self.endpoints {
