--- a/crates/gypsumglade/src/gateway/relay.rs
+++ b/crates/gypsumglade/src/gateway/relay.rs
@@ -58,9 +58,9 @@
 /// How waiting for a stream's settlement ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum SettlementEnd {
-    /// The settlement is durable, or the stream needs none.
+    /// Nothing to wait for: the settlement is durable, not needed, or continues in the background.
     Durable,
-    /// The caller's deadline passed first.
+    /// The settlement was not durable by the caller's deadline.
     Late,
     /// The caller disconnected first.
     Alone,
