--- a/crates/core/src/bundle/check.rs
+++ b/crates/core/src/bundle/check.rs
@@ -1,4 +1,4 @@
-//! Checks of a bundle's whole content; each adds its findings and goes on.
+//! Validation of a bundle's content. All findings are collected.
 
 use std::collections::HashSet;
 use std::ops::RangeInclusive;
@@ -8,44 +8,46 @@
 };
 use super::{Digest, Findings, routes};
 
-/// Most characters of a name.
+/// Maximum length of a name, in bytes.
 const MAX_NAME: usize = 64;
-/// Longest timeout, idle time or program, in milliseconds: 30 days.
+/// Maximum timeout, idle time or duration of a program, in milliseconds: 30 days.
 const MAX_MILLIS: u64 = 30 * 24 * 3_600 * 1_000;
-/// Most tokens, calls or millionths, so that sums over a group's programs can't overflow.
+/// Maximum number of tokens, calls or millionths, so that sums over programs can't overflow.
 const MAX_AMOUNT: u64 = 1 << 50;
-/// Largest share of an organisation.
+/// Maximum share of an organisation.
 const MAX_SHARE: u64 = 1_000;
-/// Largest weight of the routing policy.
+/// Maximum weight in the routing policy.
 const MAX_WEIGHT: f64 = 1_000.0;
 
 const NAME: &str = "1 to 64 letters, digits, '.', '_' or '-'";
-const PATTERN: &str = "an instance name, or the start of one followed by '*'";
-const UNIQUE: &str = "a name used once in its list";
+const PATTERN: &str = "an instance name, or a prefix of one followed by '*'";
+const UNIQUE: &str = "a name that is unique in its list";
 
-/// Adds every finding of the bundle's content.
+/// Validates the content of a bundle.
 pub(super) fn check(bundle: &Bundle, findings: &mut Findings) {
     if bundle.version.parse::<Version>().is_err() {
-        findings.push("version", &bundle.version, "1 to 4 numbers parted by dots, as 2026.12.1");
+        let allowed = "1 to 4 numbers separated by dots, such as 2026.12.1";
+        findings.push("version", &bundle.version, allowed);
     }
-    let known = Known::of(bundle);
-    let mut names = Unique::default();
+    let known = DefinedNames::of(bundle);
+    let mut names = UniqueValues::default();
     for (index, model) in bundle.models.iter().enumerate() {
         check_model(&format!("models[{index}]"), model, &mut names, findings);
     }
-    let mut names = Unique::default();
+    let mut names = UniqueValues::default();
     for (index, service) in bundle.services.iter().enumerate() {
         check_service(&format!("services[{index}]"), service, &mut names, findings);
     }
-    let mut names = Unique::default();
+    let mut names = UniqueValues::default();
     for (index, agent) in bundle.agents.iter().enumerate() {
         check_agent(&format!("agents[{index}]"), agent, &known, &mut names, findings);
     }
-    let (mut names, mut keys) = (Unique::default(), Unique::default());
+    let (mut names, mut keys) = (UniqueValues::default(), UniqueValues::default());
     for (index, org) in bundle.organisations.iter().enumerate() {
         let path = format!("organisations[{index}]");
         check_organisation(&path, org, &known, &mut names, findings);
-        keys.add(&format!("{path}.key_digest"), &org.key_digest, "one key for one name", findings);
+        let allowed = "a key that no other organisation uses";
+        keys.add(&format!("{path}.key_digest"), &org.key_digest, allowed, findings);
     }
     routes::check(&bundle.routes, &bundle.pools, findings);
     check_policy(&bundle.policy, findings);
@@ -55,16 +57,16 @@
     }
 }
 
-/// Names that other parts of the bundle may refer to.
-struct Known<'a> {
+/// Names that the bundle defines and refers to elsewhere.
+struct DefinedNames<'a> {
     models: HashSet<&'a str>,
     services: HashSet<&'a str>,
     agents: HashSet<&'a str>,
 }
 
-impl<'a> Known<'a> {
-    fn of(bundle: &'a Bundle) -> Known<'a> {
-        Known {
+impl<'a> DefinedNames<'a> {
+    fn of(bundle: &'a Bundle) -> DefinedNames<'a> {
+        DefinedNames {
             models: bundle.models.iter().map(|model| model.name.as_str()).collect(),
             services: bundle.services.iter().map(|service| service.name.as_str()).collect(),
             agents: bundle.agents.iter().map(|agent| agent.name.as_str()).collect(),
@@ -72,11 +74,11 @@
     }
 }
 
-/// Values that may stand once in their list.
+/// Values that must be unique in their list.
 #[derive(Default)]
-struct Unique<'a>(HashSet<&'a str>);
+struct UniqueValues<'a>(HashSet<&'a str>);
 
-impl<'a> Unique<'a> {
+impl<'a> UniqueValues<'a> {
     fn add(&mut self, path: &str, value: &'a str, allowed: &str, findings: &mut Findings) {
         if !self.0.insert(value) {
             findings.push(path, value, allowed);
@@ -84,7 +86,12 @@
     }
 }
 
-fn check_model<'a>(path: &str, model: &'a Model, names: &mut Unique<'a>, findings: &mut Findings) {
+fn check_model<'a>(
+    path: &str,
+    model: &'a Model,
+    names: &mut UniqueValues<'a>,
+    findings: &mut Findings,
+) {
     check_name(&format!("{path}.name"), &model.name, findings);
     names.add(&format!("{path}.name"), &model.name, UNIQUE, findings);
     check_name(&format!("{path}.version"), &model.version, findings);
@@ -97,7 +104,7 @@
 fn check_service<'a>(
     path: &str,
     service: &'a Service,
-    names: &mut Unique<'a>,
+    names: &mut UniqueValues<'a>,
     findings: &mut Findings,
 ) {
     check_name(&format!("{path}.name"), &service.name, findings);
@@ -106,7 +113,7 @@
     if service.operations.is_empty() {
         findings.push(&format!("{path}.operations"), "nothing", "at least one operation");
     }
-    let mut operations = Unique::default();
+    let mut operations = UniqueValues::default();
     for (index, operation) in service.operations.iter().enumerate() {
         let path = format!("{path}.operations[{index}]");
         check_name(&format!("{path}.name"), &operation.name, findings);
@@ -119,8 +126,8 @@
 fn check_agent<'a>(
     path: &str,
     agent: &'a Agent,
-    known: &Known<'_>,
-    names: &mut Unique<'a>,
+    known: &DefinedNames<'_>,
+    names: &mut UniqueValues<'a>,
     findings: &mut Findings,
 ) {
     check_name(&format!("{path}.name"), &agent.name, findings);
@@ -139,8 +146,8 @@
 fn check_organisation<'a>(
     path: &str,
     org: &'a Organisation,
-    known: &Known<'_>,
-    names: &mut Unique<'a>,
+    known: &DefinedNames<'_>,
+    names: &mut UniqueValues<'a>,
     findings: &mut Findings,
 ) {
     check_name(&format!("{path}.name"), &org.name, findings);
@@ -206,7 +213,7 @@
 fn check_digest(path: &str, digest: &str, findings: &mut Findings) {
     let lower = !digest.bytes().any(|byte| byte.is_ascii_uppercase());
     if !lower || digest.parse::<Digest>().is_err() {
-        findings.push(path, digest, "a SHA-256 as 64 lower-case hexadecimal digits");
+        findings.push(path, digest, "a SHA-256 digest as 64 lower-case hexadecimal digits");
     }
 }
 
--- a/crates/core/src/control/mod.rs
+++ b/crates/core/src/control/mod.rs
@@ -1,23 +1,22 @@
 //! The control group's state machine: bundle revisions, the order lease and placement.
 //!
-//! Every store VM of the control group applies the same commands in the same order, so
-//! [`Control::apply`] depends on nothing but the state and the command: no clock, no settings.
-//! What needs settings (the operators' keys) is checked by the leader before it proposes, with
-//! [`Control::check`], and again by each entry VM with [`Revision::verify`]. See
-//! docs/design/bundles.md.
+//! Every replica of the control group applies the same commands in the same order, so
+//! [`Control::apply`] depends only on the state and the command, never on a clock or settings.
+//! Checks that need settings (the operators' keys) are done by the leader before it proposes, with
+//! [`Control::check`], and by each entry VM with [`Revision::verify`]. See docs/design/bundles.md.
 
+mod dedup;
 pub mod delta;
 mod endpoints;
 mod history;
-mod memory;
 mod placement;
 pub mod plan;
 mod revision;
 mod snapshot;
 
+pub use dedup::MAX_DEDUP_RECORDS;
 pub use endpoints::Endpoints;
 pub use history::History;
-pub use memory::REMEMBERED;
 pub use placement::group_of;
 pub use revision::{Revision, RevisionError};
 pub use snapshot::RestoreError;
@@ -32,34 +31,35 @@
 use crate::wire::control::Fault;
 use crate::wire::control::answer::Body as AnswerBody;
 use crate::wire::control::command::Body as CommandBody;
-use memory::{Memory, VersionRecord};
+use dedup::{DedupRecords, VersionRecord};
 
-/// Earlier revisions that can be rolled back to.
+/// Number of earlier revisions kept as targets of a roll back.
 pub const KEPT_REVISIONS: usize = 1024;
 
-/// Most bytes of an order id.
+/// Maximum length of an order id, in bytes.
 pub const MAX_ORDER_ID: usize = 64;
 
-/// A safeguard switched off, so that a test can prove that it would notice. Never set outside
-/// tests.
+/// Disables one safeguard, so that tests can verify that they detect its absence.
+///
+/// Only set in tests.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Mutation {
     #[default]
     None,
-    /// A command is applied whatever revision it was made for.
+    /// Applies a command without checking its base revision.
     IgnoreBase,
-    /// Resent orders are carried out again.
+    /// Executes resent orders again.
     ForgetOrders,
-    /// A version may be used for other content.
+    /// Accepts different content under an already used version.
     ForgetVersions,
-    /// The content's digest isn't compared.
+    /// Skips the comparison of the content's digest.
     TrustDigest,
-    /// A roll back takes the old revision's number.
-    RollBackFalls,
-    /// Records of versions are dropped without raising the floor.
+    /// Gives a roll back the number of its target revision.
+    ReuseNumber,
+    /// Drops version records without raising the version floor.
     NoVersionFloor,
-    /// A placement step is applied whatever change it was planned on.
+    /// Applies a placement step without checking the change it was planned on.
     IgnoreChange,
 }
 
@@ -67,7 +67,7 @@
 #[derive(Clone, Debug)]
 pub struct Control {
     history: History,
-    memory: Memory,
+    dedup: DedupRecords,
     order_lease: Option<wire::OrderLease>,
     groups: Vec<wire::GroupPlacement>,
     endpoints: Endpoints,
@@ -82,17 +82,17 @@
 }
 
 impl Control {
-    /// Starts with no bundle, no order lease and no groups.
+    /// Creates an empty state: no bundle, no order lease and no groups.
     pub fn new() -> Control {
         Control::with_mutation(Mutation::None)
     }
 
-    /// Starts with one safeguard off.
+    /// Creates an empty state with one safeguard disabled.
     #[doc(hidden)]
     pub fn with_mutation(mutation: Mutation) -> Control {
         Control {
             history: History::new(KEPT_REVISIONS),
-            memory: Memory::default(),
+            dedup: DedupRecords::default(),
             order_lease: None,
             groups: Vec::new(),
             endpoints: Endpoints::default(),
@@ -101,7 +101,9 @@
         }
     }
 
-    /// Returns the revision in force or being rolled out, `None` before the first bundle.
+    /// Returns the newest revision, or `None` before the first bundle.
+    ///
+    /// It may still be rolling out.
     pub fn current(&self) -> Option<&Revision> {
         self.history.current()
     }
@@ -111,7 +113,7 @@
         &self.history
     }
 
-    /// Returns the order lease's holder as the log last recorded it.
+    /// Returns the order lease that the log last recorded.
     pub fn order_lease(&self) -> Option<&wire::OrderLease> {
         self.order_lease.as_ref()
     }
@@ -121,17 +123,17 @@
         &self.groups
     }
 
-    /// Returns the endpoints that announced themselves.
+    /// Returns the registered endpoints.
     pub fn endpoints(&self) -> &Endpoints {
         &self.endpoints
     }
 
-    /// Tells whether a store is to be emptied.
+    /// Returns `true` if a store is being drained of its replicas and texts.
     pub fn is_retiring(&self, vm: VmId) -> bool {
         self.retiring.contains(&vm)
     }
 
-    /// Returns the stores that are to be emptied.
+    /// Returns the stores that are being drained.
     pub fn retiring(&self) -> impl Iterator<Item = VmId> {
         self.retiring.iter().copied()
     }
@@ -151,12 +153,12 @@
         wire::Answer { body: Some(body) }
     }
 
-    /// Checks a command with the leader's settings before it is proposed.
+    /// Checks a command against the state and the operators' keys before it is proposed.
     ///
     /// # Errors
     ///
-    /// Returns the answer to give at once: the first answer of a resent order, a conflict, or
-    /// why signatures or content don't hold. Nothing is proposed then.
+    /// Returns the answer for the caller if the command must not be proposed: the recorded answer
+    /// of a resent order, a conflict, or a rejection of the signatures or the content.
     pub fn check(&self, command: &wire::Command, keys: &OperatorKeys) -> Result<(), wire::Answer> {
         let checked = match &command.body {
             Some(CommandBody::Accept(accept)) => self.check_accept(accept, keys),
@@ -169,17 +171,17 @@
 
     fn accept(&mut self, accept: &wire::Accept) -> AnswerBody {
         let fingerprint = accept_fingerprint(accept);
-        if let Err(answer) = self.recall_order(&accept.order_id, fingerprint) {
+        if let Err(answer) = self.check_order_id(&accept.order_id, fingerprint) {
             return answer;
         }
         let answer = self.accept_new(accept).unwrap_or_else(|refusal| refusal);
-        self.remember(&accept.order_id, fingerprint, &answer);
+        self.record_answer(&accept.order_id, fingerprint, &answer);
         answer
     }
 
     fn accept_new(&mut self, accept: &wire::Accept) -> Result<AnswerBody, AnswerBody> {
-        let digest = wire_digest(&accept.digest)?;
-        self.recall_version(&accept.version, digest)?;
+        let digest = parse_digest(&accept.digest)?;
+        self.check_version(&accept.version, digest)?;
         self.check_base(accept.base_revision)?;
         let content = self.content(accept)?;
         if Digest::of(&content) != digest && self.mutation != Mutation::TrustDigest {
@@ -190,35 +192,35 @@
             version: accept.version.to_compact_string(),
             digest,
             content,
-            signatures: wire_signatures(&accept.signatures)?,
+            signatures: parse_signatures(&accept.signatures)?,
             origin: None,
             base: RevisionNumber(accept.base_revision),
         };
         let record = VersionRecord { digest, revision: revision.number };
-        self.memory.add_version(&accept.version, record);
+        self.dedup.add_version(&accept.version, record);
         if self.mutation == Mutation::NoVersionFloor {
-            self.memory.floor = None;
+            self.dedup.floor = None;
         }
         Ok(self.push(revision))
     }
 
     fn roll_back(&mut self, order: &wire::RollBack) -> AnswerBody {
         let fingerprint = roll_back_fingerprint(order);
-        if let Err(answer) = self.recall_order(&order.order_id, fingerprint) {
+        if let Err(answer) = self.check_order_id(&order.order_id, fingerprint) {
             return answer;
         }
         let answer = self.roll_back_new(order).unwrap_or_else(|refusal| refusal);
-        self.remember(&order.order_id, fingerprint, &answer);
+        self.record_answer(&order.order_id, fingerprint, &answer);
         answer
     }
 
     fn roll_back_new(&mut self, order: &wire::RollBack) -> Result<AnswerBody, AnswerBody> {
         self.check_base(order.base_revision)?;
         let target = self.roll_back_target(order)?;
-        let falls = self.mutation == Mutation::RollBackFalls;
+        let reuse = self.mutation == Mutation::ReuseNumber;
         let revision = Revision {
-            number: if falls { target.number } else { self.next_number() },
-            signatures: wire_signatures(&order.signatures)?,
+            number: if reuse { target.number } else { self.next_number() },
+            signatures: parse_signatures(&order.signatures)?,
             origin: Some(target.number),
             base: RevisionNumber(order.base_revision),
             ..target
@@ -260,7 +262,7 @@
 
     fn register(&mut self, register: &wire::Register) -> AnswerBody {
         let Some(endpoint) = &register.endpoint else {
-            return rejected(Fault::Malformed, "no endpoint is named");
+            return rejected(Fault::Malformed, "the endpoint is missing");
         };
         self.endpoints.register(endpoint);
         AnswerBody::Registered(wire::Registered {})
@@ -271,24 +273,24 @@
         AnswerBody::Registered(wire::Registered {})
     }
 
-    /// Marks a store as one that is to hold nothing. It stays marked: a store that was emptied is
-    /// taken away, and its identity never comes back.
+    /// Marks a store for draining. The mark is permanent, since a drained store is removed and its
+    /// identity is never used again.
     fn retire(&mut self, retire: &wire::Retire) -> AnswerBody {
         self.retiring.insert(VmId(retire.vm));
         AnswerBody::Registered(wire::Registered {})
     }
 
     fn check_accept(&self, accept: &wire::Accept, keys: &OperatorKeys) -> Result<(), AnswerBody> {
-        self.recall_order(&accept.order_id, accept_fingerprint(accept))?;
-        let digest = wire_digest(&accept.digest)?;
-        self.recall_version(&accept.version, digest)?;
+        self.check_order_id(&accept.order_id, accept_fingerprint(accept))?;
+        let digest = parse_digest(&accept.digest)?;
+        self.check_version(&accept.version, digest)?;
         self.check_base(accept.base_revision)?;
         let revision = Revision {
             number: self.next_number(),
             version: accept.version.to_compact_string(),
             digest,
             content: self.content(accept)?,
-            signatures: wire_signatures(&accept.signatures)?,
+            signatures: parse_signatures(&accept.signatures)?,
             origin: None,
             base: RevisionNumber(accept.base_revision),
         };
@@ -300,7 +302,7 @@
         order: &wire::RollBack,
         keys: &OperatorKeys,
     ) -> Result<(), AnswerBody> {
-        self.recall_order(&order.order_id, roll_back_fingerprint(order))?;
+        self.check_order_id(&order.order_id, roll_back_fingerprint(order))?;
         self.check_base(order.base_revision)?;
         let target = self.roll_back_target(order)?;
         let signed = RollBackOrder {
@@ -308,34 +310,37 @@
             target: target.number,
             digest: target.digest,
         };
-        let signatures = wire_signatures(&order.signatures)?;
+        let signatures = parse_signatures(&order.signatures)?;
         keys.check_roll_back(&signed, &signatures)
             .map_err(|error| rejected(Fault::NotSigned, &error.to_string()))
     }
 
-    /// Gives a resent order its first answer. The failure it is for: the answer is lost, the
-    /// operator sends again, and the bundle would be accepted twice or be refused as stale.
-    fn recall_order(&self, id: &str, fingerprint: Digest) -> Result<(), AnswerBody> {
+    /// Returns the recorded answer as an error if this order was answered before.
+    ///
+    /// Without it, an order that is resent after a lost answer would be accepted twice or rejected
+    /// as stale.
+    fn check_order_id(&self, id: &str, fingerprint: Digest) -> Result<(), AnswerBody> {
         if id.is_empty() || id.len() > MAX_ORDER_ID {
-            return Err(rejected(Fault::Malformed, "an order id has 1 to 64 bytes"));
+            return Err(rejected(Fault::Malformed, "the order id must have 1 to 64 bytes"));
         }
-        let Some(record) = self.memory.orders.get(id) else { return Ok(()) };
+        let Some(record) = self.dedup.orders.get(id) else { return Ok(()) };
         if record.fingerprint != fingerprint {
-            return Err(rejected(Fault::OrderIdReused, "use a new order id for another order"));
+            let detail = "the order id belongs to a different order: use a new one";
+            return Err(rejected(Fault::OrderIdReused, detail));
         }
-        Err(record.answer.body.clone().unwrap_or(rejected(Fault::Malformed, "no answer kept")))
+        Err(record.answer.body.clone().unwrap_or(rejected(Fault::Malformed, "no answer recorded")))
     }
 
-    /// Gives content that was accepted before its first answer, and other content under a taken
-    /// version a conflict. Operators who race under one version number so learn who won.
-    fn recall_version(&self, version: &str, digest: Digest) -> Result<(), AnswerBody> {
+    /// Returns an answer as an error if this version can't be accepted as new: the recorded
+    /// acceptance for the same content, a conflict for different content.
+    fn check_version(&self, version: &str, digest: Digest) -> Result<(), AnswerBody> {
         let Ok(parsed) = version.parse::<Version>() else {
             return Err(rejected(Fault::Malformed, "the version isn't dotted decimal numbers"));
         };
-        let Some(record) = self.memory.versions.get(version) else {
-            let forgotten = self.memory.is_forgotten(&parsed);
+        let Some(record) = self.dedup.versions.get(version) else {
+            let too_old = self.dedup.is_too_old(&parsed);
             let detail = "use a higher version than any accepted so far";
-            return if forgotten { Err(rejected(Fault::VersionTooOld, detail)) } else { Ok(()) };
+            return if too_old { Err(rejected(Fault::VersionTooOld, detail)) } else { Ok(()) };
         };
         if self.mutation == Mutation::ForgetVersions {
             return Ok(());
@@ -355,8 +360,8 @@
         }))
     }
 
-    /// Refuses an order made for another revision than the current one, so that an operator
-    /// never overwrites a change that he hasn't seen.
+    /// Rejects an order whose base isn't the current revision, so that an operator never
+    /// overwrites a change that they haven't seen.
     fn check_base(&self, base: u64) -> Result<(), AnswerBody> {
         let current = self.history.number().0;
         if base == current || self.mutation == Mutation::IgnoreBase {
@@ -385,10 +390,14 @@
         RevisionNumber(self.history.number().0 + 1)
     }
 
-    fn remember(&mut self, id: &str, fingerprint: Digest, answer: &AnswerBody) {
+    /// Records the first answer of an order in the replicated state.
+    ///
+    /// The texts of recorded answers must not change between releases, or replicas would diverge
+    /// during an upgrade.
+    fn record_answer(&mut self, id: &str, fingerprint: Digest, answer: &AnswerBody) {
         if self.mutation != Mutation::ForgetOrders {
             let answer = wire::Answer { body: Some(answer.clone()) };
-            self.memory.add_order(id, fingerprint, answer);
+            self.dedup.add_order(id, fingerprint, answer);
         }
     }
 }
@@ -408,26 +417,26 @@
     AnswerBody::Rejected(wire::Rejected { fault: fault.into(), detail: detail.to_string() })
 }
 
-fn wire_digest(bytes: &[u8]) -> Result<Digest, AnswerBody> {
+fn parse_digest(bytes: &[u8]) -> Result<Digest, AnswerBody> {
     Digest::from_wire(bytes).ok_or_else(|| rejected(Fault::Malformed, "a digest has 32 bytes"))
 }
 
-fn wire_signatures(signatures: &[wire::Signature]) -> Result<Vec<Signature>, AnswerBody> {
+fn parse_signatures(signatures: &[wire::Signature]) -> Result<Vec<Signature>, AnswerBody> {
     let parsed: Option<Vec<Signature>> = signatures.iter().map(Signature::from_wire).collect();
     parsed.ok_or_else(|| rejected(Fault::Malformed, "a public key has 32 bytes"))
 }
 
 fn accept_fingerprint(accept: &wire::Accept) -> Digest {
-    let mut meaning = b"accept".to_vec();
-    meaning.extend_from_slice(&accept.base_revision.to_be_bytes());
-    meaning.extend_from_slice(&accept.digest);
-    meaning.extend_from_slice(accept.version.as_bytes());
-    Digest::of(&meaning)
+    let mut input = b"accept".to_vec();
+    input.extend_from_slice(&accept.base_revision.to_be_bytes());
+    input.extend_from_slice(&accept.digest);
+    input.extend_from_slice(accept.version.as_bytes());
+    Digest::of(&input)
 }
 
 fn roll_back_fingerprint(order: &wire::RollBack) -> Digest {
-    let mut meaning = b"roll back".to_vec();
-    meaning.extend_from_slice(&order.base_revision.to_be_bytes());
-    meaning.extend_from_slice(&order.to_revision.to_be_bytes());
-    Digest::of(&meaning)
+    let mut input = b"roll back".to_vec();
+    input.extend_from_slice(&order.base_revision.to_be_bytes());
+    input.extend_from_slice(&order.to_revision.to_be_bytes());
+    Digest::of(&input)
 }
--- a/crates/core/src/replication/follower.rs
+++ b/crates/core/src/replication/follower.rs
@@ -1,4 +1,4 @@
-//! Entries and snapshots as they arrive from a leader.
+//! Entries and snapshots received from a leader.
 
 use super::effect::{Effect, Write};
 use super::links::Links;
@@ -8,16 +8,16 @@
 use crate::wire::replication as wire;
 use crate::wire::replication::message::Body;
 
-/// A snapshot of which some pieces have arrived.
+/// A snapshot that has been received up to `offset`.
 #[derive(Debug)]
-pub(super) struct Incoming {
+pub(super) struct IncomingSnapshot {
     position: Position,
     offset: u64,
 }
 
 impl Replica {
-    /// Takes entries or a heartbeat of this term's leader.
-    pub(super) fn append(
+    /// Handles entries or a heartbeat from the leader of the current term.
+    pub(super) fn handle_append(
         &mut self,
         now: Time,
         links: &Links,
@@ -25,10 +25,11 @@
         mut append: wire::Append,
         out: &mut Vec<Effect>,
     ) {
-        if !self.note_leader(now, from, out) {
+        if !self.accept_leader(now, from, out) {
             return;
         }
-        // A late message of an earlier epoch must not undo what a newer one was answered.
+        // A delayed message of an earlier epoch must not replace a newer epoch that was already
+        // acknowledged.
         self.leader_epoch = self.leader_epoch.max(append.epoch);
         let prev = self.skip_committed(&mut append);
         if self.log.term(prev.index) != Some(prev.term) {
@@ -37,26 +38,26 @@
         let matched = LogIndex(prev.index.0 + append.entries.len() as u64);
         let commit = LogIndex(append.commit).min(matched);
         let entries = std::mem::take(&mut append.entries);
-        let wrote = self.take_entries(entries, out);
+        let wrote = self.append_missing(entries, out);
         if commit > self.commit {
             self.commit = commit;
             out.push(Effect::Commit { index: commit });
         }
-        let mut reply = self.append_answer(links, &append);
+        let mut reply = self.new_append_reply(links, &append);
         reply.ok = true;
         reply.index = matched.0;
         self.acknowledge(from, reply, wrote, out);
     }
 
-    /// Takes one piece of a snapshot.
-    pub(super) fn chunk(
+    /// Handles a snapshot chunk.
+    pub(super) fn handle_chunk(
         &mut self,
         now: Time,
         from: VmId,
         chunk: wire::Chunk,
         out: &mut Vec<Effect>,
     ) {
-        if !self.note_leader(now, from, out) {
+        if !self.accept_leader(now, from, out) {
             return;
         }
         let position = Position { index: LogIndex(chunk.index), term: Term(chunk.term) };
@@ -65,48 +66,50 @@
             out.push(Effect::Commit { index: position.index });
         }
         if position.index <= self.commit {
-            return self.answer_chunk(from, &chunk, chunk.offset, true, out);
+            return self.send_chunk_reply(from, &chunk, chunk.offset, true, out);
         }
         let wanted = match &self.incoming {
             Some(incoming) if incoming.position == position => incoming.offset,
             _ => 0,
         };
         if chunk.offset != wanted {
-            return self.answer_chunk(from, &chunk, wanted, false, out);
+            return self.send_chunk_reply(from, &chunk, wanted, false, out);
         }
         let offset = wanted + chunk.data.len() as u64;
         out.push(Effect::StoreChunk { position, offset: wanted, data: chunk.data.clone() });
-        self.incoming = Some(Incoming { position, offset });
+        self.incoming = Some(IncomingSnapshot { position, offset });
         if chunk.last {
             self.install(position, &chunk, out);
         }
-        self.answer_chunk(from, &chunk, offset, chunk.last, out);
+        self.send_chunk_reply(from, &chunk, offset, chunk.last, out);
     }
 
     fn install(&mut self, position: Position, chunk: &wire::Chunk, out: &mut Vec<Effect>) {
         let members = chunk.members.as_ref().map(Members::from_wire).unwrap_or_default();
         self.incoming = None;
-        self.unsync(self.log.base().next());
+        self.rollback_synced(self.log.base().next());
         self.log.reset(position, members.clone());
         self.commit = position.index;
         self.save_snapshot(position, members, out);
         out.push(Effect::Restore { position });
     }
 
-    /// Follows the sender if it can lead this term. Returns whether it does.
-    fn note_leader(&mut self, now: Time, from: VmId, out: &mut Vec<Effect>) -> bool {
+    /// Follows the sender and records the contact. Returns false if this replica is the leader
+    /// itself.
+    fn accept_leader(&mut self, now: Time, from: VmId, out: &mut Vec<Effect>) -> bool {
         if self.role == Role::Leader {
             return false;
         }
         if self.role != Role::Follower || self.leader != Some(from) {
-            self.follow(now, self.ballot.term, Some(from), out);
+            self.become_follower(now, self.ballot.term, Some(from), out);
         }
-        self.heard = Some(now);
+        self.last_contact = Some(now);
         self.reset_timeout(now);
         true
     }
 
-    /// Drops entries that are committed here: they agree, and may be compacted already.
+    /// Removes entries that are already committed here, which agree and may be compacted. Returns
+    /// the position before the remaining ones.
     fn skip_committed(&self, append: &mut wire::Append) -> Position {
         let prev = Position { index: LogIndex(append.prev_index), term: Term(append.prev_term) };
         if prev.index >= self.commit {
@@ -117,8 +120,9 @@
         Position { index: self.commit, term }
     }
 
-    /// Appends what the log lacks, and drops what contradicts it. Returns whether it wrote.
-    fn take_entries(&mut self, mut entries: Vec<wire::Entry>, out: &mut Vec<Effect>) -> bool {
+    /// Appends the entries that the log lacks, replacing any that conflict. Returns whether it
+    /// wrote any.
+    fn append_missing(&mut self, mut entries: Vec<wire::Entry>, out: &mut Vec<Effect>) -> bool {
         let known = entries
             .iter()
             .take_while(|e| self.log.term(LogIndex(e.index)) == Some(Term(e.term)))
@@ -128,18 +132,18 @@
             return false;
         };
         if first <= self.log.last().index {
-            self.unsync(first);
+            self.rollback_synced(first);
             self.log.truncate(first);
         }
         for entry in &entries {
-            self.log.push(EntryMeta::of(entry));
+            self.log.push(EntryMeta::from_entry(entry));
         }
         self.save_entries(entries, out);
         true
     }
 
-    /// Returns an answer with all that doesn't depend on the entries.
-    fn append_answer(&self, links: &Links, append: &wire::Append) -> wire::AppendReply {
+    /// Returns a reply with all fields that don't depend on the entries.
+    fn new_append_reply(&self, links: &Links, append: &wire::Append) -> wire::AppendReply {
         wire::AppendReply {
             sent: append.sent,
             round: append.round,
@@ -158,12 +162,12 @@
         out: &mut Vec<Effect>,
     ) {
         if wrote {
-            return self.send_stable(to, Body::AppendReply(reply), out);
+            return self.send_after_sync(to, Body::AppendReply(reply), out);
         }
-        // A heartbeat's answer claims only what is synced, so it need not wait for the disk: a
-        // slow sync would otherwise cost the leader its lease.
+        // Reporting only synced entries avoids a wait for the disk. A slow sync would otherwise
+        // delay the replies to heartbeats and cost the leader its lease.
         reply.index = reply.index.min(self.synced.0);
-        self.answer_ballot(to, reply, out);
+        self.send_after_ballot(to, reply, out);
     }
 
     fn refuse(
@@ -176,22 +180,22 @@
     ) {
         let before = LogIndex(prev.index.0.saturating_sub(1));
         let hint = self.log.agreement(before, prev.term);
-        let mut reply = self.append_answer(links, append);
+        let mut reply = self.new_append_reply(links, append);
         reply.index = prev.index.0;
         reply.hint_index = hint.index.0;
         reply.hint_term = hint.term.0;
-        self.answer_ballot(to, reply, out);
+        self.send_after_ballot(to, reply, out);
     }
 
-    /// Sends an answer that depends on no write but the ballot's.
-    fn answer_ballot(&mut self, to: VmId, reply: wire::AppendReply, out: &mut Vec<Effect>) {
+    /// Sends a reply that depends on no write except that of the ballot.
+    fn send_after_ballot(&mut self, to: VmId, reply: wire::AppendReply, out: &mut Vec<Effect>) {
         match self.is_ballot_stable() {
             true => self.send(to, Body::AppendReply(reply), out),
-            false => self.send_stable(to, Body::AppendReply(reply), out),
+            false => self.send_after_sync(to, Body::AppendReply(reply), out),
         }
     }
 
-    fn answer_chunk(
+    fn send_chunk_reply(
         &mut self,
         to: VmId,
         chunk: &wire::Chunk,
@@ -206,11 +210,11 @@
             sent: chunk.sent,
             round: chunk.round,
         };
-        self.send_stable(to, Body::ChunkReply(reply), out);
+        self.send_after_sync(to, Body::ChunkReply(reply), out);
     }
 
     fn save_snapshot(&mut self, position: Position, members: Members, out: &mut Vec<Effect>) {
         let sequence = self.persist(Write::Snapshot { position, members }, out);
-        self.note_write(sequence, position.index);
+        self.track_write(sequence, position.index);
     }
 }
--- a/crates/core/tests/turns_holders.rs
+++ b/crates/core/tests/turns_holders.rs
@@ -6,8 +6,8 @@
 use std::collections::BTreeSet;
 
 use gypsumglade_core::prelude::*;
-use gypsumglade_core::replication::repair::Candidate;
-use gypsumglade_core::turns::preferred;
+use gypsumglade_core::replication::repair::StoreInfo;
+use gypsumglade_core::turns::preferred_stores;
 use property::{cases, fixed};
 use proptest::prelude::*;
 use proptest::test_runner::TestRunner;
@@ -19,18 +19,18 @@
 /// Programs whose texts are spread over stores.
 const PROGRAMS: usize = 3_000;
 
-fn store(vm: u32, domain: &str, region: &str) -> Candidate {
+fn store(vm: u32, domain: &str, region: &str) -> StoreInfo {
     let (domain, region) = (domain.into(), region.into());
-    Candidate { vm: VmId(vm), domain, region, retiring: false }
+    StoreInfo { vm: VmId(vm), domain, region, retiring: false }
 }
 
-fn any_stores() -> impl Strategy<Value = Vec<Candidate>> {
+fn any_stores() -> impl Strategy<Value = Vec<StoreInfo>> {
     let place = (0..3_u32, 0..2_u32, any::<bool>());
     prop::collection::vec(place, 0..9).prop_map(|places| {
         let stores = places.into_iter().zip(1..);
         let stores = stores.map(|((domain, region, retiring), vm)| {
             let store = store(vm, &format!("{region}{domain}"), &region.to_string());
-            Candidate { retiring, ..store }
+            StoreInfo { retiring, ..store }
         });
         stores.collect()
     })
@@ -41,8 +41,8 @@
 #[test]
 fn preferred_any() {
     let mut runner = TestRunner::new(fixed(SEED, cases(CASES)));
-    let property = |(stores, program): (Vec<Candidate>, u32)| {
-        let order = preferred(&program.to_string(), "0", &stores);
+    let property = |(stores, program): (Vec<StoreInfo>, u32)| {
+        let order = preferred_stores(&program.to_string(), "0", &stores);
         let find = |vm: &VmId| stores.iter().find(|store| store.vm == *vm).expect("a known store");
         let distinct: BTreeSet<VmId> = order.iter().copied().collect();
         let serving: BTreeSet<VmId> =
@@ -67,11 +67,11 @@
 #[test]
 fn preferred_any_order() {
     let mut runner = TestRunner::new(fixed(SEED, cases(CASES)));
-    let property = |(mut stores, program): (Vec<Candidate>, u32)| {
+    let property = |(mut stores, program): (Vec<StoreInfo>, u32)| {
         let program = program.to_string();
-        let before = preferred(&program, "0", &stores);
+        let before = preferred_stores(&program, "0", &stores);
         stores.reverse();
-        prop_assert_eq!(preferred(&program, "0", &stores), before);
+        prop_assert_eq!(preferred_stores(&program, "0", &stores), before);
         Ok(())
     };
     runner.run(&(any_stores(), any::<u32>()), property).expect("the property holds");
@@ -81,12 +81,13 @@
 #[test]
 fn preferred_newcomer() {
     let mut stores: Vec<_> = (1..=4).map(|vm| store(vm, &format!("d{vm}"), "south")).collect();
-    let before: Vec<_> =
-        (0..PROGRAMS).map(|program| preferred(&program.to_string(), "south", &stores)).collect();
+    let before: Vec<_> = (0..PROGRAMS)
+        .map(|program| preferred_stores(&program.to_string(), "south", &stores))
+        .collect();
     stores.push(store(5, "d5", "south"));
     let mut moved = 0;
     for (program, before) in before.into_iter().enumerate() {
-        let mut after = preferred(&program.to_string(), "south", &stores);
+        let mut after = preferred_stores(&program.to_string(), "south", &stores);
         moved += usize::from(after[..2] != before[..2]);
         after.retain(|vm| *vm != VmId(5));
         assert_eq!(after, before);
@@ -99,7 +100,7 @@
 fn preferred_even_load() {
     let stores: Vec<_> = (1..=3).map(|vm| store(vm, &format!("d{vm}"), "south")).collect();
     for vm in 1..=3 {
-        let first = |program: &usize| preferred(&program.to_string(), "south", &stores)[0];
+        let first = |program: &usize| preferred_stores(&program.to_string(), "south", &stores)[0];
         let count = (0..PROGRAMS).filter(|program| first(program) == VmId(vm)).count();
         assert!((PROGRAMS / 4..PROGRAMS / 2).contains(&count), "{vm}: {count}");
     }
--- a/crates/gypsumglade/src/gateway/leader_search.rs
+++ b/crates/gypsumglade/src/gateway/leader_search.rs
@@ -1,4 +1,4 @@
-//! Looks for the turn group's leader, once for all who wait for it.
+//! Search for the leader of the turn group, shared by all tasks that wait for it.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,19 +15,19 @@
 use crate::directory::Directory;
 use crate::rpc::{Method, PeerClients};
 
-/// Longest wait for one store's word on who leads: it costs a round of heartbeats at most.
-const TIMEOUT: Duration = Duration::from_millis(500);
-/// Pause between two stores at the start of a search, before each has been asked once.
-const FIRST_PAUSE: Duration = Duration::from_millis(30);
-/// The same later: all entry VMs search at one time, and the stores have an election to hold.
-const PAUSE: Duration = Duration::from_millis(100);
-/// Time within which a store that others name is not asked again: followers of one that fell silent
-/// go on naming it.
-const ASKED_LATELY: Duration = Duration::from_millis(200);
-/// Longest search; whoever still waits starts another.
-const LONGEST: Duration = Duration::from_secs(10);
+/// Time limit for one store's answer.
+const ASK_TIMEOUT: Duration = Duration::from_millis(500);
+/// Mean delay between requests until every store has been asked once.
+const FIRST_ROUND_INTERVAL: Duration = Duration::from_millis(30);
+/// Mean delay between later requests; longer, since all entry VMs search during an election.
+const ASK_INTERVAL: Duration = Duration::from_millis(100);
+/// How soon a store that others name as the leader may be asked again. Followers of a failed leader
+/// keep naming it for a while.
+const REPEAT_AFTER: Duration = Duration::from_millis(200);
+/// Time limit of a search; tasks that still need a leader start another one.
+const SEARCH_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A shared search; clones share what they learn.
+/// Finds the leader by asking the stores. Clones share their state.
 #[derive(Clone)]
 pub(super) struct LeaderSearch {
     shared: Arc<Shared>,
@@ -37,28 +37,28 @@
     directory: Arc<Directory>,
     peers: PeerClients,
     leader: watch::Sender<Option<VmId>>,
-    /// Whom a redirect named last.
-    named: Mutex<Option<VmId>>,
+    /// Leader named by the latest redirect, if it has not been asked yet.
+    redirect: Mutex<Option<VmId>>,
     searching: AtomicBool,
 }
 
 impl LeaderSearch {
-    /// Creates a search that knows no leader yet.
+    /// Creates an idle search with no known leader.
     pub(super) fn new(directory: Arc<Directory>, peers: PeerClients) -> LeaderSearch {
         let (leader, _) = watch::channel(None);
-        let (named, searching) = (Mutex::default(), AtomicBool::new(false));
-        LeaderSearch { shared: Arc::new(Shared { directory, peers, leader, named, searching }) }
+        let (redirect, searching) = (Mutex::default(), AtomicBool::new(false));
+        LeaderSearch { shared: Arc::new(Shared { directory, peers, leader, redirect, searching }) }
     }
 
-    /// Returns who leads, now and later.
+    /// Returns a receiver of the known leader.
     pub(super) fn subscribe(&self) -> watch::Receiver<Option<VmId>> {
         self.shared.leader.subscribe()
     }
 
-    /// Notes that a store doesn't lead after all, and whom it named instead.
-    pub(super) fn lost(&self, vm: VmId, named: Option<VmId>) {
-        let named = named.filter(|named| named.0 != 0 && *named != vm);
-        *self.shared.named.lock().expect("no panic while held") = named;
+    /// Records that `vm` does not lead, and the leader that it named, if any.
+    pub(super) fn leader_lost(&self, vm: VmId, redirect: Option<VmId>) {
+        let redirect = redirect.filter(|redirect| redirect.0 != 0 && *redirect != vm);
+        *self.shared.redirect.lock().expect("no panic while held") = redirect;
         self.shared.leader.send_if_modified(|leader| {
             let held = *leader == Some(vm);
             if held {
@@ -68,46 +68,46 @@
         });
     }
 
-    /// Starts a search unless one is under way; `found` is called once it has found who leads.
+    /// Starts a search unless one is running. Calls `found` once a leader is found.
     pub(super) fn start(&self, found: impl FnOnce() + Send + 'static) {
         if self.shared.searching.swap(true, Ordering::AcqRel) {
             return;
         }
         let shared = Arc::clone(&self.shared);
         tokio::spawn(async move {
-            let leader = tokio::time::timeout(LONGEST, shared.search()).await;
+            let leader = tokio::time::timeout(SEARCH_TIMEOUT, shared.search()).await;
             shared.searching.store(false, Ordering::Release);
             if leader.is_ok() {
                 found();
             }
-            // Sent even if it is the same: those who wait for a change must not wait on if they
-            // found the search under way and it then ended.
+            // Notifies receivers even if the value is the same: a task that could not start a search of its
+            // own waits for this one to end.
             shared.leader.send_modify(|known| *known = leader.ok().or(*known));
         });
     }
 }
 
 impl Shared {
-    /// Asks one store after another until one says that it leads.
+    /// Asks the stores one after another until one answers that it leads.
     async fn search(&self) -> VmId {
-        let mut asking = JoinSet::new();
+        let mut in_flight = JoinSet::new();
         let mut asked: BTreeMap<VmId, Instant> = BTreeMap::new();
         let mut next = Instant::now();
-        // The store that led is asked first: most often it still does, and is only slow.
+        // Start with the last known leader, which is most likely just slow.
         let mut queue: Vec<VmId> = self.leader.borrow().iter().copied().collect();
         loop {
             tokio::select! {
-                Some(answer) = asking.join_next(), if !asking.is_empty() => {
+                Some(answer) = in_flight.join_next(), if !in_flight.is_empty() => {
                     let Ok((vm, Some(KeptReply { leads, leader, .. }))) = answer else { continue };
                     if leads {
                         return vm;
                     }
-                    self.follow(VmId(leader), &mut asking, &mut asked);
+                    self.follow_redirect(VmId(leader), &mut in_flight, &mut asked);
                 }
                 () = tokio::time::sleep_until(next) => {
-                    let named = self.named.lock().expect("no panic while held").take();
-                    if let Some(vm) = named {
-                        self.follow(vm, &mut asking, &mut asked);
+                    let redirect = self.redirect.lock().expect("no panic while held").take();
+                    if let Some(vm) = redirect {
+                        self.follow_redirect(vm, &mut in_flight, &mut asked);
                     }
                     let stores = self.directory.stores();
                     if queue.is_empty() {
@@ -115,42 +115,42 @@
                         queue.shuffle(&mut rand::rng());
                     }
                     if let Some(vm) = queue.pop() {
-                        self.ask(vm, &mut asking, &mut asked);
+                        self.ask(vm, &mut in_flight, &mut asked);
                     }
                     let first = asked.len() < stores.len();
-                    let pause = if first { FIRST_PAUSE } else { PAUSE };
-                    next = Instant::now() + pause.mul_f64(rand::random_range(0.7..1.3));
+                    let interval = if first { FIRST_ROUND_INTERVAL } else { ASK_INTERVAL };
+                    next = Instant::now() + interval.mul_f64(rand::random_range(0.7..1.3));
                 }
             }
         }
     }
 
-    /// Asks a store that another one named.
-    fn follow(
+    /// Asks a store that was named as the leader, unless it has just been asked.
+    fn follow_redirect(
         &self,
         vm: VmId,
-        asking: &mut JoinSet<(VmId, Option<KeptReply>)>,
+        in_flight: &mut JoinSet<(VmId, Option<KeptReply>)>,
         asked: &mut BTreeMap<VmId, Instant>,
     ) {
-        if asked.get(&vm).is_none_or(|at| at.elapsed() >= ASKED_LATELY) {
-            self.ask(vm, asking, asked);
+        if asked.get(&vm).is_none_or(|at| at.elapsed() >= REPEAT_AFTER) {
+            self.ask(vm, in_flight, asked);
         }
     }
 
     fn ask(
         &self,
         vm: VmId,
-        asking: &mut JoinSet<(VmId, Option<KeptReply>)>,
+        in_flight: &mut JoinSet<(VmId, Option<KeptReply>)>,
         asked: &mut BTreeMap<VmId, Instant>,
     ) {
         let Some(address) = self.directory.store(vm) else { return };
         asked.insert(vm, Instant::now());
-        asking.spawn(ask_one(self.peers.clone(), vm, address));
+        in_flight.spawn(ask_one(self.peers.clone(), vm, address));
     }
 }
 
 async fn ask_one(peers: PeerClients, vm: VmId, address: SocketAddr) -> (VmId, Option<KeptReply>) {
     let query = KeptQuery { turns: Vec::new() };
-    let reply = peers.ask(address, Method::KeptTurns, &query, TIMEOUT).await;
+    let reply = peers.ask(address, Method::KeptTurns, &query, ASK_TIMEOUT).await;
     (vm, reply.ok())
 }
--- a/crates/gypsumglade/src/gateway/mod.rs
+++ b/crates/gypsumglade/src/gateway/mod.rs
@@ -1,32 +1,33 @@
-//! The entry's interface for requests that are passed through to endpoints as they are.
+//! HTTP gateway that passes callers' requests through to endpoints unchanged.
 //!
-//! A request goes through fixed steps: read its head in the callers' dialect, find its route, for a
-//! turn set its tokens aside, place it, send it, relay the answer, settle. What differs from one
-//! platform to another is behind [`Dialect`]. docs/design/provider.md has the reasons.
+//! Each request goes through these steps: read its head in the platform's dialect, find its route,
+//! reserve tokens if it is a turn, choose an endpoint, send the request, relay the answer, settle the
+//! reservation. Platform differences are behind [`Dialect`]. See docs/design/provider.md.
 
+mod attempt;
+mod buffered;
 mod call;
-mod channels;
+mod connections;
 mod dialect;
-mod follow;
+mod endpoint_sync;
+mod headers;
 mod history_cache;
-mod intake;
+mod ingress;
 mod leader_search;
-mod lines;
-mod opening;
-mod placing;
-mod plain;
+mod placement;
 mod relay;
 mod serve;
 mod settlement;
-mod settling;
+mod settlement_queue;
 mod state;
 mod streaming;
 mod text_client;
 mod turn_client;
 
 pub use dialect::{
-    AnswerHead, CallHead, Dialect, EndpointLoad, Order, PromptPart, Refusal, Standing, TurnHead,
+    AnswerHead, AnswerKind, AttemptHead, CallHead, Dialect, EndpointLoad, PromptPart, Refusal,
+    TurnHead,
 };
-pub use lines::forwarded;
+pub use headers::forwarded_headers;
 pub use serve::{Gateway, GatewayAddresses};
 pub use text_client::TextClient;
