--- a/crates/core/src/program/admission.rs
+++ b/crates/core/src/program/admission.rs
@@ -54,7 +54,7 @@
             }
             Decision::Park(queue) => {
                 if let Err(waiter) = self.parked.park(queue, waiter, &self.settings) {
-                    let detail = "too many requests wait for this program: try again later";
+                    let detail = "too many requests are waiting: try again later";
                     let reply = self.final_reply(&waiter, Refusal::Overloaded, detail);
                     out.push(Effect::Reply { token, reply });
                 }
