--- a/crates/core/src/replication/log.rs
+++ b/crates/core/src/replication/log.rs
@@ -164,7 +164,8 @@
         self.get(index).map_or(0, |entry| entry.size as usize)
     }
 
-    /// Returns the last position up to `from` whose term is at most `term`.
+    /// Returns the last position up to `from` whose term is at most `term`, or the base if there is
+    /// none.
     ///
     /// The other log has no entries of a higher term up to `from`, so each refused append skips a
     /// whole term instead of a single entry.
