--- a/crates/core/src/control/delta.rs
+++ b/crates/core/src/control/delta.rs
@@ -1,7 +1,7 @@
-//! Changes between two contents, line by line, so that a small change stays small on the wire.
+//! Line-based deltas between two bundle contents, which keep small changes small on the wire.
 //!
-//! A delta is a list of copies from the base and inserted bytes. Whoever applies one checks the
-//! digest of the result, so a delta never has to be trusted: at worst the whole is fetched.
+//! A delta is a list of copies from the base and inserted bytes. The receiver checks the digest of
+//! the result and fetches the whole content if it doesn't match, so a delta needn't be trusted.
 
 use std::collections::HashMap;
 
@@ -10,24 +10,24 @@
 use crate::bundle::MAX_CONTENT;
 use crate::wire::control::{Delta, DeltaStep};
 
-/// Copies shorter than this cost more as a step than as inserted bytes.
+/// Minimum length of a copy, in bytes; a shorter one takes less space as inserted bytes.
 const MIN_COPY: usize = 24;
 
-/// Returns the change that turns `base` into `target`, in time linear in their lines.
+/// Returns the delta that turns `base` into `target`.
 pub fn diff(base: &[u8], target: &[u8]) -> Delta {
     let lines = Lines::of(base);
     let mut builder = Builder { target, steps: Vec::new(), inserted: 0..0 };
     let mut cursor = 0;
     let mut offset = 0;
     while offset < target.len() {
-        let run = lines.longest_run(&target[offset..], cursor);
-        let length = run.length.max(line_length(&target[offset..]));
-        if run.length >= MIN_COPY {
-            builder.copy(run.start, run.length, offset);
-            cursor = run.start + run.length;
+        let matched = lines.longest_match(&target[offset..], cursor);
+        let length = matched.length.max(line_length(&target[offset..]));
+        if matched.length >= MIN_COPY {
+            builder.copy(matched.start, matched.length, offset);
+            cursor = matched.start + matched.length;
         }
         offset += length;
-        if run.length < MIN_COPY {
+        if matched.length < MIN_COPY {
             builder.inserted.end = offset;
         } else {
             builder.inserted = offset..offset;
@@ -36,7 +36,9 @@
     builder.finish()
 }
 
-/// Applies a change, or returns `None` when it doesn't fit the base or the result is too large.
+/// Applies a delta to `base`.
+///
+/// Returns `None` if a copy lies outside the base or the result exceeds [`MAX_CONTENT`].
 pub fn apply(base: &[u8], delta: &Delta) -> Option<Bytes> {
     let mut result = Vec::with_capacity(base.len());
     for step in &delta.steps {
@@ -51,44 +53,47 @@
     Some(result.into())
 }
 
-/// The base's lines and where each one stands.
+/// Index of the base's lines by their positions.
 struct Lines<'a> {
     base: &'a [u8],
-    places: HashMap<&'a [u8], Vec<usize>>,
+    positions: HashMap<&'a [u8], Vec<usize>>,
 }
 
-/// Bytes of the base that the target repeats.
+/// Range of the base that also occurs in the target.
 #[derive(Default)]
-struct Run {
+struct Match {
     start: usize,
     length: usize,
 }
 
 impl<'a> Lines<'a> {
     fn of(base: &'a [u8]) -> Lines<'a> {
-        let mut places: HashMap<&[u8], Vec<usize>> = HashMap::new();
+        let mut positions: HashMap<&[u8], Vec<usize>> = HashMap::new();
         let mut start = 0;
         while start < base.len() {
             let length = line_length(&base[start..]);
-            places.entry(&base[start..start + length]).or_default().push(start);
+            positions.entry(&base[start..start + length]).or_default().push(start);
             start += length;
         }
-        Lines { base, places }
+        Lines { base, positions }
     }
 
-    /// Finds a run of whole lines at the start of `rest`, at `cursor` if one goes on there.
-    fn longest_run(&self, rest: &[u8], cursor: usize) -> Run {
-        let ahead = self.run_at(cursor, rest);
-        if ahead.length >= MIN_COPY {
-            return ahead;
+    /// Finds whole lines of the base that match the start of `rest`.
+    ///
+    /// Uses a match at `cursor` if it is long enough to copy, and otherwise the next position of
+    /// the first line, wrapping around.
+    fn longest_match(&self, rest: &[u8], cursor: usize) -> Match {
+        let following = self.match_at(cursor, rest);
+        if following.length >= MIN_COPY {
+            return following;
         }
         let line = &rest[..line_length(rest)];
-        let Some(places) = self.places.get(line) else { return Run::default() };
-        let next = places.partition_point(|place| *place < cursor) % places.len();
-        self.run_at(places[next], rest)
+        let Some(positions) = self.positions.get(line) else { return Match::default() };
+        let next = positions.partition_point(|position| *position < cursor) % positions.len();
+        self.match_at(positions[next], rest)
     }
 
-    fn run_at(&self, start: usize, rest: &[u8]) -> Run {
+    fn match_at(&self, start: usize, rest: &[u8]) -> Match {
         let base = &self.base[start.min(self.base.len())..];
         let mut length = 0;
         while length < rest.len() {
@@ -98,7 +103,7 @@
             }
             length += line;
         }
-        Run { start, length }
+        Match { start, length }
     }
 }
 
@@ -106,7 +111,7 @@
     text.iter().position(|byte| *byte == b'\n').map_or(text.len(), |end| end + 1)
 }
 
-/// Collects steps; inserted bytes wait until the next copy closes them.
+/// Collects the steps of a delta; inserted bytes are added when the next copy begins.
 struct Builder<'a> {
     target: &'a [u8],
     steps: Vec<DeltaStep>,
--- a/crates/core/src/membership/learn.rs
+++ b/crates/core/src/membership/updates.rs
@@ -1,26 +1,28 @@
-//! Taking news in: merging it, objecting to it, and the suspicions it starts.
+//! Handling of received updates: merging them into records, refuting them, and tracking suspicions.
 
 use super::member::{Merged, Record};
 use super::suspicion::Suspicion;
-use super::{Effect, Liveness, MAX_DISTRUST, Membership, Mutation, OBJECTION_ROUNDS};
+use super::{Effect, Liveness, MAX_HEALTH_PENALTY, Membership, Mutation, REFUTATION_ROUNDS};
 use crate::prelude::*;
 use crate::wire::membership as wire;
 
-/// How a piece of news came here.
+/// Where an update came from.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Origin {
     pub sender: VmId,
-    /// It stood on a page of members, and so isn't news to others.
+    /// Whether it was pulled with a page of members.
     pub pulled: bool,
 }
 
 impl Origin {
-    /// Returns true for what must be passed on: news of liveness, a VM that joins, and the
-    /// profile that a VM tells of itself. Other profiles, and VMs that a page told of, reach all
-    /// by pages; passing them on would fill the datagrams of a cold start with what is known.
-    fn is_news(self, vm: VmId, merged: Merged) -> bool {
+    /// Returns `true` if an update must be gossiped: a change of liveness, a VM that joins, or a
+    /// profile received from its own VM.
+    ///
+    /// Other profiles, and VMs found by a pull, reach everyone by pulls. Gossiping them would fill
+    /// the datagrams of a cold start with known data.
+    fn should_gossip(self, vm: VmId, merged: Merged) -> bool {
         match merged {
-            Merged::Old => false,
+            Merged::Stale => false,
             Merged::Liveness => true,
             Merged::New => !self.pulled,
             Merged::Profile => self.sender == vm,
@@ -28,17 +30,18 @@
     }
 }
 
-/// Turns a pulled death into a suspicion. After a partition each side holds the other for dead;
-/// taking that over page by page would make VMs that are up count as dead on their own side
-/// until they object, while a suspicion gives them the time to.
-pub(super) fn doubted(rumour: &wire::Rumour, sender: VmId) -> wire::Rumour {
+/// Turns a pulled report of a death into a suspicion by the sender.
+///
+/// After a partition, each side considers the other dead. A suspicion gives a VM that is up the
+/// time to refute the report.
+pub(super) fn as_suspicion(rumour: &wire::Rumour, sender: VmId) -> wire::Rumour {
     let liveness = Liveness::Suspect.into();
     wire::Rumour { liveness, accuser: sender.0, ..rumour.clone() }
 }
 
 impl Membership {
-    /// Takes one piece of news.
-    pub(super) fn learn(
+    /// Applies an update of one VM: merges it, and gossips it if others need it.
+    pub(super) fn apply_rumour(
         &mut self,
         rumour: &wire::Rumour,
         origin: Origin,
@@ -56,23 +59,23 @@
             None => {
                 let Some(record) = Record::first(rumour, now) else { return };
                 self.records.insert(vm, record);
-                self.found = true;
+                self.found_new = true;
                 Merged::New
             }
         };
-        if origin.is_news(vm, merged) {
+        if origin.should_gossip(vm, merged) {
             self.gossip.add(vm, merged);
         }
-        if merged != Merged::Old {
+        if merged != Merged::Stale {
             effects.push(Effect::Changed(vm));
         }
         if rumour.liveness() == Liveness::Suspect {
-            self.count_accuser(vm, rumour, now);
+            self.record_accuser(vm, rumour, now);
         }
     }
 
-    /// Starts or confirms the suspicion that a rumour tells of.
-    fn count_accuser(&mut self, vm: VmId, rumour: &wire::Rumour, now: Time) {
+    /// Starts or confirms a suspicion with the accuser that a rumour names.
+    fn record_accuser(&mut self, vm: VmId, rumour: &wire::Rumour, now: Time) {
         let size = self.size();
         let Some(record) = self.records.get_mut(&vm) else { return };
         let current = record.member.liveness == Liveness::Suspect
@@ -94,27 +97,29 @@
         }
     }
 
-    /// Objects to news that this VM is anything but alive, or that it lives on in an earlier
-    /// incarnation of a higher number.
+    /// Refutes a rumour about this VM that contradicts its state, with a higher incarnation.
+    ///
+    /// This includes rumours about an earlier run of this VM with a higher incarnation.
     fn refute(&mut self, rumour: &wire::Rumour) {
         let me = &mut self.me;
         let older = rumour.incarnation < me.member.incarnation;
         let same = rumour.incarnation == me.member.incarnation;
-        let agreed = same && rumour.liveness() == me.member.liveness;
-        let off = self.settings.mutation == Mutation::NoRefute;
-        if older || agreed || off || self.leaving.is_some() {
+        let matches = same && rumour.liveness() == me.member.liveness;
+        let disabled = self.settings.mutation == Mutation::NoRefute;
+        if older || matches || disabled || self.leaving.is_some() {
             return;
         }
         me.member.incarnation = rumour.incarnation.saturating_add(1);
-        // A restarted VM's profile must pass the one of its earlier life.
+        // The profile must be newer than that of an earlier run of this VM.
         me.profile.0 = me.member.incarnation;
         self.counts.refutations += 1;
         if rumour.liveness() == Liveness::Suspect {
-            self.distrust = (self.distrust + 1).min(MAX_DISTRUST);
+            self.health_penalty = (self.health_penalty + 1).min(MAX_HEALTH_PENALTY);
         }
-        self.objections = OBJECTION_ROUNDS;
+        self.refutation_rounds = REFUTATION_ROUNDS;
     }
 
+    /// Suspects a VM that is up, and gossips the suspicion.
     pub(super) fn suspect(&mut self, vm: VmId, now: Time, effects: &mut Vec<Effect>) {
         let Some(record) = self.records.get(&vm) else { return };
         if !record.member.is_up() {
@@ -129,16 +134,17 @@
             profile: None,
         };
         let origin = Origin { sender: self.settings.vm, pulled: false };
-        self.learn(&rumour, origin, now, effects);
+        self.apply_rumour(&rumour, origin, now, effects);
     }
 
+    /// Declares VMs dead whose suspicion has expired, and removes VMs that have been gone for long.
     pub(super) fn expire_suspicions(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let forget = self.millis(self.settings.times.forget_ms);
         self.records
             .retain(|_, record| record.member.is_up() || now.since(record.changed) < forget);
         for (vm, record) in &mut self.records {
-            let over = record.suspicion.as_ref().is_some_and(|held| now >= held.deadline());
-            if !over {
+            let expired = record.suspicion.as_ref().is_some_and(|held| now >= held.deadline());
+            if !expired {
                 continue;
             }
             record.suspicion = None;
--- a/crates/core/src/policy/admission/queue.rs
+++ b/crates/core/src/policy/admission/queue.rs
@@ -1,10 +1,10 @@
-//! Waiting calls: three bands, fair among organisations within each, all in constant time.
+//! Queues of waiting calls: three bands, each fair among organisations.
 //!
-//! Within a band, organisations take turns of one call each (surplus round robin): each turn brings
-//! a quantum of expected seconds, and a call that costs more leaves a debt for which the next turns
-//! are skipped. A debt is bounded, so that a start looks at a bounded number of organisations on
-//! average, however many are waiting. Turns of one call and not of a whole quantum's worth: a flood
-//! of short calls would otherwise run a burst before each call of a quiet organisation.
+//! Each band serves its organisations by surplus round robin. A turn starts one call and pays for a
+//! quantum of expected seconds; a call that costs more leaves a debt, for which the next turns are
+//! skipped. The debt is bounded, so that a start looks at a bounded number of organisations on
+//! average. A turn starts a single call rather than a whole quantum's worth, because a flood of
+//! short calls would otherwise run a burst before each call of another organisation.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -13,68 +13,68 @@
 use super::{OrgKey, Ticket};
 use crate::prelude::*;
 
-/// Least seconds that a call counts for, so that free calls cannot take turns without end.
-const LEAST_COST: f64 = 0.01;
+/// Lowest cost of a call in seconds, so that calls without expected cost use up credit too.
+const MIN_COST: f64 = 0.01;
 
-/// Most turns that an organisation skips for one long call.
-const LONGEST_DEBT: f64 = 5.0;
+/// Highest cost of a call in quanta, which bounds the turns that an organisation skips.
+const MAX_COST: f64 = 5.0;
 
-/// Bands in the order in which they are served.
+/// Priority bands, in the order in which they are served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Band {
     /// Urgent calls.
     Urgent,
-    /// Calls of programs that already ran a turn.
+    /// Calls of programs that have run a turn before.
     UnderWay,
     /// First calls of programs.
     New,
 }
 
-/// Place of a call in its organisation's queue: earlier first, ties by arrival.
+/// Position of a call in its organisation's queue; the lowest starts first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Rank {
-    /// Arrival, put back by the program's attained service.
+    /// Arrival time, plus the delay of the call's priority.
     pub at: Time,
-    /// Order of arrival.
+    /// Order of arrival, which breaks ties.
     pub sequence: u64,
 }
 
-/// One waiting call.
+/// A queued call.
 #[derive(Clone, Copy, Debug)]
-pub struct Waiting {
-    /// Its ticket.
+pub struct QueuedCall {
+    /// Ticket that is returned when the call starts.
     pub ticket: Ticket,
-    /// Expected seconds of service.
+    /// Expected service time in seconds.
     pub cost: f64,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Line {
-    calls: BTreeMap<Rank, Waiting>,
+struct OrgQueue {
+    calls: BTreeMap<Rank, QueuedCall>,
     credit: f64,
     listed: bool,
 }
 
-/// The queues of one organisation.
+/// Queues and counts of one organisation.
 #[derive(Clone, Debug)]
 pub struct Org {
-    /// The organisation's name.
+    /// Name under which the organisation is known to [`Admission`](super::Admission).
     pub name: OrgName,
-    /// Calls it has waiting.
+    /// Number of queued calls.
     pub waiting: u32,
-    /// Calls it has running.
+    /// Number of running calls.
     pub running: u32,
-    lines: [Line; 3],
+    queues: [OrgQueue; 3],
 }
 
 impl Org {
-    /// Makes an organisation without calls.
+    /// Creates an organisation without calls.
     pub fn new(name: OrgName) -> Org {
-        Org { name, waiting: 0, running: 0, lines: Default::default() }
+        Org { name, waiting: 0, running: 0, queues: Default::default() }
     }
 }
 
-/// All waiting calls of one admission.
+/// All queued calls of one [`Admission`](super::Admission).
 #[derive(Clone, Debug)]
 pub struct Queues {
     orgs: SlotMap<OrgKey, Org>,
@@ -82,39 +82,41 @@
     counts: [u32; 3],
     quantum: f64,
     runs: [u32; 2],
-    bounds: [u32; 2],
+    max_runs: [u32; 2],
 }
 
 impl Queues {
-    /// Makes empty queues. `quantum` is the seconds that one turn pays for; `bounds` are the most
-    /// starts in a row of urgent calls, and of calls under way, while a later band waits.
-    pub fn new(quantum: f64, bounds: [u32; 2]) -> Queues {
+    /// Creates empty queues.
+    ///
+    /// `quantum` is the time in seconds that one turn pays for. `max_runs` limits the starts in a
+    /// row of urgent calls, and of calls under way, while a later band has calls queued.
+    pub fn new(quantum: f64, max_runs: [u32; 2]) -> Queues {
         Queues {
             orgs: SlotMap::with_key(),
             rings: Default::default(),
             counts: [0; 3],
             quantum,
             runs: [0; 2],
-            bounds,
+            max_runs,
         }
     }
 
-    /// Adds an organisation.
+    /// Adds an organisation and returns its key.
     pub fn add_org(&mut self, name: OrgName) -> OrgKey {
         self.orgs.insert(Org::new(name))
     }
 
-    /// Returns an organisation.
+    /// Returns an organisation, if it is known.
     pub fn org(&mut self, key: OrgKey) -> Option<&mut Org> {
         self.orgs.get_mut(key)
     }
 
-    /// Returns how many calls of an organisation wait.
+    /// Returns the number of queued calls of an organisation.
     pub fn waiting(&self, key: OrgKey) -> u32 {
         self.orgs.get(key).map_or(0, |org| org.waiting)
     }
 
-    /// Removes organisations that have nothing waiting or running, and returns their names.
+    /// Removes organisations without queued or running calls, and returns their names.
     pub fn sweep(&mut self) -> Vec<OrgName> {
         let idle = |(key, org): (OrgKey, &Org)| (org.waiting + org.running == 0).then_some(key);
         let keys: Vec<OrgKey> = self.orgs.iter().filter_map(idle).collect();
@@ -126,76 +128,76 @@
         names
     }
 
-    /// Returns how many calls wait in a band.
+    /// Returns the number of queued calls in a band.
     pub fn count(&self, band: Band) -> u32 {
         self.counts[band as usize]
     }
 
-    /// Returns how many calls wait.
+    /// Returns the number of queued calls.
     pub fn len(&self) -> u32 {
         self.counts.iter().sum()
     }
 
-    /// Returns how many starts lie before a new call of `org` in `band`, at most.
+    /// Returns the maximum number of starts before a new call of `org` in `band`.
     ///
-    /// Each organisation with calls waiting gets a turn for each turn of this one, and the bands
-    /// before come first.
+    /// Each organisation with queued calls gets a turn for each turn of this one, and the calls of
+    /// earlier bands come first.
     pub fn ahead(&self, org: OrgKey, band: Band) -> u32 {
         let index = band as usize;
         let before: u32 = self.counts[..index].iter().sum();
-        let own = self.orgs.get(org).map_or(0, |org| org.lines[index].calls.len() as u32);
+        let own = self.orgs.get(org).map_or(0, |org| org.queues[index].calls.len() as u32);
         let turns = (own + 1).saturating_mul(self.rings[index].len().max(1) as u32);
         before + self.counts[index].min(turns)
     }
 
     /// Queues a call.
-    pub fn push(&mut self, org: OrgKey, band: Band, rank: Rank, call: Waiting) {
+    pub fn push(&mut self, org: OrgKey, band: Band, rank: Rank, call: QueuedCall) {
         let index = band as usize;
         let Some(entry) = self.orgs.get_mut(org) else { return };
         entry.waiting += 1;
-        let line = &mut entry.lines[index];
-        line.calls.insert(rank, call);
+        let queue = &mut entry.queues[index];
+        queue.calls.insert(rank, call);
         self.counts[index] += 1;
-        if !std::mem::replace(&mut line.listed, true) {
+        if !std::mem::replace(&mut queue.listed, true) {
             self.rings[index].push_back(org);
         }
     }
 
-    /// Takes a call out before its turn.
+    /// Removes a call before it starts.
     pub fn remove(&mut self, org: OrgKey, band: Band, rank: Rank) {
         let Some(entry) = self.orgs.get_mut(org) else { return };
-        if entry.lines[band as usize].calls.remove(&rank).is_some() {
+        if entry.queues[band as usize].calls.remove(&rank).is_some() {
             entry.waiting -= 1;
             self.counts[band as usize] -= 1;
         }
     }
 
-    /// Takes the next call out, if `urgent_only` allows any.
+    /// Removes the next call and returns its ticket; with `urgent_only`, other bands aren't served.
     pub fn pop(&mut self, urgent_only: bool) -> Option<Ticket> {
         let band = if urgent_only { Band::Urgent } else { self.next_band() };
         let ticket = self.pop_band(band)?;
-        self.note_run(band);
+        self.record_start(band);
         Some(ticket)
     }
 
-    /// Chooses the band that is served next.
+    /// Returns the band that is served next.
     ///
-    /// The order is strict but for one start in each run: a flood of urgent calls, or of programs
-    /// under way, would otherwise hold new callers off until they hang up. With the bound, the
-    /// first call of a later band waits for a known number of starts.
+    /// The order of bands is strict except for one start after each run. Without that exception, a
+    /// flood of urgent calls or of programs under way would starve new callers; with it, the first
+    /// call of a later band waits for a bounded number of starts.
     fn next_band(&self) -> Band {
         let [urgent, under_way, new] = self.counts;
-        let urgent_due = urgent > 0 && (self.runs[0] < self.bounds[0] || under_way + new == 0);
+        let urgent_due = urgent > 0 && (self.runs[0] < self.max_runs[0] || under_way + new == 0);
         if urgent_due {
             return Band::Urgent;
         }
-        if under_way > 0 && (self.runs[1] < self.bounds[1] || new == 0) {
+        if under_way > 0 && (self.runs[1] < self.max_runs[1] || new == 0) {
             return Band::UnderWay;
         }
         if new > 0 { Band::New } else { Band::Urgent }
     }
 
-    fn note_run(&mut self, band: Band) {
+    fn record_start(&mut self, band: Band) {
         let [_, under_way, new] = self.counts;
         match band {
             Band::Urgent if under_way + new > 0 => self.runs[0] += 1,
@@ -215,21 +217,22 @@
                 self.rings[index].pop_front();
                 continue;
             };
-            let line = &mut org.lines[index];
-            let Some(head) = line.calls.first_entry() else {
-                // An idle organisation keeps no credit, or it could save up a burst.
-                line.credit = 0.0;
-                line.listed = false;
+            let queue = &mut org.queues[index];
+            let Some(head) = queue.calls.first_entry() else {
+                // An organisation without queued calls loses its credit, so that it can't save up
+                // for a burst.
+                queue.credit = 0.0;
+                queue.listed = false;
                 self.rings[index].pop_front();
                 continue;
             };
             self.rings[index].rotate_left(1);
-            line.credit = (line.credit + self.quantum).min(self.quantum);
-            if line.credit <= 0.0 {
+            queue.credit = (queue.credit + self.quantum).min(self.quantum);
+            if queue.credit <= 0.0 {
                 continue;
             }
-            let most = self.quantum * LONGEST_DEBT;
-            line.credit -= head.get().cost.clamp(LEAST_COST, most);
+            let max_cost = self.quantum * MAX_COST;
+            queue.credit -= head.get().cost.clamp(MIN_COST, max_cost);
             let ticket = head.remove().ticket;
             org.waiting -= 1;
             self.counts[index] -= 1;
--- a/crates/core/src/policy/registry/endpoint.rs
+++ b/crates/core/src/policy/registry/endpoint.rs
@@ -1,74 +1,75 @@
-//! One endpoint, as it announced itself and as it has behaved since.
+//! State of one endpoint: its announcement, load, health and cached prefixes.
 
 use super::{Announcement, CacheHint, CacheHints, EndpointKind, LoadTracker, LoadView};
 use crate::policy::outlier::Health;
 use crate::prelude::*;
 
-/// One endpoint.
+/// An endpoint with a lease.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// Instance name.
+    /// Instance name, unique among endpoints.
     pub name: EndpointName,
-    /// Incarnation announced.
+    /// Incarnation of the instance.
     pub incarnation: u64,
-    /// What it runs.
+    /// Models or service that the endpoint runs.
     pub kind: EndpointKind,
-    /// Where calls go.
+    /// Address for calls.
     pub address: CompactString,
-    /// Its failure domain.
+    /// Failure domain that the endpoint runs in.
     pub domain: DomainId,
-    /// Its region.
+    /// Region that the endpoint runs in.
     pub region: RegionId,
-    /// Whether it checks fencing numbers.
+    /// Whether the endpoint checks fencing numbers of orders.
     pub fencing: bool,
-    /// True once it takes no new work.
+    /// Whether the endpoint takes no new work.
     pub leaving: bool,
-    /// End of its lease.
-    pub until: Time,
-    /// Failures and slow start.
+    /// Time at which the lease expires.
+    pub lease_end: Time,
+    /// Ejection and slow start.
     pub health: Health,
     pub(super) load: LoadTracker,
     pub(super) hints: CacheHints,
-    pub(super) alone: u32,
+    pub(super) isolated_calls: u32,
 }
 
 impl Endpoint {
-    /// Makes an endpoint from its first announcement; the lease is cut to `longest`.
-    pub(super) fn announced(now: Time, news: &Announcement, longest: Duration) -> Endpoint {
+    /// Creates an endpoint from its first announcement, with a lease of at most `max_lease`.
+    pub(super) fn new(now: Time, announcement: &Announcement, max_lease: Duration) -> Endpoint {
         let mut endpoint = Endpoint {
-            name: news.name.clone(),
-            incarnation: news.incarnation,
-            kind: news.kind.clone(),
-            address: news.address.clone(),
-            domain: news.domain,
-            region: news.region,
-            fencing: news.fencing,
-            leaving: news.leaving,
-            until: now + news.lease.min(longest),
-            health: Health::joined(now),
+            name: announcement.name.clone(),
+            incarnation: announcement.incarnation,
+            kind: announcement.kind.clone(),
+            address: announcement.address.clone(),
+            domain: announcement.domain,
+            region: announcement.region,
+            fencing: announcement.fencing,
+            leaving: announcement.leaving,
+            lease_end: now + announcement.lease.min(max_lease),
+            health: Health::new(now),
             load: LoadTracker::default(),
             hints: CacheHints::default(),
-            alone: 0,
+            isolated_calls: 0,
         };
-        if let Some(load) = news.load {
-            endpoint.load.reported(now, load);
+        if let Some(load) = announcement.load {
+            endpoint.load.record_report(now, load);
         }
-        endpoint.hints.fold(now, &news.cache_events);
+        endpoint.hints.apply_events(now, &announcement.cache_events);
         endpoint
     }
 
-    /// Returns the load as known at `now`.
+    /// Returns the estimated load at `now`.
     pub fn load(&self, now: Time) -> LoadView {
         self.load.view(now)
     }
 
-    /// Returns what the engine was last heard to hold of `program`.
+    /// Returns what the engine is expected to hold of a program's prefix, or of a prefix by its
+    /// hash.
     pub fn hint(&self, program: u64) -> Option<CacheHint> {
         self.hints.get(program)
     }
 
-    /// Returns true while a crash suspect runs here and nothing else may.
+    /// Returns true while a call runs that must run alone.
     pub fn isolated(&self) -> bool {
-        self.alone > 0
+        self.isolated_calls > 0
     }
 }
--- a/crates/core/src/policy/registry/hints.rs
+++ b/crates/core/src/policy/registry/hints.rs
@@ -1,80 +1,82 @@
-//! What engines say they hold in prefix memory: late, gapped, and so only a hint with an age.
+//! Hints about the prefix cache of an engine, from its cache events. Events may be late or lost, so
+//! each hint has a time.
 
 use std::collections::HashMap;
 
 use super::announce::{CacheEvent, CacheEvents};
 use crate::prelude::*;
 
-/// Programs remembered for one engine; the oldest hints go first.
+/// Maximum number of hints for one engine; the oldest are removed first.
 const MAX_HINTS: usize = 1024;
 
-/// What an engine was last heard to hold of one program.
+/// Tokens that an engine was last known to hold of one prefix.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CacheHint {
-    /// Tokens of the program's prefix; zero after an eviction.
+    /// Tokens held; zero after an eviction.
     pub tokens: u64,
-    /// When that was true.
+    /// Time to which the hint applies.
     pub at: Time,
 }
 
-/// Cache events of one engine, folded.
+/// Hints about one engine, by the hash of the program or prefix.
 #[derive(Clone, Debug, Default)]
 pub struct CacheHints {
-    held: HashMap<u64, CacheHint>,
-    next: u64,
+    hints: HashMap<u64, CacheHint>,
+    next_sequence: u64,
 }
 
 impl CacheHints {
-    /// Folds a run of events in.
+    /// Applies a batch of cache events; those that were applied before are skipped.
     ///
-    /// After a gap every hint is dropped: a lost eviction would send a program to memory that is
-    /// gone, while a lost fill only costs a hint, and the program's own record still stands.
-    pub fn fold(&mut self, now: Time, run: &CacheEvents) {
-        if run.events.is_empty() {
+    /// A gap in the sequence drops all hints. A lost eviction would send a program to an engine
+    /// that no longer holds its prefix, while a dropped hint costs little, since the program's own
+    /// record still counts.
+    pub fn apply_events(&mut self, now: Time, batch: &CacheEvents) {
+        if batch.events.is_empty() {
             return;
         }
-        let end = run.first.saturating_add(run.events.len() as u64);
-        if end <= self.next {
+        let end = batch.first.saturating_add(batch.events.len() as u64);
+        if end <= self.next_sequence {
             return;
         }
-        if run.first > self.next {
-            self.held.clear();
+        if batch.first > self.next_sequence {
+            self.hints.clear();
         }
-        let known = self.next.saturating_sub(run.first) as usize;
-        for event in run.events.iter().skip(known) {
-            self.apply(now - run.age, *event);
+        let known = self.next_sequence.saturating_sub(batch.first) as usize;
+        for event in batch.events.iter().skip(known) {
+            self.apply(now - batch.age, *event);
         }
-        self.next = end;
+        self.next_sequence = end;
     }
 
-    /// Notes what the engine is expected to hold of a prefix from now on.
-    pub fn expect(&mut self, now: Time, prefix: u64, tokens: u64) {
-        self.make_room(prefix);
-        self.held.insert(prefix, CacheHint { tokens, at: now });
+    /// Records that the engine is expected to hold `tokens` tokens of a prefix from now on.
+    pub fn record_expected(&mut self, now: Time, prefix: u64, tokens: u64) {
+        self.evict_if_full(prefix);
+        self.hints.insert(prefix, CacheHint { tokens, at: now });
     }
 
-    /// Returns what the engine was last heard to hold of `program`.
+    /// Returns the hint for a program or prefix, if there is one.
     pub fn get(&self, program: u64) -> Option<CacheHint> {
-        self.held.get(&program).copied()
+        self.hints.get(&program).copied()
     }
 
     fn apply(&mut self, at: Time, event: CacheEvent) {
         let (program, tokens) = match event {
             CacheEvent::Filled { program, tokens } => (program, tokens),
-            // Kept as a hint of nothing: it has to outweigh the program's older record.
+            // Kept as a hint of zero tokens, which overrides the program's older record.
             CacheEvent::Evicted { program } => (program, 0),
         };
-        self.make_room(program);
-        self.held.insert(program, CacheHint { tokens, at });
+        self.evict_if_full(program);
+        self.hints.insert(program, CacheHint { tokens, at });
     }
 
-    fn make_room(&mut self, program: u64) {
-        if self.held.len() < MAX_HINTS || self.held.contains_key(&program) {
+    fn evict_if_full(&mut self, program: u64) {
+        if self.hints.len() < MAX_HINTS || self.hints.contains_key(&program) {
             return;
         }
-        let oldest = self.held.iter().min_by_key(|(program, hint)| (hint.at, **program));
+        let oldest = self.hints.iter().min_by_key(|(program, hint)| (hint.at, **program));
         if let Some((&oldest, _)) = oldest {
-            self.held.remove(&oldest);
+            self.hints.remove(&oldest);
         }
     }
 }
--- a/crates/core/src/policy/registry/mod.rs
+++ b/crates/core/src/policy/registry/mod.rs
@@ -1,15 +1,14 @@
-//! Endpoints as this VM knows them: leases, incarnations, load and hints about prefix memory.
+//! Registry of the endpoints that this VM knows: leases, incarnations, load and cached prefixes.
 //!
-//! Nobody hands the system a list of endpoints. Each announces itself, its announcement is a
-//! lease, and this arena is what remains true of all of them at `now`. See
-//! docs/design/registry.md.
+//! Endpoints announce themselves, and each announcement is a lease. The registry holds the
+//! endpoints until their leases expire. See docs/design/registry.md.
 
 mod announce;
 mod endpoint;
 mod hints;
-mod holders;
 mod home;
 mod load;
+mod prefix_index;
 mod renewal;
 mod settings;
 mod summary;
@@ -25,59 +24,59 @@
 pub use load::{LoadTracker, LoadView, STALE_AFTER};
 pub use renewal::Renewal;
 pub use settings::{RegistrySafeguards, RegistrySettings};
-pub use summary::{RosterDiffers, SummaryNumber};
+pub use summary::{RosterMismatch, SummaryNumber};
 
-use self::holders::Holders;
+use self::prefix_index::PrefixIndex;
 use super::outlier::HealthSettings;
 use crate::prelude::*;
 
 new_key_type! {
-    /// Names an endpoint in the registry; a new incarnation gets a new key.
+    /// Identifies an endpoint; each incarnation has its own key.
     pub struct EndpointKey;
-    /// Names a call in flight from this process.
+    /// Identifies a call in flight from this process.
     pub struct DispatchKey;
 }
 
-/// Why an announcement changed nothing.
+/// Reason why an announcement was ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ignored {
     /// A newer incarnation is known.
     OldIncarnation,
-    /// This or a later announcement of the incarnation was already taken.
+    /// This or a later announcement of the incarnation was already applied.
     Replay,
-    /// The incarnation said that it leaves.
+    /// The incarnation has announced that it leaves.
     Left,
-    /// The name is held by an endpoint at another address, whose lease runs.
-    Taken,
+    /// The name belongs to an endpoint at another address whose lease is valid.
+    AddressTaken,
 }
 
-/// What an announcement did.
+/// Effect of an announcement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Announced {
-    /// The endpoint is new here.
+    /// The endpoint was added.
     New(EndpointKey),
-    /// Its lease goes on.
+    /// The lease of the endpoint was renewed.
     Renewed(EndpointKey),
-    /// A restarted instance took its own place.
+    /// A new incarnation replaced the previous one.
     Replaced {
-        /// Key of the gone incarnation; calls in flight there will fail.
+        /// Key of the previous incarnation, whose calls in flight will fail.
         old: EndpointKey,
-        /// Key of the new one.
+        /// Key of the new incarnation.
         new: EndpointKey,
     },
-    /// It gets no new work from here on; calls in flight go on.
+    /// The endpoint gets no new work, but calls in flight continue.
     Leaving(EndpointKey),
-    /// Nothing changed.
+    /// The announcement was ignored.
     Ignored(Ignored),
 }
 
-/// What a call is expected to ask of its endpoint.
+/// Load that a call puts on its endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DispatchLoad {
-    /// Prompt tokens to fill, the reused prefix not counted.
-    pub fill_tokens: u64,
-    /// True when nothing else may run beside it.
-    pub alone: bool,
+    /// Prompt tokens to prefill, not counting the cached prefix.
+    pub prefill_tokens: u64,
+    /// Whether no other call may run beside it.
+    pub isolated: bool,
 }
 
 #[derive(Clone, Debug)]
@@ -85,12 +84,13 @@
     endpoint: EndpointKey,
     load: DispatchLoad,
     at: Time,
-    filled: bool,
+    prefilled: bool,
 }
 
-/// What is remembered of an instance name, also after the endpoint is gone.
+/// Last known state of an instance name. It is kept after the endpoint is removed, to reject
+/// announcements that arrive late.
 #[derive(Clone, Debug)]
-struct Seen {
+struct LastSeen {
     incarnation: u64,
     sequence: u64,
     left: bool,
@@ -98,51 +98,51 @@
     at: Time,
 }
 
-/// All endpoints that hold a lease, and who serves what.
+/// All endpoints with a lease, indexed by the models and services that they offer.
 #[derive(Clone, Debug, Default)]
 pub struct Registry {
     settings: RegistrySettings,
     endpoints: SlotMap<EndpointKey, Endpoint>,
     dispatches: SlotMap<DispatchKey, Dispatch>,
-    seen: HashMap<EndpointName, Seen>,
+    seen: HashMap<EndpointName, LastSeen>,
     models: HashMap<ModelId, Vec<EndpointKey>>,
     services: HashMap<CompactString, Vec<EndpointKey>>,
     rosters: HashMap<VmId, Vec<EndpointKey>>,
-    heard: HashMap<VmId, SummaryNumber>,
-    holders: Holders,
+    last_summaries: HashMap<VmId, SummaryNumber>,
+    prefixes: PrefixIndex,
 }
 
 impl Registry {
-    /// Makes an empty registry.
+    /// Creates an empty registry.
     pub fn new(settings: RegistrySettings) -> Registry {
         Registry { settings, ..Registry::default() }
     }
 
-    /// Takes an announcement in, from the endpoint itself or from its home VM.
-    pub fn announce(&mut self, now: Time, news: Announcement) -> Announced {
-        if let Some(reason) = self.refuses(now, &news) {
+    /// Applies an announcement, from the endpoint itself or from its home VM.
+    pub fn announce(&mut self, now: Time, announcement: Announcement) -> Announced {
+        if let Some(reason) = self.ignore_reason(now, &announcement) {
             return Announced::Ignored(reason);
         }
-        let seen = self.seen.get(&news.name);
+        let seen = self.seen.get(&announcement.name);
         let old = seen.and_then(|seen| seen.key).filter(|key| self.endpoints.contains_key(*key));
-        let same = seen.is_some_and(|seen| seen.incarnation == news.incarnation);
+        let same = seen.is_some_and(|seen| seen.incarnation == announcement.incarnation);
         let result = match old {
-            Some(key) if same => self.renew(now, key, &news),
+            Some(key) if same => self.renew(now, key, &announcement),
             Some(old) => {
                 self.remove(old);
-                Announced::Replaced { old, new: self.insert(now, &news) }
+                Announced::Replaced { old, new: self.insert(now, &announcement) }
             }
-            None => Announced::New(self.insert(now, &news)),
+            None => Announced::New(self.insert(now, &announcement)),
         };
-        self.remember(now, &news, result);
+        self.record_seen(now, &announcement, result);
         result
     }
 
-    /// Marks an incarnation as leaving; it gets no new work from this moment.
+    /// Marks an incarnation as leaving, so that it gets no new work.
     ///
-    /// Works for names not known here too: the news of leaving may overtake the announcement.
+    /// An unknown name is recorded too, because the notice may overtake the announcement.
     pub fn leave(&mut self, now: Time, name: &str, incarnation: u64) -> Option<EndpointKey> {
-        let seen = self.seen.entry(name.into()).or_insert(Seen {
+        let seen = self.seen.entry(name.into()).or_insert(LastSeen {
             incarnation,
             sequence: 0,
             left: true,
@@ -161,205 +161,210 @@
         Some(key)
     }
 
-    /// Removes the endpoints whose lease is over, and forgets old names.
+    /// Removes the endpoints whose leases have expired and returns their keys. Also removes names
+    /// that were last seen more than `seen_ttl` ago.
     pub fn expire(&mut self, now: Time) -> Vec<EndpointKey> {
-        let over =
-            |(key, endpoint): (EndpointKey, &Endpoint)| (endpoint.until <= now).then_some(key);
-        let keys: Vec<EndpointKey> = self.endpoints.iter().filter_map(over).collect();
+        let expired =
+            |(key, endpoint): (EndpointKey, &Endpoint)| (endpoint.lease_end <= now).then_some(key);
+        let keys: Vec<EndpointKey> = self.endpoints.iter().filter_map(expired).collect();
         for key in &keys {
             self.remove(*key);
         }
-        let memory = self.settings.memory;
+        let seen_ttl = self.settings.seen_ttl;
         let endpoints = &self.endpoints;
         self.seen.retain(|_, seen| {
-            seen.key.is_some_and(|key| endpoints.contains_key(key)) || now.since(seen.at) < memory
+            seen.key.is_some_and(|key| endpoints.contains_key(key)) || now.since(seen.at) < seen_ttl
         });
         keys
     }
 
-    /// Takes the load that an endpoint told with an answer.
-    pub fn reported(&mut self, now: Time, key: EndpointKey, load: LoadReport) {
+    /// Applies a load report that came with an answer.
+    pub fn load_reported(&mut self, now: Time, key: EndpointKey, load: LoadReport) {
         if let Some(endpoint) = self.endpoints.get_mut(key) {
-            endpoint.load.reported(now, load);
+            endpoint.load.record_report(now, load);
         }
     }
 
-    /// Notes that an engine will hold this many tokens of a prefix, because a call that reads them
-    /// was sent there. Later cache events of the engine overrule it.
+    /// Records that an engine will hold `tokens` tokens of a prefix, because a call that reads them
+    /// was sent there. Later cache events of the engine overwrite this.
     pub fn expect_prefix(&mut self, now: Time, key: EndpointKey, prefix: u64, tokens: u64) {
         if let Some(endpoint) = self.endpoints.get_mut(key) {
-            endpoint.hints.expect(now, prefix, tokens);
-            self.holders.note(prefix, key);
+            endpoint.hints.record_expected(now, prefix, tokens);
+            self.prefixes.insert(prefix, key);
         }
     }
 
-    /// Returns endpoints that are expected to hold a prefix, latest first. Each must still pass
-    /// [`Registry::open`].
-    pub fn holders(&self, prefix: u64) -> &[EndpointKey] {
-        self.holders.of(prefix)
+    /// Returns the endpoints that are expected to hold a prefix, latest first. The caller has to
+    /// check each with [`Registry::is_available`].
+    pub fn prefix_holders(&self, prefix: u64) -> &[EndpointKey] {
+        self.prefixes.endpoints(prefix)
     }
 
-    /// Counts a call as sent; the key closes it later.
+    /// Counts a call as sent, and returns the key with which it is ended.
     pub fn dispatched(&mut self, now: Time, key: EndpointKey, load: DispatchLoad) -> DispatchKey {
         if let Some(endpoint) = self.endpoints.get_mut(key) {
-            endpoint.load.sent(now, load.fill_tokens);
-            endpoint.alone += u32::from(load.alone);
+            endpoint.load.record_sent(now, load.prefill_tokens);
+            endpoint.isolated_calls += u32::from(load.isolated);
         }
-        self.dispatches.insert(Dispatch { endpoint: key, load, at: now, filled: false })
+        self.dispatches.insert(Dispatch { endpoint: key, load, at: now, prefilled: false })
     }
 
-    /// Counts a call's prompt as filled: its first token came.
-    pub fn filled(&mut self, dispatch: DispatchKey) {
+    /// Counts a call's prompt as prefilled, since its first token has arrived.
+    pub fn prefilled(&mut self, dispatch: DispatchKey) {
         let Some(call) = self.dispatches.get_mut(dispatch) else { return };
-        if std::mem::replace(&mut call.filled, true) {
+        if std::mem::replace(&mut call.prefilled, true) {
             return;
         }
         if let Some(endpoint) = self.endpoints.get_mut(call.endpoint) {
-            endpoint.load.filled(call.load.fill_tokens);
+            endpoint.load.record_prefilled(call.load.prefill_tokens);
         }
     }
 
-    /// Counts a call as answered. Closing one twice changes nothing.
+    /// Ends a call that was answered. Ending a call twice has no effect.
     pub fn finished(&mut self, now: Time, dispatch: DispatchKey) {
-        self.close(now, dispatch, |endpoint, _, service| {
-            endpoint.load.over(now, Some(service));
-            endpoint.health.succeeded();
+        self.close(now, dispatch, |endpoint, _, service_time| {
+            endpoint.load.record_finished(now, Some(service_time));
+            endpoint.health.record_success();
         });
     }
 
-    /// Counts a call as failed by its endpoint, which may eject it.
+    /// Ends a call that failed at its endpoint, which may eject the endpoint.
     pub fn failed(&mut self, now: Time, dispatch: DispatchKey) {
         self.close(now, dispatch, |endpoint, settings, _| {
-            endpoint.load.over(now, None);
-            endpoint.health.failed(now, settings);
+            endpoint.load.record_finished(now, None);
+            endpoint.health.record_failure(now, settings);
         });
     }
 
-    /// Counts a call whose answer did not come in the usual time, which may eject its endpoint. The
-    /// call itself is closed apart.
-    pub fn overdue(&mut self, now: Time, key: EndpointKey) {
+    /// Counts an answer that is late as a failure, which may eject the endpoint. The call stays in
+    /// flight until it is ended.
+    pub fn timed_out(&mut self, now: Time, key: EndpointKey) {
         let settings = &self.settings.health;
         if let Some(endpoint) = self.endpoints.get_mut(key) {
-            endpoint.health.failed(now, settings);
+            endpoint.health.record_failure(now, settings);
         }
     }
 
-    /// Counts a call as given up by the caller, which says nothing about the endpoint.
+    /// Ends a call that its caller gave up, without effect on the endpoint's health.
     pub fn cancelled(&mut self, now: Time, dispatch: DispatchKey) {
-        self.close(now, dispatch, |endpoint, _, _| endpoint.load.over(now, None));
+        self.close(now, dispatch, |endpoint, _, _| endpoint.load.record_finished(now, None));
     }
 
-    /// Returns the endpoints that announced a model. Each must still pass [`Registry::open`].
+    /// Returns the endpoints that announced a model. The caller has to check each with
+    /// [`Registry::is_available`].
     pub fn candidates(&self, model: &ModelId) -> &[EndpointKey] {
         self.models.get(model).map_or(&[], Vec::as_slice)
     }
 
-    /// Returns the endpoints of a plain service. Each must still pass [`Registry::open`].
+    /// Returns the endpoints of a plain service. The caller has to check each with
+    /// [`Registry::is_available`].
     pub fn services(&self, name: &str) -> &[EndpointKey] {
         self.services.get(name).map_or(&[], Vec::as_slice)
     }
 
     /// Returns true when the endpoint may get new work at `now`.
     ///
-    /// The lease is checked here and not only in [`Registry::expire`], because a late timer would
-    /// otherwise send work to an endpoint whose leaving was never heard.
-    pub fn open(&self, now: Time, key: EndpointKey) -> bool {
+    /// The lease is checked here as well as in [`Registry::expire`], whose timer may be late.
+    pub fn is_available(&self, now: Time, key: EndpointKey) -> bool {
         let Some(endpoint) = self.endpoints.get(key) else { return false };
-        let leased = endpoint.until > now || !self.settings.safeguards.lease;
+        let leased = endpoint.lease_end > now || !self.settings.safeguards.lease;
         leased && !endpoint.leaving
     }
 
-    /// Returns the endpoint behind a key.
+    /// Returns the endpoint of a key, unless it has been removed.
     pub fn get(&self, key: EndpointKey) -> Option<&Endpoint> {
         self.endpoints.get(key)
     }
 
-    /// Returns the key of an instance name, if its lease holds.
+    /// Returns the key of the endpoint with this instance name, unless it has been removed.
     pub fn key(&self, name: &str) -> Option<EndpointKey> {
         self.seen.get(name)?.key.filter(|key| self.endpoints.contains_key(*key))
     }
 
-    /// Returns all endpoints, in the arena's order.
+    /// Returns all endpoints with their keys, in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = (EndpointKey, &Endpoint)> {
         self.endpoints.iter()
     }
 
-    /// Returns the settings.
+    /// Returns the settings that the registry was created with.
     pub fn settings(&self) -> &RegistrySettings {
         &self.settings
     }
 
-    /// Tells why an announcement must not be taken.
+    /// Returns why an announcement has to be ignored, if it has to be.
     ///
-    /// Datagrams and relays repeat and reorder. Without this an old announcement that arrives late
-    /// revives an endpoint that left or restarted, and calls go to a process that is gone.
-    fn refuses(&self, now: Time, news: &Announcement) -> Option<Ignored> {
-        let seen = self.seen.get(&news.name)?;
+    /// Datagrams and relays may repeat and reorder announcements. Without these checks an old
+    /// announcement would bring back an endpoint that left or restarted, and calls would go to a
+    /// process that is gone.
+    fn ignore_reason(&self, now: Time, announcement: &Announcement) -> Option<Ignored> {
+        let seen = self.seen.get(&announcement.name)?;
         let guards = self.settings.safeguards;
-        if guards.address && self.is_held_elsewhere(now, seen, news) {
-            return Some(Ignored::Taken);
+        if guards.address && self.address_conflicts(now, seen, announcement) {
+            return Some(Ignored::AddressTaken);
         }
-        if guards.replay && news.incarnation < seen.incarnation {
+        if guards.replay && announcement.incarnation < seen.incarnation {
             return Some(Ignored::OldIncarnation);
         }
-        if news.incarnation > seen.incarnation {
+        if announcement.incarnation > seen.incarnation {
             return None;
         }
         if seen.left && seen.key.is_none_or(|key| !self.endpoints.contains_key(key)) {
             return guards.sticky.then_some(Ignored::Left);
         }
-        (guards.replay && news.sequence <= seen.sequence).then_some(Ignored::Replay)
+        (guards.replay && announcement.sequence <= seen.sequence).then_some(Ignored::Replay)
     }
 
-    /// Tells whether an endpoint that is up elsewhere has the name.
+    /// Returns true when an endpoint at another address holds a valid lease for the name.
     ///
-    /// All endpoints share a token, so any of them could claim another's name with a higher
-    /// incarnation, and get that one's calls with their histories. While the other's lease runs
-    /// its address stays. An endpoint that restarts at another address waits out its own last
-    /// lease, or says that it leaves before it stops.
-    fn is_held_elsewhere(&self, now: Time, seen: &Seen, news: &Announcement) -> bool {
+    /// All endpoints share a token, so any of them could announce another's name with a higher
+    /// incarnation and receive its calls with their prompts. An endpoint that restarts at another
+    /// address has to wait until its last lease expires, or announce that it leaves before it
+    /// stops.
+    fn address_conflicts(&self, now: Time, seen: &LastSeen, announcement: &Announcement) -> bool {
         let held = seen.key.and_then(|key| self.endpoints.get(key));
-        held.is_some_and(|held| held.until > now && !held.leaving && held.address != news.address)
+        held.is_some_and(|held| {
+            held.lease_end > now && !held.leaving && held.address != announcement.address
+        })
     }
 
-    fn renew(&mut self, now: Time, key: EndpointKey, news: &Announcement) -> Announced {
-        let until = now + news.lease.min(self.settings.max_lease);
+    fn renew(&mut self, now: Time, key: EndpointKey, announcement: &Announcement) -> Announced {
+        let lease_end = now + announcement.lease.min(self.settings.max_lease);
         let sticky = self.settings.safeguards.sticky;
-        self.reindex(key, &news.kind);
+        self.reindex(key, &announcement.kind);
         let endpoint = &mut self.endpoints[key];
-        endpoint.kind = news.kind.clone();
-        endpoint.address = news.address.clone();
-        endpoint.until = until;
-        endpoint.leaving = news.leaving || (sticky && endpoint.leaving);
-        if let Some(load) = news.load {
-            endpoint.load.reported(now, load);
+        endpoint.kind = announcement.kind.clone();
+        endpoint.address = announcement.address.clone();
+        endpoint.lease_end = lease_end;
+        endpoint.leaving = announcement.leaving || (sticky && endpoint.leaving);
+        if let Some(load) = announcement.load {
+            endpoint.load.record_report(now, load);
         }
-        endpoint.hints.fold(now, &news.cache_events);
+        endpoint.hints.apply_events(now, &announcement.cache_events);
         if endpoint.leaving { Announced::Leaving(key) } else { Announced::Renewed(key) }
     }
 
-    fn insert(&mut self, now: Time, news: &Announcement) -> EndpointKey {
-        let longest = self.settings.max_lease;
-        let key = self.endpoints.insert(Endpoint::announced(now, news, longest));
-        self.index(key, &news.kind);
+    fn insert(&mut self, now: Time, announcement: &Announcement) -> EndpointKey {
+        let max_lease = self.settings.max_lease;
+        let key = self.endpoints.insert(Endpoint::new(now, announcement, max_lease));
+        self.index(key, &announcement.kind);
         key
     }
 
-    fn remember(&mut self, now: Time, news: &Announcement, result: Announced) {
+    fn record_seen(&mut self, now: Time, announcement: &Announcement, result: Announced) {
         let key = match result {
             Announced::New(key) | Announced::Renewed(key) | Announced::Leaving(key) => key,
             Announced::Replaced { new, .. } => new,
             Announced::Ignored(_) => return,
         };
         let left = self.endpoints.get(key).is_some_and(|endpoint| endpoint.leaving);
-        let seen = Seen {
-            incarnation: news.incarnation,
-            sequence: news.sequence,
+        let seen = LastSeen {
+            incarnation: announcement.incarnation,
+            sequence: announcement.sequence,
             left,
             key: Some(key),
             at: now,
         };
-        self.seen.insert(news.name.clone(), seen);
+        self.seen.insert(announcement.name.clone(), seen);
     }
 
     fn remove(&mut self, key: EndpointKey) {
@@ -413,10 +418,10 @@
         dispatch: DispatchKey,
         settle: impl FnOnce(&mut Endpoint, &HealthSettings, f64),
     ) {
-        self.filled(dispatch);
+        self.prefilled(dispatch);
         let Some(call) = self.dispatches.remove(dispatch) else { return };
         let Some(endpoint) = self.endpoints.get_mut(call.endpoint) else { return };
-        endpoint.alone -= u32::from(call.load.alone);
+        endpoint.isolated_calls -= u32::from(call.load.isolated);
         settle(endpoint, &self.settings.health, now.since(call.at).as_secs_f64());
     }
 }
--- a/crates/core/src/policy/retry.rs
+++ b/crates/core/src/policy/retry.rs
@@ -1,8 +1,8 @@
-//! Retries: how many, how soon, and which calls may run twice at once.
+//! Retries and hedges: how many, after which delay, and for which calls.
 //!
-//! The danger is not the single retry but all of them together: after a domain, a region or a store
-//! comes back, every caller tries again in the same second. A budget bounds retries to a share of
-//! the calls that went through, and jitter spreads the rest. See docs/design/retries.md.
+//! When a domain, a region or a store comes back, all callers would retry in the same second. A
+//! budget limits retries to a share of first attempts, and jitter spreads them. See
+//! docs/design/retries.md.
 
 use std::collections::HashMap;
 
@@ -11,22 +11,22 @@
 
 use crate::prelude::*;
 
-/// How retries are bounded and spread.
+/// Limits and delays of retries.
 #[derive(Clone, Debug)]
 pub struct RetrySettings {
-    /// Retries earned by each call sent for the first time.
+    /// Retries that each first attempt adds to the budget.
     pub ratio: f64,
-    /// Most retries saved up by one organisation.
+    /// Largest budget of one organisation.
     pub burst: f64,
-    /// First mean wait before a retry; doubles with each attempt.
-    pub base: Duration,
-    /// Longest mean wait.
-    pub longest: Duration,
-    /// Attempts for one call, the first one counted.
-    pub attempts: u32,
-    /// Least wait before a hedge.
-    pub hedge_least: Duration,
-    /// Safeguards that tests switch off.
+    /// Mean delay before the first retry; doubles with each attempt.
+    pub base_backoff: Duration,
+    /// Longest mean delay.
+    pub max_backoff: Duration,
+    /// Maximum number of attempts for one call, including the first.
+    pub max_attempts: u32,
+    /// Shortest hedge delay.
+    pub min_hedge: Duration,
+    /// Safeguards that tests can disable.
     #[doc(hidden)]
     pub safeguards: RetrySafeguards,
 }
@@ -36,22 +36,22 @@
         RetrySettings {
             ratio: 0.1,
             burst: 10.0,
-            base: Duration::from_millis(100),
-            longest: Duration::from_secs(10),
-            attempts: 4,
-            hedge_least: Duration::from_millis(50),
+            base_backoff: Duration::from_millis(100),
+            max_backoff: Duration::from_secs(10),
+            max_attempts: 4,
+            min_hedge: Duration::from_millis(50),
             safeguards: RetrySafeguards::default(),
         }
     }
 }
 
-/// Safeguards of retries; all on outside tests.
+/// Safeguards of retries; all enabled except in tests.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug)]
 pub struct RetrySafeguards {
-    /// Retries draw from a budget.
+    /// Retries are limited by a budget.
     pub budget: bool,
-    /// Waits are drawn at random.
+    /// Delays are randomised.
     pub jitter: bool,
     /// Only calls that may be repeated are hedged.
     pub repeatable: bool,
@@ -63,141 +63,142 @@
     }
 }
 
-/// Why a call failed, as far as it is known.
+/// What is known of a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// Proved that it did not run.
+    /// The call certainly did not run.
     NotRun,
-    /// It may have run.
+    /// The call may have run.
     Unknown,
 }
 
-/// A failed attempt that asks whether to go on.
+/// A failed attempt that may be retried.
 #[derive(Clone, Debug)]
-pub struct RetryAsk {
-    /// The organisation whose budget pays.
+pub struct RetryRequest {
+    /// Organisation whose budget is used.
     pub org: OrgName,
-    /// Attempts made, this one counted.
+    /// Attempts so far, including this one.
     pub attempts: u32,
-    /// True when running it twice does no harm.
+    /// Whether running the call twice does no harm.
     pub repeatable: bool,
-    /// What is known of the failure.
+    /// Whether the call may have run.
     pub failure: Failure,
-    /// When the caller gives up.
+    /// Time at which the caller gives up.
     pub deadline: Option<Time>,
-    /// When the endpoint or the router asked to be tried again, if it did.
-    pub advice: Option<Duration>,
+    /// Retry delay that the endpoint or the router asked for.
+    pub retry_after: Option<Duration>,
 }
 
-/// Whether to try again.
+/// Decision on a [`RetryRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// Try again at this time, on another endpoint.
+    /// Retry at this time, on another endpoint.
     At(Time),
-    /// Answer the caller now.
+    /// Don't retry; return the failure to the caller.
     Stop(StopReason),
 }
 
-/// Why a call is not tried again.
+/// Reason why a call is not retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StopReason {
-    /// It may have run and may not be repeated.
-    #[error("the call may have run and may not be repeated")]
+    /// The call may have run, and must not be repeated.
+    #[error("the call may have run and must not be repeated")]
     NotRepeatable,
-    /// All attempts are used.
-    #[error("all attempts are used")]
+    /// The call has reached the maximum of attempts.
+    #[error("the call has reached its maximum of attempts")]
     Attempts,
     /// The retry would come after the deadline.
-    #[error("no time is left before the deadline")]
+    #[error("the next attempt would start after the deadline")]
     Deadline,
-    /// The organisation's retry budget is spent.
-    #[error("the retry budget is spent")]
+    /// The retry budget of the organisation is used up.
+    #[error("the retry budget of the organisation is used up")]
     Budget,
 }
 
-/// Second copies of calls that may be sent: each first copy earns a part of one.
+/// Budget for retries or hedges, to which each first attempt adds a fraction.
 #[derive(Clone, Copy, Debug)]
-pub struct RepeatBudget {
-    held: f64,
+pub struct RetryBudget {
+    balance: f64,
 }
 
-impl RepeatBudget {
-    /// Returns a full budget.
-    pub fn full(settings: &RetrySettings) -> RepeatBudget {
-        RepeatBudget { held: settings.burst }
+impl RetryBudget {
+    /// Creates a full budget.
+    pub fn full(settings: &RetrySettings) -> RetryBudget {
+        RetryBudget { balance: settings.burst }
     }
 
-    /// Counts a call sent for the first time. Returns whether the budget is full.
+    /// Adds the share of a first attempt. Returns true if the budget is full.
     pub fn earn(&mut self, settings: &RetrySettings) -> bool {
         self.add(settings.ratio, settings)
     }
 
-    /// Takes one second copy out, if there is one.
+    /// Takes one retry out of the budget. Returns false if there is none.
     pub fn spend(&mut self) -> bool {
-        let held = self.held >= 1.0;
-        if held {
-            self.held -= 1.0;
+        let available = self.balance >= 1.0;
+        if available {
+            self.balance -= 1.0;
         }
-        held
+        available
     }
 
-    fn add(&mut self, copies: f64, settings: &RetrySettings) -> bool {
-        self.held = (self.held + copies).min(settings.burst);
-        self.held >= settings.burst
+    fn add(&mut self, amount: f64, settings: &RetrySettings) -> bool {
+        self.balance = (self.balance + amount).min(settings.burst);
+        self.balance >= settings.burst
     }
 }
 
-/// Decides about retries and hedges.
+/// Decides on retries and hedges.
 #[derive(Clone, Debug)]
-pub struct Retries {
+pub struct RetryPolicy {
     settings: RetrySettings,
-    budgets: HashMap<OrgName, RepeatBudget>,
+    budgets: HashMap<OrgName, RetryBudget>,
     rng: ChaCha8Rng,
 }
 
-impl Retries {
-    /// Makes a value with full budgets.
-    pub fn new(settings: RetrySettings, seed: u64) -> Retries {
-        Retries { settings, budgets: HashMap::new(), rng: ChaCha8Rng::seed_from_u64(seed) }
+impl RetryPolicy {
+    /// Creates a policy with full budgets; the seed makes its delays reproducible.
+    pub fn new(settings: RetrySettings, seed: u64) -> RetryPolicy {
+        RetryPolicy { settings, budgets: HashMap::new(), rng: ChaCha8Rng::seed_from_u64(seed) }
     }
 
-    /// Counts a call sent for the first time, which earns a part of a retry.
-    pub fn sent(&mut self, org: &OrgName) {
+    /// Counts a first attempt, which adds to the budget of its organisation.
+    pub fn record_call(&mut self, org: &OrgName) {
         let Some(budget) = self.budgets.get_mut(org) else { return };
-        // A full budget is the same as an unknown organisation, and takes no memory.
+        // An organisation without an entry has a full budget, so full ones aren't stored.
         if budget.earn(&self.settings) {
             self.budgets.remove(org);
         }
     }
 
-    /// Decides whether a failed call is tried again, and when.
-    pub fn decide(&mut self, now: Time, ask: &RetryAsk) -> RetryDecision {
-        if ask.failure == Failure::Unknown && !ask.repeatable {
+    /// Decides whether and when a failed call is retried.
+    pub fn decide(&mut self, now: Time, request: &RetryRequest) -> RetryDecision {
+        if request.failure == Failure::Unknown && !request.repeatable {
             return RetryDecision::Stop(StopReason::NotRepeatable);
         }
-        if ask.attempts >= self.settings.attempts {
+        if request.attempts >= self.settings.max_attempts {
             return RetryDecision::Stop(StopReason::Attempts);
         }
-        let at = now + self.backoff(ask);
-        if ask.deadline.is_some_and(|deadline| at >= deadline) {
+        let at = now + self.backoff(request);
+        if request.deadline.is_some_and(|deadline| at >= deadline) {
             return RetryDecision::Stop(StopReason::Deadline);
         }
-        if !self.spend(&ask.org) {
+        if !self.spend(&request.org) {
             return RetryDecision::Stop(StopReason::Budget);
         }
         RetryDecision::At(at)
     }
 
-    /// Returns when a second copy of a call may start, if at all.
+    /// Returns the time at which a call is hedged, or `None` if it must not be. `typical` is the
+    /// usual response time.
     ///
-    /// The copy draws from the same budget as retries: when everything is slow, hedges would
-    /// double the load just then.
+    /// Hedges use the same budget as retries. Otherwise they would double the load exactly when all
+    /// responses are slow.
     pub fn hedge(
         &mut self,
         now: Time,
         org: &OrgName,
         repeatable: bool,
-        usual: Duration,
+        typical: Duration,
     ) -> Option<Time> {
         if self.settings.safeguards.repeatable && !repeatable {
             return None;
@@ -205,37 +206,38 @@
         if !self.spend(org) {
             return None;
         }
-        Some(now + usual.max(self.settings.hedge_least))
+        Some(now + typical.max(self.settings.min_hedge))
     }
 
-    /// Gives back what [`Retries::hedge`] took when the first copy answered in time.
-    pub fn unused(&mut self, org: &OrgName) {
+    /// Returns what [`RetryPolicy::hedge`] took from the budget, if the hedge wasn't sent.
+    pub fn refund_hedge(&mut self, org: &OrgName) {
         if let Some(budget) = self.budgets.get_mut(org) {
             budget.add(1.0, &self.settings);
         }
     }
 
-    /// Draws the wait before the next attempt, between zero and twice the mean.
+    /// Returns a random delay before the next attempt.
     ///
-    /// Calls that failed together must not come back together. Advice from the other side is kept
-    /// as the least, with the draw on top.
-    fn backoff(&mut self, ask: &RetryAsk) -> Duration {
-        let doublings = 1_u32 << ask.attempts.saturating_sub(1).min(16);
-        let mean = (self.settings.base * doublings).min(self.settings.longest);
-        let advice = ask.advice.unwrap_or(Duration::ZERO);
+    /// The delay is uniform between zero and twice the mean, so that calls that failed together
+    /// don't return together. A requested retry delay is added as a minimum.
+    fn backoff(&mut self, request: &RetryRequest) -> Duration {
+        let doublings = 1_u32 << request.attempts.saturating_sub(1).min(16);
+        let mean = (self.settings.base_backoff * doublings).min(self.settings.max_backoff);
+        let retry_after = request.retry_after.unwrap_or(Duration::ZERO);
         if !self.settings.safeguards.jitter {
-            return advice + mean;
+            return retry_after + mean;
         }
-        // Spread grows with the advice, or callers told "in 10 s" would all come in one instant.
-        let spread = mean * 2 + advice / 2;
-        advice + spread.mul_f64(self.rng.random_range(0.0..1.0))
+        // The range grows with the requested delay; otherwise callers that were given the same long
+        // delay would still return nearly together.
+        let spread = mean * 2 + retry_after / 2;
+        retry_after + spread.mul_f64(self.rng.random_range(0.0..1.0))
     }
 
     fn spend(&mut self, org: &OrgName) -> bool {
         if !self.settings.safeguards.budget {
             return true;
         }
-        let full = RepeatBudget::full(&self.settings);
+        let full = RetryBudget::full(&self.settings);
         self.budgets.entry(org.clone()).or_insert(full).spend()
     }
 }
--- a/crates/core/src/policy/route/mod.rs
+++ b/crates/core/src/policy/route/mod.rs
@@ -1,9 +1,10 @@
-//! Endpoint choice: least cost in seconds among a few candidates.
+//! Routing: chooses the endpoint with the least cost, in seconds, among a few candidates.
 //!
-//! The cost of a candidate is what the program would wait there, plus what others would pay:
-//! queue, missing prefix (filled again or imported), network, decode, and prefix memory pushed
-//! out. Affinity is not a rule of its own: the program's engine is cheaper by the prefix it holds,
-//! and stops being cheaper once its queue is longer than the refill. See docs/design/routing.md.
+//! The cost of a candidate is the expected latency of the call there plus the time that it costs
+//! other programs: queueing, prefill or import of the missing prefix, network, decoding, and cached
+//! prefixes that would be evicted. Affinity isn't a rule of its own: the engine that holds the
+//! program's prefix is cheaper until its queue takes longer than a refill. See
+//! docs/design/routing.md.
 
 mod cost;
 mod settings;
@@ -20,122 +21,121 @@
 use super::registry::{EndpointKey, ModelId, Registry};
 use crate::prelude::*;
 
-/// How soon to try again when nothing can take the call.
+/// Retry delay given when no endpoint can take the call.
 const RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// Starts of a prompt whose holders are looked up; a program's last turns and what it shares with
-/// others are among them.
-const MOST_STARTS: usize = 8;
+/// Maximum number of prompt prefixes whose holders are looked up, longest first.
+const MAX_PREFIXES: usize = 8;
 
 /// What the call runs on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Target {
     /// A model engine.
     Model(ModelId),
-    /// A plain service by its name in the bundle.
+    /// A plain service, by its name in the bundle.
     Service(CompactString),
 }
 
-/// An engine where the program ran before, from the program's own record.
+/// An engine that ran the program before, from the program's own record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LastRun {
-    /// The engine's instance name.
+    /// Instance name of the engine.
     pub endpoint: EndpointName,
-    /// Tokens of the program's prefix it held when the call ended.
+    /// Tokens of the program's prefix that the engine held when the call ended.
     pub tokens: u64,
-    /// When that was.
+    /// Time at which the call ended.
     pub at: Time,
 }
 
-/// A start of a prompt, known by its content.
+/// A prefix of a prompt, identified by its content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SharedPrefix {
-    /// Hash of the content, under which hints know it.
+    /// Hash of the content, which is the key of cache hints.
     pub hash: u64,
-    /// Tokens from the prompt's start to the prefix's end.
+    /// Length of the prefix in tokens.
     pub tokens: u64,
 }
 
 /// One call that needs an endpoint.
 #[derive(Clone, Debug)]
-pub struct RouteAsk {
-    /// What it runs on.
+pub struct RouteRequest {
+    /// Model or service that the call runs on.
     pub target: Target,
-    /// Hash of the program, as cache events carry it.
+    /// Hash of the program, as in cache events.
     pub program: u64,
-    /// Tokens of the whole prompt.
+    /// Length of the whole prompt in tokens.
     pub prompt_tokens: u64,
-    /// Tokens of the prompt that earlier turns already held.
+    /// Prompt tokens that were part of the program's earlier turns.
     pub prior_tokens: u64,
-    /// Tokens that the answer is expected to have.
-    pub output_guess: u64,
-    /// Bytes that are sent, where they are at hand; otherwise they are reckoned from the tokens.
+    /// Expected length of the answer in tokens.
+    pub expected_output: u64,
+    /// Bytes to send, if known; otherwise estimated from the tokens.
     pub bytes: Option<u64>,
-    /// How engines slow down with what they run, where that is known.
+    /// How the time for a token grows with the batch, if known.
     pub batch: Option<BatchCost>,
-    /// Seconds that an engine takes to read a prompt token, where that is known; otherwise the rate
-    /// that the endpoint claims counts.
-    pub fill: Option<f64>,
-    /// Where earlier turns ran, latest first.
-    pub last: Vec<LastRun>,
-    /// Starts of the prompt that other programs may have left in an engine's memory, shortest
+    /// Seconds of prefill for each prompt token, if known; otherwise the rate that the endpoint
+    /// announces is used.
+    pub prefill_seconds: Option<f64>,
+    /// Earlier runs of the program, latest first.
+    pub last_runs: Vec<LastRun>,
+    /// Prefixes of the prompt that other programs may have left in an engine's cache, shortest
     /// first.
-    pub shared: Vec<SharedPrefix>,
-    /// Urgency.
+    pub shared_prefixes: Vec<SharedPrefix>,
+    /// Urgency class of the call.
     pub class: Class,
-    /// Where the call comes from.
+    /// Location that the call comes from.
     pub place: Place,
-    /// Endpoints that must not get it: already tried, or not allowed by the bundle.
+    /// Endpoints that must not get the call: already tried, or not allowed by the bundle.
     pub excluded: Vec<EndpointName>,
-    /// True for a crash suspect, which must run alone on its engine.
+    /// Whether the call is suspected of crashing engines, and so must run alone on its engine.
     pub isolate: bool,
 }
 
-/// Where a call goes, and why.
+/// The chosen endpoint, with its expected cost.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Choice {
-    /// The endpoint.
+    /// Key of the endpoint.
     pub endpoint: EndpointKey,
-    /// What the choice is expected to cost.
+    /// Expected cost of the call.
     pub cost: Cost,
-    /// Where the prefix comes from.
+    /// Source of the program's prefix.
     pub prefix: Prefix,
-    /// Prompt tokens the engine has to fill.
-    pub fill_tokens: u64,
+    /// Prompt tokens that the engine has to prefill.
+    pub prefill_tokens: u64,
 }
 
-/// Why no endpoint was chosen. Nothing was sent.
+/// Reason why no endpoint was chosen. Nothing was sent.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RouteError {
-    /// No endpoint with a lease serves the target.
+    /// No endpoint with a valid lease serves the target.
     #[error("no endpoint serves {target}; check that one announces it, then retry")]
     NoEndpoint {
-        /// The model or service asked for.
+        /// Requested model or service.
         target: CompactString,
-        /// When it is worth trying again.
+        /// Delay before the next attempt.
         retry_after: Duration,
     },
     /// Endpoints serve the target, but each is excluded, ejected or isolated.
-    #[error("every endpoint of {target} is out of use for now; retry later")]
-    NoneFree {
-        /// The model or service asked for.
+    #[error("no endpoint of {target} is available at the moment; retry later")]
+    NoneAvailable {
+        /// Requested model or service.
         target: CompactString,
-        /// When it is worth trying again.
+        /// Delay before the next attempt.
         retry_after: Duration,
     },
 }
 
-/// Whether slow start binds.
+/// Whether slow start limits the calls of new endpoints.
 ///
-/// It protects endpoints that come back while others carry the load. Where all of them are new, as
-/// after a cold start, refusing calls would protect nothing.
+/// Slow start protects endpoints that come back while others carry the load. Where all endpoints
+/// are new, as after a cold start, refusing calls would protect nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Ramp {
-    Held,
+enum SlowStart {
+    Enforced,
     Ignored,
 }
 
-/// Chooses endpoints. One per process; the seed makes its draws repeatable.
+/// Chooses endpoints. A process has one router, and the seed makes its random choices reproducible.
 #[derive(Clone, Debug)]
 pub struct Router {
     settings: RouteSettings,
@@ -143,54 +143,59 @@
 }
 
 impl Router {
-    /// Makes a router.
+    /// Creates a router.
     pub fn new(settings: RouteSettings, seed: u64) -> Router {
         Router { settings, rng: ChaCha8Rng::seed_from_u64(seed) }
     }
 
-    /// Takes the weights of a new bundle.
-    pub fn reweigh(&mut self, weights: PolicyWeights) {
+    /// Replaces the weights by those of a new bundle.
+    pub fn set_weights(&mut self, weights: PolicyWeights) {
         self.settings.weights = weights;
     }
 
-    /// Returns the settings.
+    /// Returns the settings, with the current weights.
     pub fn settings(&self) -> &RouteSettings {
         &self.settings
     }
 
-    /// Chooses the endpoint of least cost among a sample and the program's own engines.
+    /// Chooses the endpoint with the least cost among a random sample, the program's previous
+    /// engines and the engines that hold a prefix of the prompt.
+    ///
+    /// # Errors
+    ///
+    /// Returns a [`RouteError`] if no endpoint that serves the target may get the call.
     pub fn choose(
         &mut self,
         now: Time,
         registry: &Registry,
-        ask: &RouteAsk,
+        request: &RouteRequest,
     ) -> Result<Choice, RouteError> {
-        let all = match &ask.target {
+        let all = match &request.target {
             Target::Model(model) => registry.candidates(model),
             Target::Service(name) => registry.services(name),
         };
         let mut keys = self.sample(all);
-        keys.extend(own(registry, ask, all));
+        keys.extend(previous_engines(registry, request, all));
         if self.settings.mechanisms.has(Mechanism::Holders) {
-            keys.extend(holders(registry, ask));
+            keys.extend(prefix_holders(registry, request));
         }
-        let held = match self.settings.mechanisms.has(Mechanism::SlowStart) {
-            true => Ramp::Held,
-            false => Ramp::Ignored,
+        let slow_start = match self.settings.mechanisms.has(Mechanism::SlowStart) {
+            true => SlowStart::Enforced,
+            false => SlowStart::Ignored,
         };
-        for ramp in [held, Ramp::Ignored] {
-            // The sample can miss the few that are free; the whole list is the exception.
+        for slow_start in [slow_start, SlowStart::Ignored] {
+            // The sample may miss the few available endpoints, so the whole list is tried next.
             for keys in [keys.as_slice(), all] {
-                if let Some(choice) = self.cheapest(now, registry, ask, keys, ramp) {
+                if let Some(choice) = self.cheapest(now, registry, request, keys, slow_start) {
                     return Ok(choice);
                 }
             }
         }
-        Err(refusal(now, registry, ask, all))
+        Err(no_endpoint(now, registry, request, all))
     }
 
     fn sample(&mut self, all: &[EndpointKey]) -> Vec<EndpointKey> {
-        let wanted = self.settings.sample;
+        let wanted = self.settings.sample_size;
         if all.len() <= wanted {
             return all.to_vec();
         }
@@ -205,27 +210,27 @@
         &mut self,
         now: Time,
         registry: &Registry,
-        ask: &RouteAsk,
+        request: &RouteRequest,
         keys: &[EndpointKey],
-        ramp: Ramp,
+        slow_start: SlowStart,
     ) -> Option<Choice> {
-        let crowd = cost::Crowd::of(now, registry, keys);
+        let means = cost::CandidateMeans::of(now, registry, keys);
         let mut best: Option<Choice> = None;
         let mut ties = 1;
         for key in keys {
-            if !usable(now, registry, ask, *key, ramp, self.settings.mechanisms) {
+            if !usable(now, registry, request, *key, slow_start, self.settings.mechanisms) {
                 continue;
             }
-            let choice = cost::price(&self.settings, now, registry, ask, *key, crowd);
-            let Some(held) = &best else {
+            let choice = cost::price(&self.settings, now, registry, request, *key, means);
+            let Some(current) = &best else {
                 best = Some(choice);
                 continue;
             };
-            let (new, old) = (choice.cost.total, held.cost.total);
+            let (new, old) = (choice.cost.total, current.cost.total);
             if new < old {
                 best = Some(choice);
                 ties = 1;
-            } else if new == old && choice.endpoint != held.endpoint {
+            } else if new == old && choice.endpoint != current.endpoint {
                 ties += 1;
                 if self.rng.random_range(0..ties) == 0 {
                     best = Some(choice);
@@ -236,30 +241,35 @@
     }
 }
 
-/// Returns the program's own engines that serve the target.
-fn own(registry: &Registry, ask: &RouteAsk, all: &[EndpointKey]) -> Vec<EndpointKey> {
-    let Target::Model(model) = &ask.target else { return Vec::new() };
-    let keys = ask.last.iter().filter_map(|run| registry.key(&run.endpoint));
+/// Returns the engines that ran the program before and serve the target.
+fn previous_engines(
+    registry: &Registry,
+    request: &RouteRequest,
+    all: &[EndpointKey],
+) -> Vec<EndpointKey> {
+    let Target::Model(model) = &request.target else { return Vec::new() };
+    let keys = request.last_runs.iter().filter_map(|run| registry.key(&run.endpoint));
     if all.is_empty() {
         return Vec::new();
     }
     keys.filter(|key| serves(registry, *key, model)).collect()
 }
 
-/// Returns the engines that hold a start of the prompt. A draw from many engines would miss them, and
-/// the whole history would be read again at another.
-fn holders(registry: &Registry, ask: &RouteAsk) -> Vec<EndpointKey> {
-    let Target::Model(model) = &ask.target else { return Vec::new() };
-    // The longest starts come last, and save most.
-    let starts = ask.shared.iter().rev().take(MOST_STARTS);
-    let held = starts.flat_map(|start| registry.holders(start.hash)).copied();
-    let mut keys: Vec<EndpointKey> = held.filter(|key| serves(registry, *key, model)).collect();
+/// Returns the engines that hold a prefix of the prompt. A sample of many engines would miss most
+/// of them, and the whole prompt would be prefilled again.
+fn prefix_holders(registry: &Registry, request: &RouteRequest) -> Vec<EndpointKey> {
+    let Target::Model(model) = &request.target else { return Vec::new() };
+    // The longest prefixes come last and save most of the prefill.
+    let starts = request.shared_prefixes.iter().rev().take(MAX_PREFIXES);
+    let endpoints = starts.flat_map(|start| registry.prefix_holders(start.hash)).copied();
+    let mut keys: Vec<EndpointKey> =
+        endpoints.filter(|key| serves(registry, *key, model)).collect();
     keys.sort_unstable();
     keys.dedup();
     keys
 }
 
-/// Tells whether an endpoint is an engine that has loaded the model.
+/// Returns true for an engine that has loaded the model.
 fn serves(registry: &Registry, key: EndpointKey, model: &ModelId) -> bool {
     registry.get(key).is_some_and(|endpoint| endpoint.kind.serves(model))
 }
@@ -268,40 +278,45 @@
 fn usable(
     now: Time,
     registry: &Registry,
-    ask: &RouteAsk,
+    request: &RouteRequest,
     key: EndpointKey,
-    ramp: Ramp,
+    slow_start: SlowStart,
     mechanisms: Mechanisms,
 ) -> bool {
-    if !registry.open(now, key) {
+    if !registry.is_available(now, key) {
         return false;
     }
     let Some(endpoint) = registry.get(key) else { return false };
     if endpoint.isolated() {
         return false;
     }
-    if mechanisms.has(Mechanism::Ejection) && endpoint.health.ejected(now) {
+    if mechanisms.has(Mechanism::Ejection) && endpoint.health.is_ejected(now) {
         return false;
     }
-    if ask.excluded.contains(&endpoint.name) {
+    if request.excluded.contains(&endpoint.name) {
         return false;
     }
     let load = endpoint.load(now);
-    if ask.isolate {
+    if request.isolate {
         return load.total == 0;
     }
-    let share = endpoint.health.share(now, &registry.settings().health);
-    let most = (f64::from(endpoint.kind.slots()) * share).ceil();
-    ramp == Ramp::Ignored || share >= 1.0 || f64::from(load.own) < most
+    let slot_share = endpoint.health.slot_share(now, &registry.settings().health);
+    let max_calls = (f64::from(endpoint.kind.slots()) * slot_share).ceil();
+    slow_start == SlowStart::Ignored || slot_share >= 1.0 || f64::from(load.own) < max_calls
 }
 
-fn refusal(now: Time, registry: &Registry, ask: &RouteAsk, all: &[EndpointKey]) -> RouteError {
-    let target = match &ask.target {
+fn no_endpoint(
+    now: Time,
+    registry: &Registry,
+    request: &RouteRequest,
+    all: &[EndpointKey],
+) -> RouteError {
+    let target = match &request.target {
         Target::Model(model) => compact_str::format_compact!("{} {}", model.model, model.version),
         Target::Service(name) => name.clone(),
     };
-    if all.iter().any(|key| registry.open(now, *key)) {
-        return RouteError::NoneFree { target, retry_after: RETRY_AFTER };
+    if all.iter().any(|key| registry.is_available(now, *key)) {
+        return RouteError::NoneAvailable { target, retry_after: RETRY_AFTER };
     }
     RouteError::NoEndpoint { target, retry_after: RETRY_AFTER }
 }
--- a/crates/core/src/program/deadlines.rs
+++ b/crates/core/src/program/deadlines.rs
@@ -1,4 +1,5 @@
-//! What time and departures bring about: deadlines, idle ends, lost grants, releases, retention.
+//! Reactions to time, lost VMs and lost endpoints: deadlines, idle ends, lost dispatches, releases
+//! and retention.
 
 use std::collections::HashMap;
 
@@ -14,16 +15,16 @@
 use crate::wire::program::{EndReason, Refusal};
 
 impl Sequencer {
-    /// Does what is due by now.
+    /// Handles everything that is due at `now`.
     pub(super) fn tick(&mut self, now: Time, out: &mut Vec<Effect>) {
-        let Some(lead) = self.lead else { return };
+        let Some(lead) = self.leader_state else { return };
         let now_ms = self.now_ms(now);
-        for ticket in self.parking.take_due(now_ms) {
+        for waiter in self.parked.take_expired(now_ms) {
             let detail = "the caller's deadline passed while the request waited for its turn";
-            let reply = self.give_up(&ticket, Refusal::DeadlinePassed, detail);
-            out.push(Effect::Reply { token: ticket.token, reply });
+            let reply = self.final_reply(&waiter, Refusal::DeadlinePassed, detail);
+            out.push(Effect::Reply { token: waiter.token, reply });
         }
-        self.withdraw_late(now, out);
+        self.withdraw_expired(now, out);
         if now_ms < self.scanned_ms.saturating_add(self.settings.scan_ms) {
             return;
         }
@@ -31,37 +32,36 @@
         if !lead.ready {
             return self.renew_barrier(now, out);
         }
-        if self.chores.is_empty() {
+        if self.maintenance.is_empty() {
             self.propose_due(now, out);
         }
         self.close_escrows(now, out);
         self.release_ended(now, out);
     }
 
-    /// Takes every dispatch of a dead entry VM for lost.
+    /// Proposes every dispatch of a dead entry VM as lost and refuses its waiting requests.
     ///
-    /// Its requests that still wait get no grant: nobody would be there to use it, and the program
-    /// would stand still until it expires.
+    /// A grant to a dead VM would block its program until the grant expires.
     pub(super) fn vm_gone(&mut self, now: Time, vm: VmId, out: &mut Vec<Effect>) {
-        for ticket in self.parking.take_from(vm) {
-            let detail = "the VM that asked was declared dead";
-            let reply = self.give_up(&ticket, Refusal::DeadlinePassed, detail);
-            out.push(Effect::Reply { token: ticket.token, reply });
+        for waiter in self.parked.take_from(vm) {
+            let detail = "the VM that sent the request was declared dead";
+            let reply = self.final_reply(&waiter, Refusal::DeadlinePassed, detail);
+            out.push(Effect::Reply { token: waiter.token, reply });
         }
         self.withdraw_from(vm, out);
-        self.early_lost(vm);
-        match self.lead {
-            Some(lead) if lead.ready => self.lose_held(now, vm, out),
-            Some(_) => self.gone.push(vm),
+        self.mark_early_lost(vm);
+        match self.leader_state {
+            Some(lead) if lead.ready => self.propose_holder_lost(now, vm, out),
+            Some(_) => self.dead_vms.push(vm),
             None => {}
         }
     }
 
-    pub(super) fn lose_held(&mut self, now: Time, vm: VmId, out: &mut Vec<Effect>) {
+    pub(super) fn propose_holder_lost(&mut self, now: Time, vm: VmId, out: &mut Vec<Effect>) {
         self.propose_lost(now, |attempt| attempt.holder == vm, out);
     }
 
-    /// Forgets an endpoint that holds nothing any more.
+    /// Proposes to remove an endpoint that holds no memory of any program any more.
     pub(super) fn endpoint_gone(
         &mut self,
         now: Time,
@@ -69,13 +69,13 @@
         out: &mut Vec<Effect>,
     ) {
         let held = self.state.programs.values().any(|p| p.endpoints.contains(&endpoint));
-        if self.lead.is_some() && held {
+        if self.leader_state.is_some() && held {
             let freed = wire::Freed { program: None, endpoint: endpoint.to_string() };
-            self.propose_chore(now, Body::Freed(freed), out);
+            self.propose_maintenance(now, Body::Freed(freed), out);
         }
     }
 
-    /// Takes a bundle revision into force and lifts what it lifts.
+    /// Adopts a bundle revision and proposes the quarantines that it lifts.
     pub(super) fn configure(
         &mut self,
         now: Time,
@@ -84,31 +84,33 @@
         out: &mut Vec<Effect>,
     ) {
         self.revision = self.revision.max(revision);
-        self.lifted = lifted;
-        if self.lead.is_some_and(|lead| lead.ready) {
+        self.lifted_digests = lifted;
+        if self.leader_state.is_some_and(|lead| lead.ready) {
             self.propose_lift(now, out);
         }
     }
 
-    /// Lifts what the revision in force lifts, once for each revision.
+    /// Proposes the quarantines that the current revision lifts, once for each revision.
     pub(super) fn propose_lift(&mut self, now: Time, out: &mut Vec<Effect>) {
         let revision = self.revision.0;
-        if revision > self.state.lifted && !self.lifted.is_empty() {
-            let entry = wire::Lifted { revision, digests: self.lifted.clone() };
-            self.propose_chore(now, Body::Lifted(entry), out);
+        if revision > self.state.lifted_revision && !self.lifted_digests.is_empty() {
+            let entry = wire::Lifted { revision, digests: self.lifted_digests.clone() };
+            self.propose_maintenance(now, Body::Lifted(entry), out);
         }
     }
 
-    /// Takes over what other groups found, but for digests that the bundle in force lifts.
+    /// Proposes the scores of other groups, except for digests that the current bundle lifts.
     pub(super) fn import_scores(
         &mut self,
         now: Time,
         mut scores: Vec<wire::Score>,
         out: &mut Vec<Effect>,
     ) {
-        scores.retain(|score| !self.lifted.contains(&score.digest) && self.state.is_news(score));
-        if self.lead.is_some() && !scores.is_empty() {
-            self.propose_chore(now, Body::Scores(wire::Scores { scores }), out);
+        scores.retain(|score| {
+            !self.lifted_digests.contains(&score.digest) && self.state.raises_score(score)
+        });
+        if self.leader_state.is_some() && !scores.is_empty() {
+            self.propose_maintenance(now, Body::Scores(wire::Scores { scores }), out);
         }
     }
 
@@ -116,17 +118,17 @@
         let now_ms = self.now_ms(now);
         self.propose_lost(now, |attempt| attempt.expires_ms <= now_ms, out);
         for (key, reason) in self.state.due_programs(now_ms, self.settings.idle_ms) {
-            let program = Some(self.state.programs[key].name.to_ref());
+            let program = Some(self.state.programs[key].name.to_wire());
             let end = wire::End { program, reason: reason.into() };
-            self.propose_chore(now, Body::End(end), out);
+            self.propose_maintenance(now, Body::End(end), out);
         }
         let ended_ms = now_ms.saturating_sub(self.settings.retain_ms);
-        let forgettable = self.state.programs.values().any(|p| p.is_forgettable(ended_ms));
+        let removable = self.state.programs.values().any(|p| p.is_removable(ended_ms));
         let stale = now_ms >= self.state.clock_ms().saturating_add(self.settings.clock_ms);
         let alive = self.state.programs.values().any(|p| p.ended.is_none());
-        if forgettable || (stale && alive) {
+        if removable || (stale && alive) {
             let scored_ms = now_ms.saturating_sub(self.settings.suspect_ms);
-            self.propose_chore(now, Body::Sweep(wire::Sweep { ended_ms, scored_ms }), out);
+            self.propose_maintenance(now, Body::Sweep(wire::Sweep { ended_ms, scored_ms }), out);
         }
     }
 
@@ -139,7 +141,7 @@
         let lost = self.state.running_attempts().filter(|(_, attempt)| is_lost(attempt));
         let mut dispatches: Vec<wire::DispatchRef> = lost
             .map(|(call, _)| wire::DispatchRef {
-                program: Some(self.state.programs[call.program].name.to_ref()),
+                program: Some(self.state.programs[call.program].name.to_wire()),
                 dispatch: call.dispatch.to_string(),
             })
             .collect();
@@ -147,15 +149,14 @@
             return;
         }
         dispatches.sort_by(|a, b| a.dispatch.cmp(&b.dispatch));
-        self.propose_chore(now, Body::Lost(wire::Lost { dispatches }), out);
+        self.propose_maintenance(now, Body::Lost(wire::Lost { dispatches }), out);
     }
 
-    /// Sends the releases and cancels of ended programs that are due.
+    /// Sends the releases and cancellations of ended programs that are due.
     ///
-    /// A release is fire and forget on a link that loses messages: one that is sent once and lost
-    /// leaves an engine holding memory for good. So each is repeated until its confirmation is
-    /// committed or the endpoint is gone. None is sent while a dispatch still runs: the engine
-    /// could fill memory again after it freed it, and the confirmation would hide that.
+    /// Messages can be lost, so each release is repeated until its confirmation is committed or
+    /// the endpoint is gone; otherwise an engine might keep the memory for ever. None is sent
+    /// while a dispatch runs, because the engine could fill the memory again after freeing it.
     pub(super) fn release_ended(&mut self, now: Time, out: &mut Vec<Effect>) {
         let now_ms = self.now_ms(now);
         let mut running: Vec<ProgramKey> = self.state.cancelling.iter().copied().collect();
@@ -163,10 +164,10 @@
         let mut idle: Vec<ProgramKey> = self.state.releasing.iter().copied().collect();
         idle.retain(|key| self.state.programs[*key].running.is_empty());
         idle.sort();
-        for key in self.cancelled.due(&running, now_ms, &self.settings) {
+        for key in self.cancel_timers.due(&running, now_ms, &self.settings) {
             self.emit_cancels(key, out);
         }
-        for key in self.released.due(&idle, now_ms, &self.settings) {
+        for key in self.release_timers.due(&idle, now_ms, &self.settings) {
             self.state.programs[key].emit_releases(out);
         }
     }
@@ -182,14 +183,16 @@
     }
 }
 
-/// When something was last sent for each program that still needs it.
+/// Group time of the last message sent for each program, for repeating unconfirmed messages.
 #[derive(Debug, Default)]
-pub(super) struct Repeats {
+pub(super) struct ResendTimers {
     sent: HashMap<ProgramKey, u64>,
 }
 
-impl Repeats {
-    /// Returns the programs among `wanted`, which is sorted, for which it is time to send again.
+impl ResendTimers {
+    /// Returns the programs in `wanted` that are due for a message and marks it as sent.
+    ///
+    /// `wanted` must be sorted; programs that are not in it are removed.
     fn due(&mut self, wanted: &[ProgramKey], now_ms: u64, settings: &Settings) -> Vec<ProgramKey> {
         self.sent.retain(|key, _| wanted.binary_search(key).is_ok());
         let is_due = |sent: Option<&u64>| match sent {
@@ -213,7 +216,7 @@
 impl Program {
     fn emit_releases(&self, out: &mut Vec<Effect>) {
         for endpoint in &self.endpoints {
-            let program = Some(self.name.to_ref());
+            let program = Some(self.name.to_wire());
             let release = wire::Release { program, endpoint: endpoint.to_string() };
             out.push(Effect::Release { release });
         }
@@ -221,7 +224,7 @@
 }
 
 impl State {
-    /// Returns the open attempts that may be running.
+    /// Returns all running calls with their attempts.
     pub(super) fn running_attempts(&self) -> impl Iterator<Item = (&Call, &Attempt)> {
         let running = self.programs.values().flat_map(|program| program.running.iter());
         running.filter_map(|key| match &self.calls[*key] {
@@ -230,7 +233,7 @@
         })
     }
 
-    /// Returns live programs that ran into their time limit or have been idle for too long.
+    /// Returns the live programs to end because of their time limit or their idle time.
     fn due_programs(&self, now_ms: u64, idle_ms: u64) -> Vec<(ProgramKey, EndReason)> {
         let live = self.programs.iter().filter(|(_, program)| program.ended.is_none());
         let due = live.filter_map(|(key, program)| {
@@ -249,8 +252,8 @@
         due.collect()
     }
 
-    /// Tells whether another group's score adds to what is known here.
-    fn is_news(&self, score: &wire::Score) -> bool {
+    /// Returns whether another group's score would raise the one in this state.
+    fn raises_score(&self, score: &wire::Score) -> bool {
         let Some(digest) = super::quarantine::read_digest(&score.digest) else { return false };
         let known = self.scores.get(&digest);
         score.blame > known.blame
--- a/crates/core/src/turns/copies.rs
+++ b/crates/core/src/turns/copies.rs
@@ -1,83 +1,87 @@
-//! Which texts must be copied to other stores, so that the losses to be borne stay bearable.
+//! Planning of text copies, which restore the redundancy of texts after a store is lost or retires.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::holders::preferred;
+use super::holders::preferred_stores;
 use super::state::Turns;
 use super::tree::{Holding, Turn};
 use crate::prelude::*;
 use crate::replication::repair::StoreInfo;
 
-/// What the turn group's leader knows of the stores.
+/// State of the stores as known to the turn group's leader.
 #[derive(Clone, Debug, Default)]
 pub struct CopySurvey {
-    /// Stores that can be read from, those that are to be emptied included.
+    /// Stores that texts can be read from, including those that are retiring.
     pub alive: Vec<StoreInfo>,
-    /// Stores that each text should be on.
+    /// Number of stores that should hold each text.
     pub copies: usize,
-    /// Stores that lately took no text: another one of their region is chosen where there is one.
+    /// Stores that recently failed to take texts. Others in the same region are preferred.
     pub failing: BTreeSet<VmId>,
-    /// Turns whose texts lately could not be copied. Planned again each time, they would keep out those
-    /// that can.
-    pub put_off: BTreeSet<CompactString>,
+    /// Turns whose texts recently couldn't be copied. They are skipped, so that they don't delay
+    /// other copies.
+    pub deferred: BTreeSet<CompactString>,
 }
 
-/// A number of texts, and their length.
+/// Number and total length of a set of texts, also used as a limit of both.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Portion {
-    /// Texts.
+pub struct BatchSize {
+    /// Number of texts.
     pub texts: usize,
-    /// Bytes of them all.
+    /// Total length of the texts, in bytes.
     pub bytes: u64,
 }
 
-impl Portion {
+impl BatchSize {
     fn add(&mut self, bytes: u64) {
         self.texts += 1;
         self.bytes = self.bytes.saturating_add(bytes);
     }
 
-    /// Tells whether no further text should be added. One text may be longer than the most bytes.
-    fn is_over(&self, most: Portion) -> bool {
-        self.texts >= most.texts || self.bytes >= most.bytes
+    /// Returns `true` if no further text should be added. The last text may exceed the limit.
+    fn reaches(&self, limit: BatchSize) -> bool {
+        self.texts >= limit.texts || self.bytes >= limit.bytes
     }
 }
 
-/// Limits of a plan.
+/// Limits of the texts in one plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// For a store that fetches from its own region.
-    pub near: Portion,
-    /// For a store that fetches from another region: the link between them is narrow, and a newcomer in
-    /// the texts' own region takes the rest.
-    pub abroad: Portion,
+    /// Limit for a store that fetches from its own region.
+    pub same_region: BatchSize,
+    /// Limit for a store that fetches from another region, over a link with little bandwidth.
+    pub cross_region: BatchSize,
 }
 
 /// Texts that one store should fetch from others.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Transfer {
-    /// The store that fetches.
+    /// Store that fetches the texts.
     pub target: VmId,
-    /// Stores that have the texts, those of the target's region first.
+    /// Stores that hold the texts, those in the target's region first.
     pub sources: Vec<VmId>,
-    /// True when none of them is in the target's region.
-    pub abroad: bool,
-    /// The texts, with the holders that they have once they are copied.
+    /// Whether no source is in the target's region.
+    pub cross_region: bool,
+    /// Texts to fetch, with their holders after the transfer.
     pub turns: Vec<Holding>,
 }
 
 impl Transfer {
-    /// Returns the same in parts of at most `most` each, but at least one text.
-    pub fn split(self, most: Portion) -> Vec<Transfer> {
+    /// Splits the transfer into parts within `limit`, each with at least one text.
+    pub fn split(self, limit: BatchSize) -> Vec<Transfer> {
         let mut parts: Vec<Transfer> = Vec::new();
-        let mut sum = Portion::default();
+        let mut sum = BatchSize::default();
         for holding in self.turns {
             let first = parts.is_empty();
-            let full = sum.is_over(most) || sum.bytes.saturating_add(holding.bytes) > most.bytes;
+            let full = sum.reaches(limit) || sum.bytes.saturating_add(holding.bytes) > limit.bytes;
             if first || full {
                 let (target, sources) = (self.target, self.sources.clone());
-                parts.push(Transfer { target, sources, abroad: self.abroad, turns: Vec::new() });
-                sum = Portion::default();
+                parts.push(Transfer {
+                    target,
+                    sources,
+                    cross_region: self.cross_region,
+                    turns: Vec::new(),
+                });
+                sum = BatchSize::default();
             }
             sum.add(holding.bytes);
             parts.last_mut().expect("pushed before").turns.push(holding);
@@ -87,46 +91,48 @@
 }
 
 impl Turns {
-    /// Returns what to copy next, at most `most` to each store.
+    /// Plans the next transfers, within `limits` for each target.
     ///
-    /// Texts that lost the same holders go to the same store, so that a conversation's stay together.
-    /// A text of which no holder can be read is left out.
+    /// Texts with the same remaining holders get the same target, so that the texts of a
+    /// conversation stay together. Texts without a readable holder are skipped.
     pub fn plan_copies(&self, survey: &CopySurvey, limits: &Limits) -> Vec<Transfer> {
         let wanted = survey.copies.min(survey.serving().count());
         let mut plans: BTreeMap<BTreeSet<VmId>, Option<Transfer>> = BTreeMap::new();
-        let mut taken: BTreeMap<VmId, Portion> = BTreeMap::new();
-        for (id, turn) in self.lacking_copies(survey, wanted) {
-            if survey.put_off.contains(id) {
+        let mut taken: BTreeMap<VmId, BatchSize> = BTreeMap::new();
+        for (id, turn) in self.under_replicated(survey, wanted) {
+            if survey.deferred.contains(id) {
                 continue;
             }
-            let left: BTreeSet<VmId> =
-                turn.holders.iter().copied().filter(|vm| survey.reads(*vm)).collect();
-            let plan = plans.entry(left).or_insert_with_key(|left| survey.plan(left));
+            let remaining: BTreeSet<VmId> =
+                turn.holders.iter().copied().filter(|vm| survey.is_readable(*vm)).collect();
+            let plan =
+                plans.entry(remaining).or_insert_with_key(|remaining| survey.plan(remaining));
             let Some(copy) = plan else { continue };
             let sum = taken.entry(copy.target).or_default();
-            if sum.is_over(if copy.abroad { limits.abroad } else { limits.near }) {
+            if sum.reaches(if copy.cross_region { limits.cross_region } else { limits.same_region })
+            {
                 continue;
             }
             sum.add(turn.bytes);
             let mut holding = turn.holding(id);
-            holding.holders.retain(|vm| survey.serves(*vm));
+            holding.holders.retain(|vm| survey.is_serving(*vm));
             holding.holders.push(copy.target);
             copy.turns.push(holding);
         }
         plans.into_values().flatten().filter(|copy| !copy.turns.is_empty()).collect()
     }
 
-    /// Returns the holders of texts that are on too few stores; none of them may be taken away.
+    /// Returns the holders of texts that are on too few stores. None of them may be removed.
     ///
-    /// Where fewer stores serve than each text should be on, the others may only be silent, and every
-    /// text counts.
-    pub fn relied_on(&self, survey: &CopySurvey) -> BTreeSet<VmId> {
-        let lacking = self.lacking_copies(survey, survey.copies);
-        lacking.flat_map(|(_, turn)| turn.holders.iter().copied()).collect()
+    /// If fewer stores are available than should hold each text, these are the holders of all
+    /// texts, since the missing stores may come back.
+    pub fn required_holders(&self, survey: &CopySurvey) -> BTreeSet<VmId> {
+        let under_replicated = self.under_replicated(survey, survey.copies);
+        under_replicated.flat_map(|(_, turn)| turn.holders.iter().copied()).collect()
     }
 
     /// Returns the turns whose texts are on fewer than `wanted` stores.
-    fn lacking_copies(
+    fn under_replicated(
         &self,
         survey: &CopySurvey,
         wanted: usize,
@@ -144,11 +150,11 @@
         self.alive.iter().filter(|store| !store.retiring)
     }
 
-    fn serves(&self, vm: VmId) -> bool {
+    fn is_serving(&self, vm: VmId) -> bool {
         self.serving().any(|store| store.vm == vm)
     }
 
-    fn reads(&self, vm: VmId) -> bool {
+    fn is_readable(&self, vm: VmId) -> bool {
         self.find(vm).is_some()
     }
 
@@ -156,38 +162,41 @@
         self.alive.iter().find(|store| store.vm == vm)
     }
 
-    /// Returns how the texts that are left on these stores are copied, without any text yet.
-    fn plan(&self, left: &BTreeSet<VmId>) -> Option<Transfer> {
-        let target = self.target(left)?;
-        let far = |vm: &VmId| self.find(*vm).is_none_or(|store| store.region != target.region);
-        let mut sources: Vec<VmId> = left.iter().copied().collect();
-        sources.sort_by_key(far);
-        let abroad = sources.iter().all(far);
-        Some(Transfer { target: target.vm, sources, abroad, turns: Vec::new() })
+    /// Returns a transfer without texts for those whose `remaining` holders are these, or `None` if
+    /// there is no target.
+    fn plan(&self, remaining: &BTreeSet<VmId>) -> Option<Transfer> {
+        let target = self.choose_target(remaining)?;
+        let other_region =
+            |vm: &VmId| self.find(*vm).is_none_or(|store| store.region != target.region);
+        let mut sources: Vec<VmId> = remaining.iter().copied().collect();
+        sources.sort_by_key(other_region);
+        let cross_region = sources.iter().all(other_region);
+        Some(Transfer { target: target.vm, sources, cross_region, turns: Vec::new() })
     }
 
-    /// Returns the store that takes the place of a lost holder: in the region of those that are left, and
-    /// in a failure domain of its own where there is one.
-    fn target(&self, left: &BTreeSet<VmId>) -> Option<&StoreInfo> {
-        let region = self.region(left)?;
-        let key: String = left.iter().map(|vm| format!("{}/", vm.0)).collect();
-        let order = preferred(&key, region, &self.alive);
-        let free = order.into_iter().filter(|vm| !left.contains(vm));
+    /// Chooses the store that replaces a lost holder, preferably in the main region of the
+    /// remaining ones and in a failure domain of its own.
+    fn choose_target(&self, remaining: &BTreeSet<VmId>) -> Option<&StoreInfo> {
+        let region = self.main_region(remaining)?;
+        let key: String = remaining.iter().map(|vm| format!("{}/", vm.0)).collect();
+        let order = preferred_stores(&key, region, &self.alive);
+        let free = order.into_iter().filter(|vm| !remaining.contains(vm));
         let domain_of = |vm: &VmId| self.serving().find(|store| store.vm == *vm);
         let domains: Vec<&CompactString> =
-            left.iter().filter_map(domain_of).map(|store| &store.domain).collect();
+            remaining.iter().filter_map(domain_of).map(|store| &store.domain).collect();
         free.filter_map(|vm| self.find(vm)).min_by_key(|store| {
             let shared = domains.contains(&&store.domain);
             (store.region != *region, self.failing.contains(&store.vm), shared)
         })
     }
 
-    /// Returns the region with most of these stores; of two alike, the one with more others.
-    fn region(&self, left: &BTreeSet<VmId>) -> Option<&CompactString> {
-        let regions = left.iter().filter_map(|vm| self.find(*vm)).map(|store| &store.region);
+    /// Returns the region with most of the remaining holders, or among equals the one with more
+    /// stores.
+    fn main_region(&self, remaining: &BTreeSet<VmId>) -> Option<&CompactString> {
+        let regions = remaining.iter().filter_map(|vm| self.find(*vm)).map(|store| &store.region);
         regions.max_by_key(|region| {
             let here = self.alive.iter().filter(|store| store.region == **region);
-            let held = here.clone().filter(|store| left.contains(&store.vm)).count();
+            let held = here.clone().filter(|store| remaining.contains(&store.vm)).count();
             (held, here.count(), *region)
         })
     }
--- /dev/null
+++ b/crates/gypsumglade/src/gateway/buffered.rs
@@ -0,0 +1,67 @@
+//! Requests whose answer is read completely before it is passed on.
+
+use std::sync::Arc;
+
+use bytes::Bytes;
+use http::Response;
+use http_body_util::{BodyExt as _, Limited};
+
+use super::attempt::{Attempts, EndpointAnswer, send_until_answered};
+use super::call::{Answer, Call, full_body};
+use super::dialect::Refusal;
+use super::headers::{forwarded_headers, is_encoded};
+use super::state::GatewayState;
+
+/// Largest answer that is buffered.
+const MAX_ANSWER_BYTES: usize = 4 << 20;
+
+/// Sends a request and returns the endpoint's complete answer.
+///
+/// The caller gets nothing before the answer has been read to its end, so an incomplete answer can
+/// still lead to a retry or an error and is never taken for a success.
+pub(super) async fn answer(state: &Arc<GatewayState>, call: &Call) -> Result<Answer, Refusal> {
+    let mut attempts = Attempts::default();
+    loop {
+        let answer = send_until_answered(state, call, &call.body, None, &mut attempts).await?;
+        attempts.runs += 1;
+        if let Some(answer) = read_to_end(state, call, answer).await? {
+            return Ok(answer);
+        }
+        if !attempts.may_retry(call) {
+            return Err(Refusal::Lost);
+        }
+    }
+}
+
+/// Reads an answer to its end. Returns `None` if it is incomplete, too large or has a content
+/// encoding.
+pub(super) async fn read_to_end(
+    state: &GatewayState,
+    call: &Call,
+    answer: EndpointAnswer,
+) -> Result<Option<Answer>, Refusal> {
+    let EndpointAnswer { response, head, connection, dispatch } = answer;
+    let (parts, body) = response.into_parts();
+    let reading = Limited::new(body, MAX_ANSWER_BYTES).collect();
+    let read = tokio::time::timeout(call.time_left(), reading).await;
+    let read = read.map_err(|_| Refusal::TimedOut)?;
+    let (Ok(collected), false) = (read, is_encoded(&parts)) else {
+        dispatch.failed();
+        return Ok(None);
+    };
+    dispatch.finished();
+    state.connections.put_back(connection, &head);
+    Ok(Some(into_answer(parts, collected.to_bytes())))
+}
+
+fn into_answer(parts: http::response::Parts, body: Bytes) -> Answer {
+    let mut answer = Response::new(full_body(body));
+    *answer.status_mut() = parts.status;
+    *answer.headers_mut() = forwarded_headers(&parts.headers);
+    answer
+}
+
+/// Returns the caller's answer to a request that no endpoint has answered.
+pub(super) fn refusal_answer(state: &GatewayState, refusal: Refusal) -> Answer {
+    state.dialect.refuse(&refusal).map(full_body)
+}
--- a/crates/gypsumglade/src/gateway/state.rs
+++ b/crates/gypsumglade/src/gateway/state.rs
@@ -1,22 +1,22 @@
-//! What all tasks of a gateway share.
+//! State shared by all tasks of a gateway.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard};
 
-use gypsumglade_core::policy::batch::{BatchFit, FillFit};
-use gypsumglade_core::policy::overload::PoolPace;
-use gypsumglade_core::policy::patience::AnswerTime;
+use gypsumglade_core::policy::attempt_timeout::ResponseTime;
+use gypsumglade_core::policy::batch::{BatchFit, PrefillFit};
+use gypsumglade_core::policy::overload::PoolSlowdown;
 use gypsumglade_core::policy::registry::Registry;
 use gypsumglade_core::policy::route::{Place, Router};
-use gypsumglade_core::policy::stall::StallWatch;
+use gypsumglade_core::policy::stall::StallDetector;
 use gypsumglade_core::prelude::*;
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-use super::channels::Channels;
+use super::connections::ConnectionPool;
 use super::dialect::Dialect;
 use super::history_cache::HistoryCache;
-use super::settling::Settling;
+use super::settlement_queue::SettlementQueue;
 use super::text_client::TextClient;
 use super::turn_client::TurnClient;
 use crate::clock::Clock;
@@ -26,7 +26,7 @@
 use crate::rpc::PeerClients;
 use crate::settings::Settings;
 
-/// One gateway.
+/// Settings, clients and routing state of one gateway.
 pub(super) struct GatewayState {
     pub(super) vm: VmId,
     pub(super) settings: Settings,
@@ -36,53 +36,53 @@
     pub(super) peers: PeerClients,
     pub(super) config: ConfigView,
     pub(super) dialect: Arc<dyn Dialect>,
-    pub(super) channels: Channels,
+    pub(super) connections: ConnectionPool,
     pub(super) turns: TurnClient,
-    /// Settlements that nobody waits for.
-    pub(super) settling: Settling,
+    /// Settlements that run in the background.
+    pub(super) settlements: SettlementQueue,
     pub(super) texts: TextClient,
     pub(super) histories: HistoryCache,
     pub(super) metrics: Metrics,
     pub(super) log: slog::Logger,
-    /// Cancelled when a planned stop begins.
+    /// Cancelled at the start of a planned stop.
     pub(super) stop: CancellationToken,
-    /// Connections and relays under way, which a planned stop waits for.
+    /// Open connections and running relays; a planned stop waits for them.
     pub(super) tasks: TaskTracker,
-    pub(super) desk: Mutex<Desk>,
+    pub(super) routing: Mutex<RoutingState>,
 }
 
-/// The routing decisions' state, behind one lock that is never held across a wait.
-pub(super) struct Desk {
+/// State of the routing decisions, behind one lock that is never held across an await.
+pub(super) struct RoutingState {
     pub(super) registry: Registry,
     pub(super) router: Router,
-    /// How fast each pool's engines are.
-    pub(super) speeds: HashMap<CompactString, Speed>,
-    /// How long each route's answers take.
-    pub(super) answers: HashMap<CompactString, AnswerTime>,
-    pub(super) watch: StallWatch,
+    /// Engine speed by pool.
+    pub(super) speeds: HashMap<CompactString, PoolSpeed>,
+    /// Answer time by route.
+    pub(super) answer_times: HashMap<CompactString, ResponseTime>,
+    pub(super) stall_watch: StallDetector,
 }
 
-/// How fast a pool's engines are, as this VM's streams show it.
+/// Speed of a pool's engines, estimated from the streams of this VM.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Speed {
-    /// Generating now, against idle.
-    pub(super) pace: PoolPace,
-    /// Generating, by what runs on one engine.
-    pub(super) batch: BatchFit,
-    /// Reading prompts.
-    pub(super) fill: FillFit,
+pub(super) struct PoolSpeed {
+    /// Current time between events, relative to idle engines.
+    pub(super) pace: PoolSlowdown,
+    /// Time per generated token, by the number of requests on the engine.
+    pub(super) decode: BatchFit,
+    /// Time per prompt token.
+    pub(super) prefill: PrefillFit,
 }
 
 impl GatewayState {
-    pub(super) fn desk(&self) -> MutexGuard<'_, Desk> {
-        self.desk.lock().expect("no panic while held")
+    pub(super) fn routing(&self) -> MutexGuard<'_, RoutingState> {
+        self.routing.lock().expect("no panic while held")
     }
 
-    /// Tells whether this VM should get callers: it knows its routes and some endpoint, and does
-    /// not stop.
+    /// Returns whether the balancer should send callers here: a bundle is in force, at least one
+    /// endpoint is known and no stop has begun.
     pub(super) fn is_ready(&self) -> bool {
         let configured = self.config.active(self.clock.now()).is_ok();
-        let served = self.desk().registry.iter().next().is_some();
+        let served = self.routing().registry.iter().next().is_some();
         configured && served && !self.stop.is_cancelled()
     }
 }
--- a/crates/gypsumglade/src/gateway/turn_client.rs
+++ b/crates/gypsumglade/src/gateway/turn_client.rs
@@ -1,9 +1,11 @@
-//! Asks the turn group on behalf of this process.
+//! Client of the turn group.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
 
-use gypsumglade_core::policy::group_health::{Admission, Ask, Change, End, GroupHealth, Need};
+use gypsumglade_core::policy::group_health::{
+    Decision, GroupHealth, HealthChange, RequestEnd, RequestId, WaitRequest,
+};
 use gypsumglade_core::prelude::*;
 use gypsumglade_core::wire::turn::command::Body as CommandBody;
 use gypsumglade_core::wire::turn::reply::Body as ReplyBody;
@@ -16,17 +18,16 @@
 use crate::directory::Directory;
 use crate::rpc::{Method, PeerClients};
 
-/// Longest wait for one store: a commit takes two round trips between regions and two syncs, some
-/// 50 ms; a store that is silent for ten times that is passed over.
+/// Time limit of a call to one store, several times the duration of a commit across regions.
 const CALL_TIMEOUT: Duration = Duration::from_millis(500);
-/// Wait for the leader's answer before other stores are asked whether they lead.
-const SLOW_ANSWER: Duration = Duration::from_millis(150);
-/// Pause before a leader is asked again that gave no answer.
-const PAUSE: Duration = Duration::from_millis(25);
-/// The longest it grows to.
-const LONGEST_PAUSE: Duration = Duration::from_millis(400);
-
-/// A client of the turn group; clones share what they learn.
+/// How long the leader may take before a search for another leader starts.
+const SEARCH_DELAY: Duration = Duration::from_millis(150);
+/// Delay before the first retry after a failed call; it doubles with each.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(25);
+/// Longest delay between retries.
+const MAX_BACKOFF: Duration = Duration::from_millis(400);
+
+/// Sends commands to the leader of the turn group. Clones share their state.
 #[derive(Clone)]
 pub(super) struct TurnClient {
     shared: Arc<Shared>,
@@ -41,20 +42,20 @@
     search: LeaderSearch,
 }
 
-/// Leave to ask the group, for a caller that may be refused.
-pub(super) struct Ticket {
-    asking: Asking,
-    /// Longest wait for the answer.
-    pub(super) patience: Duration,
+/// Permission to send one command; see [`TurnClient::admit`].
+pub(super) struct AskPermit {
+    guard: AskGuard,
+    /// Time limit for the answer.
+    pub(super) timeout: Duration,
 }
 
-/// What one try at the leader gave.
-enum Try {
+/// Result of one call to the believed leader.
+enum AskOutcome {
     Answered(ReplyBody),
-    /// It may have been handled all the same.
+    /// No usable answer; the command may have been executed.
     Failed,
-    /// Another store leads.
-    Moved,
+    /// A different store turned out to lead.
+    LeaderChanged,
 }
 
 impl TurnClient {
@@ -70,125 +71,132 @@
         TurnClient { shared: Arc::new(Shared { directory, peers, clock, log, health, search }) }
     }
 
-    /// Decides whether a caller may ask now.
-    pub(super) fn admit(&self, need: Need) -> Result<Ticket, Refused> {
+    /// Decides whether a command may be sent for a caller, which then waits for the answer.
+    ///
+    /// # Errors
+    /// Refuses when the group is unresponsive or too many callers are waiting for it.
+    pub(super) fn admit(&self, need: WaitRequest) -> Result<AskPermit, AskRefused> {
         let now = self.shared.clock.now();
         match self.shared.health().admit(now, need) {
-            Admission::Ask { ask, patience } => {
-                let asking = Asking { shared: Arc::clone(&self.shared), ask: Some(ask) };
-                Ok(Ticket { asking, patience })
+            Decision::Proceed { id, timeout } => {
+                let guard = AskGuard { shared: Arc::clone(&self.shared), ask: Some(id) };
+                Ok(AskPermit { guard, timeout })
+            }
+            Decision::Refuse { retry_after, reason } => {
+                Err(AskRefused { retry_after, reason: reason.name() })
             }
-            Admission::Refuse { after, reason } => Err(Refused { after, reason: reason.name() }),
         }
     }
 
-    /// Asks with a caller's leave, until its patience is over.
-    pub(super) async fn ask_with(&self, ticket: Ticket, body: CommandBody) -> Option<ReplyBody> {
-        let Ticket { asking, patience } = ticket;
-        self.shared.ask(asking, body, patience).await
+    /// Sends an admitted command until the group answers or the permit's time limit passes.
+    pub(super) async fn ask_with(&self, permit: AskPermit, body: CommandBody) -> Option<ReplyBody> {
+        let AskPermit { guard, timeout } = permit;
+        self.shared.ask(guard, body, timeout).await
     }
 
-    /// Asks until the group answers or `whole` is over. Commands are idempotent by their turn's id,
-    /// so asking again is safe.
-    pub(super) async fn ask(&self, body: CommandBody, whole: Duration) -> Option<ReplyBody> {
+    /// Sends a command until the group answers or `timeout` passes. Commands are idempotent by turn id,
+    /// so retries are safe.
+    pub(super) async fn ask(&self, body: CommandBody, timeout: Duration) -> Option<ReplyBody> {
         let ask = self.shared.health().begin(self.shared.clock.now(), 0);
-        let asking = Asking { shared: Arc::clone(&self.shared), ask: Some(ask) };
-        self.shared.ask(asking, body, whole).await
+        let guard = AskGuard { shared: Arc::clone(&self.shared), ask: Some(ask) };
+        self.shared.ask(guard, body, timeout).await
     }
 
-    /// Returns when a caller that found no answer should come back.
-    pub(super) fn pause(&self, need: Need) -> Duration {
-        self.shared.health().pause(self.shared.clock.now(), need)
+    /// Returns the retry delay for a caller whose command got no answer.
+    pub(super) fn retry_after(&self, need: WaitRequest) -> Duration {
+        self.shared.health().retry_after(self.shared.clock.now(), need)
     }
 }
 
-/// A caller that is not to ask the group now.
+/// A refusal of [`TurnClient::admit`].
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Refused {
-    /// When to come back.
-    pub(super) after: Duration,
-    /// Name of the reason, for metrics.
+pub(super) struct AskRefused {
+    /// Recommended delay before the caller's retry.
+    pub(super) retry_after: Duration,
+    /// Name of the reason in metrics.
     pub(super) reason: &'static str,
 }
 
 impl Shared {
     async fn ask(
         self: &Arc<Self>,
-        asking: Asking,
+        guard: AskGuard,
         body: CommandBody,
-        whole: Duration,
+        timeout: Duration,
     ) -> Option<ReplyBody> {
         let command = Command { body: Some(body) };
-        let until = Instant::now() + whole;
-        let answer = tokio::time::timeout_at(until, self.ask_leaders(&command)).await.ok();
-        asking.end(if answer.is_some() { End::Answered } else { End::Silent });
+        let deadline = Instant::now() + timeout;
+        let answer = tokio::time::timeout_at(deadline, self.ask_leader(&command)).await.ok();
+        guard.end(if answer.is_some() { RequestEnd::Answered } else { RequestEnd::TimedOut });
         answer
     }
 
-    /// Asks whoever leads, time after time.
+    /// Sends a command to the current leader until it answers.
     ///
-    /// Who that is, is looked for once for all asks of this process. Each ask on its own would go from
-    /// store to store for as long as an election lasts, and the stores would answer nothing else.
-    async fn ask_leaders(self: &Arc<Self>, command: &Command) -> ReplyBody {
+    /// All commands of this process share one search for the leader; a search for each could overload
+    /// the stores during an election.
+    async fn ask_leader(self: &Arc<Self>, command: &Command) -> ReplyBody {
         let mut leaders = self.search.subscribe();
-        let mut pause = PAUSE;
+        let mut backoff = INITIAL_BACKOFF;
         loop {
             let known = *leaders.borrow_and_update();
             let target = known.and_then(|vm| Some((vm, self.directory.store(vm)?)));
             let Some((vm, address)) = target else {
-                self.look_for_leader();
-                // The sender lives as long as this client.
+                self.find_leader();
+                // Can't fail: the client owns the sender.
                 let _ = leaders.changed().await;
                 continue;
             };
-            match self.try_one(command, vm, address, &mut leaders).await {
-                Try::Answered(body) => return body,
-                Try::Moved => {}
-                Try::Failed => {
-                    tokio::time::sleep(pause.mul_f64(rand::random_range(0.5..1.0))).await;
-                    pause = (pause * 2).min(LONGEST_PAUSE);
+            match self.ask_once(command, vm, address, &mut leaders).await {
+                AskOutcome::Answered(body) => return body,
+                AskOutcome::LeaderChanged => {}
+                AskOutcome::Failed => {
+                    tokio::time::sleep(backoff.mul_f64(rand::random_range(0.5..1.0))).await;
+                    backoff = (backoff * 2).min(MAX_BACKOFF);
                 }
             }
         }
     }
 
-    async fn try_one(
+    async fn ask_once(
         self: &Arc<Self>,
         command: &Command,
         vm: VmId,
         address: SocketAddr,
         leaders: &mut watch::Receiver<Option<VmId>>,
-    ) -> Try {
+    ) -> AskOutcome {
         let asking = self.peers.ask::<_, Reply>(address, Method::Turn, command, CALL_TIMEOUT);
         tokio::pin!(asking);
-        let slow = tokio::time::sleep(SLOW_ANSWER);
+        let slow = tokio::time::sleep(SEARCH_DELAY);
         tokio::pin!(slow);
-        let mut looked = false;
+        let mut searched = false;
         let reply = loop {
             tokio::select! {
                 reply = &mut asking => break reply,
-                () = &mut slow, if !looked => {
-                    looked = true;
-                    self.look_for_leader();
+                () = &mut slow, if !searched => {
+                    searched = true;
+                    self.find_leader();
                 }
-                moved = leaders.wait_for(|leader| leader.is_some_and(|leader| leader != vm)) => {
-                    // The command may be handled by both, which its turn's id makes safe.
-                    drop(moved);
-                    return Try::Moved;
+                changed = leaders.wait_for(|leader| leader.is_some_and(|leader| leader != vm)) => {
+                    // Both stores may execute the command, which is idempotent by turn id.
+                    drop(changed);
+                    return AskOutcome::LeaderChanged;
                 }
             }
         };
         match reply.map(|reply| reply.body) {
-            Ok(Some(ReplyBody::NotLeader(hint))) => self.search.lost(vm, Some(VmId(hint.leader))),
-            Ok(Some(ReplyBody::Uncertain(_)) | None) | Err(_) => self.search.lost(vm, None),
-            Ok(Some(body)) => return Try::Answered(body),
+            Ok(Some(ReplyBody::NotLeader(hint))) => {
+                self.search.leader_lost(vm, Some(VmId(hint.leader)))
+            }
+            Ok(Some(ReplyBody::Uncertain(_)) | None) | Err(_) => self.search.leader_lost(vm, None),
+            Ok(Some(body)) => return AskOutcome::Answered(body),
         }
-        Try::Failed
+        AskOutcome::Failed
     }
 
-    fn look_for_leader(self: &Arc<Self>) {
+    fn find_leader(self: &Arc<Self>) {
         let shared = Arc::clone(self);
-        self.search.start(move || shared.health().found());
+        self.search.start(move || shared.health().leader_found());
     }
 
     fn health(&self) -> MutexGuard<'_, GroupHealth> {
@@ -196,36 +204,36 @@
     }
 }
 
-/// An ask that the health counts until its end, or until whoever asks has left.
-struct Asking {
+/// A command that [`GroupHealth`] counts as in flight until its end, or until the guard is dropped.
+struct AskGuard {
     shared: Arc<Shared>,
-    ask: Option<Ask>,
+    ask: Option<RequestId>,
 }
 
-impl Asking {
-    fn end(mut self, end: End) {
-        self.settle(end);
+impl AskGuard {
+    fn end(mut self, end: RequestEnd) {
+        self.record_end(end);
     }
 
-    fn settle(&mut self, end: End) {
+    fn record_end(&mut self, end: RequestEnd) {
         let Some(ask) = self.ask.take() else { return };
         let change = self.shared.health().end(self.shared.clock.now(), ask, end);
         match change {
             None => {}
-            Some(Change::Lost(silence)) => {
-                slog::warn!(self.shared.log, "turn group lost";
+            Some(HealthChange::Lost(silence)) => {
+                slog::warn!(self.shared.log, "turn group does not answer";
                     "silent_ms" => silence.as_millis() as u64);
             }
-            Some(Change::Regained(silence)) => {
-                slog::info!(self.shared.log, "turn group regained";
+            Some(HealthChange::Recovered(silence)) => {
+                slog::info!(self.shared.log, "turn group answers again";
                     "silent_ms" => silence.as_millis() as u64);
             }
         }
     }
 }
 
-impl Drop for Asking {
+impl Drop for AskGuard {
     fn drop(&mut self) {
-        self.settle(End::Dropped);
+        self.record_end(RequestEnd::Cancelled);
     }
 }
