--- a/crates/gypsumglade/src/gateway/placement.rs
+++ b/crates/gypsumglade/src/gateway/placement.rs
@@ -69,7 +69,7 @@
         .candidates(&model)
         .iter()
         .filter(|key| routing.registry.is_available(now, **key));
-    let slowdown = routing.speeds.get(&call.pool).map_or(1.0, |speed| speed.pace.ratio());
+    let slowdown = routing.speeds.get(&call.pool).map_or(1.0, |speed| speed.slowdown.ratio());
     let endpoints = open.filter_map(|key| routing.registry.get(*key));
     endpoints.fold(PoolLoad { slowdown, ..PoolLoad::default() }, |sum, endpoint| PoolLoad {
         calls: sum.calls + u64::from(endpoint.load(now).total),
@@ -124,7 +124,7 @@
     let mut routing = state.routing();
     let speed = routing.speeds.entry(call.pool.clone()).or_default();
     speed.decode.observe(beside, token);
-    speed.pace.observe(gap);
+    speed.slowdown.observe(gap);
 }
 
 /// Records which endpoint last read a prompt prefix, as reported by the turn group, which also knows
@@ -150,14 +150,15 @@
     let now = state.clock.now();
     let mut routing = state.routing();
     let routing = &mut *routing;
-    let ask = route_ask(state, routing, call, body, excluded);
+    let request = route_request(state, routing, call, body, excluded);
     let choice =
-        routing.router.choose(now, &routing.registry, &ask).map_err(|error| match error {
+        routing.router.choose(now, &routing.registry, &request).map_err(|error| match error {
             RouteError::NoEndpoint { retry_after, .. }
             | RouteError::NoneAvailable { retry_after, .. } => retry_after,
         })?;
-    let dispatch = start_dispatch(state, &mut routing.registry, &routing.stall_watch, now, &choice);
-    for prefix in &ask.shared_prefixes {
+    let dispatch =
+        start_dispatch(state, &mut routing.registry, &routing.stall_detector, now, &choice);
+    for prefix in &request.shared_prefixes {
         routing.registry.expect_prefix(now, choice.endpoint, prefix.hash, prefix.tokens);
     }
     dispatch.ok_or(NO_ADDRESS_RETRY_AFTER)
@@ -170,7 +171,7 @@
 fn start_dispatch(
     state: &Arc<GatewayState>,
     registry: &mut Registry,
-    stall_watch: &StallDetector,
+    stall_detector: &StallDetector,
     now: Time,
     choice: &Choice,
 ) -> Option<ActiveDispatch> {
@@ -180,7 +181,7 @@
     let load = DispatchLoad { prefill_tokens: choice.prefill_tokens, isolated: false };
     let key = registry.dispatched(now, choice.endpoint, load);
     let state = Arc::clone(state);
-    let stalls = stall_watch.stalls(now);
+    let stalls = stall_detector.stalls(now);
     let uncached = choice.prefill_tokens;
     Some(ActiveDispatch {
         state,
@@ -195,7 +196,7 @@
     })
 }
 
-fn route_ask(
+fn route_request(
     state: &GatewayState,
     routing: &RoutingState,
     call: &Call,
@@ -246,7 +247,7 @@
     /// useless.
     fn was_stalled(&self) -> bool {
         let now = self.state.clock.now();
-        self.state.routing().stall_watch.stalls(now) != self.stalls
+        self.state.routing().stall_detector.stalls(now) != self.stalls
     }
 
     /// Passes the load that came with an answer on to the registry.
--- a/crates/gypsumglade/src/gateway/serve.rs
+++ b/crates/gypsumglade/src/gateway/serve.rs
@@ -156,7 +156,7 @@
         router: Router::new(route_settings(&settings.policy), rand::random()),
         speeds: HashMap::new(),
         answer_times: HashMap::new(),
-        stall_watch: StallDetector::new(clock.now()),
+        stall_detector: StallDetector::new(clock.now()),
     };
     let process = Process { vm, role: Role::Entry, address: settings.listen.peers };
     let (shared, callers) = (Arc::clone(&directory), peers.clone());
@@ -249,7 +249,7 @@
 async fn watch_stalls(state: Arc<GatewayState>, shutdown: CancellationToken) {
     while !shutdown.is_cancelled() {
         let now = state.clock.now();
-        state.routing().stall_watch.tick(now);
+        state.routing().stall_detector.tick(now);
         tokio::time::sleep(stall::TICK).await;
     }
 }
--- a/crates/gypsumglade/src/gateway/settlement.rs
+++ b/crates/gypsumglade/src/gateway/settlement.rs
@@ -97,9 +97,9 @@
         lasts_ms: u64::try_from(call.time_left().as_millis()).unwrap_or(u64::MAX),
         prompts: prefixes.iter().map(|prefix| prefix.hash).collect(),
     };
-    let need =
+    let wait =
         WaitRequest { time_left: call.time_left(), bytes: call.body.len(), jitter: rand::random() };
-    let permit = client.admit(need).map_err(|refused| {
+    let permit = client.admit(wait).map_err(|refused| {
         state.metrics.shed(refused.reason);
         Refusal::Unavailable { retry_after: refused.retry_after }
     })?;
@@ -144,7 +144,7 @@
             state.metrics.shed("group_silent");
             let time_left = call.time_left();
             Err(Refusal::Unavailable {
-                retry_after: client.retry_after(WaitRequest { time_left, ..need }),
+                retry_after: client.retry_after(WaitRequest { time_left, ..wait }),
             })
         }
     }
--- a/crates/gypsumglade/src/gateway/state.rs
+++ b/crates/gypsumglade/src/gateway/state.rs
@@ -59,14 +59,14 @@
     pub(super) speeds: HashMap<CompactString, PoolSpeed>,
     /// Answer time by route.
     pub(super) answer_times: HashMap<CompactString, ResponseTime>,
-    pub(super) stall_watch: StallDetector,
+    pub(super) stall_detector: StallDetector,
 }
 
 /// Speed of a pool's engines, estimated from the streams of this VM.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct PoolSpeed {
     /// Current time between events, relative to idle engines.
-    pub(super) pace: PoolSlowdown,
+    pub(super) slowdown: PoolSlowdown,
     /// Time per generated token, by the number of requests on the engine.
     pub(super) decode: BatchFit,
     /// Time per prompt token.
--- a/crates/gypsumglade/src/gateway/streaming.rs
+++ b/crates/gypsumglade/src/gateway/streaming.rs
@@ -56,9 +56,9 @@
         return Ok(());
     }
     let load = pool_load(state, call);
-    let standing = ProgramStatus { rank: call.route.rank, under_way };
+    let status = ProgramStatus { rank: call.route.rank, under_way };
     let spread = rand::random::<f64>();
-    overload::admit(load, standing, spread).map_err(|retry_after| {
+    overload::admit(load, status, spread).map_err(|retry_after| {
         slog::info!(state.log, "new program refused, its pool is overloaded"; "request" => %call.head.id,
             "route" => %call.route.name, "calls" => load.calls, "slots" => load.slots,
             "stretch" => load.slowdown);
--- a/crates/gypsumglade/src/gateway/turn_client.rs
+++ b/crates/gypsumglade/src/gateway/turn_client.rs
@@ -75,11 +75,11 @@
     ///
     /// # Errors
     /// Refuses when the group is unresponsive or too many callers are waiting for it.
-    pub(super) fn admit(&self, need: WaitRequest) -> Result<AskPermit, AskRefused> {
+    pub(super) fn admit(&self, wait: WaitRequest) -> Result<AskPermit, AskRefused> {
         let now = self.shared.clock.now();
-        match self.shared.health().admit(now, need) {
+        match self.shared.health().admit(now, wait) {
             Decision::Proceed { id, timeout } => {
-                let guard = AskGuard { shared: Arc::clone(&self.shared), ask: Some(id) };
+                let guard = AskGuard { shared: Arc::clone(&self.shared), id: Some(id) };
                 Ok(AskPermit { guard, timeout })
             }
             Decision::Refuse { retry_after, reason } => {
@@ -97,14 +97,14 @@
     /// Sends a command until the group answers or `timeout` passes. Commands are idempotent by turn id,
     /// so retries are safe.
     pub(super) async fn ask(&self, body: CommandBody, timeout: Duration) -> Option<ReplyBody> {
-        let ask = self.shared.health().begin(self.shared.clock.now(), 0);
-        let guard = AskGuard { shared: Arc::clone(&self.shared), ask: Some(ask) };
+        let id = self.shared.health().begin(self.shared.clock.now(), 0);
+        let guard = AskGuard { shared: Arc::clone(&self.shared), id: Some(id) };
         self.shared.ask(guard, body, timeout).await
     }
 
     /// Returns the retry delay for a caller whose command got no answer.
-    pub(super) fn retry_after(&self, need: WaitRequest) -> Duration {
-        self.shared.health().retry_after(self.shared.clock.now(), need)
+    pub(super) fn retry_after(&self, wait: WaitRequest) -> Duration {
+        self.shared.health().retry_after(self.shared.clock.now(), wait)
     }
 }
 
@@ -207,7 +207,7 @@
 /// A command that [`GroupHealth`] counts as in flight until its end, or until the guard is dropped.
 struct AskGuard {
     shared: Arc<Shared>,
-    ask: Option<RequestId>,
+    id: Option<RequestId>,
 }
 
 impl AskGuard {
@@ -216,8 +216,8 @@
     }
 
     fn record_end(&mut self, end: RequestEnd) {
-        let Some(ask) = self.ask.take() else { return };
-        let change = self.shared.health().end(self.shared.clock.now(), ask, end);
+        let Some(id) = self.id.take() else { return };
+        let change = self.shared.health().end(self.shared.clock.now(), id, end);
         match change {
             None => {}
             Some(HealthChange::Lost(silence)) => {
