--- a/crates/gypsumglade/examples/replication_bench.rs
+++ b/crates/gypsumglade/examples/replication_bench.rs
@@ -173,7 +173,7 @@
         // An install is wanted, not the entries that are kept for followers a little behind.
         replication: Settings { keep_entries: 0, ..Settings::default() },
         snapshot_entries: u64::MAX,
-        snapshot_least: u64::MAX,
+        snapshot_min: u64::MAX,
         snapshot_bytes: u64::MAX,
         ..HostSettings::default()
     }
--- a/crates/gypsumglade/src/disk/faults.rs
+++ b/crates/gypsumglade/src/disk/faults.rs
@@ -22,56 +22,57 @@
 #[derive(Debug, Default)]
 struct Plan {
     /// Bytes that still fit.
-    room: Option<usize>,
+    free_bytes: Option<usize>,
     /// Whether syncs fail.
-    fail: bool,
+    fail_syncs: bool,
     /// Whether syncs of folders fail.
-    folders: bool,
+    fail_folders: bool,
     /// The one folder whose syncs fail.
-    folder: Option<PathBuf>,
+    failing_folder: Option<PathBuf>,
     /// Whether syncs wait.
-    held: bool,
+    syncs_held: bool,
     /// Whether scans of files wait.
     scans_held: bool,
     /// What each sync takes beside the disk's own time.
-    pause: Duration,
+    sync_delay: Duration,
 }
 
 impl Faults {
-    /// Makes the disk full after `room` more bytes.
-    pub fn fill_after(&self, room: usize) {
-        self.plan().room = Some(room);
+    /// Makes the disk full after `free_bytes` more bytes.
+    pub fn fill_after(&self, bytes: usize) {
+        self.plan().free_bytes = Some(bytes);
     }
 
     /// Makes every sync fail from now on.
     pub fn fail_syncs(&self) {
-        self.plan().fail = true;
+        self.plan().fail_syncs = true;
     }
 
     /// Makes every sync of a folder of texts fail from now on.
     pub fn fail_folders(&self) {
-        self.plan().folders = true;
+        self.plan().fail_folders = true;
     }
 
     /// Makes every sync of this folder fail from now on, where it is synced for texts.
     pub fn fail_folder(&self, folder: &Path) {
-        self.plan().folder = Some(folder.to_path_buf());
+        self.plan().failing_folder = Some(folder.to_path_buf());
     }
 
     /// Ends all failures.
-    pub fn heal(&self) {
+    pub fn clear(&self) {
         let mut plan = self.plan();
-        (plan.room, plan.fail, plan.folders, plan.folder) = (None, false, false, None);
+        (plan.free_bytes, plan.fail_syncs, plan.fail_folders, plan.failing_folder) =
+            (None, false, false, None);
     }
 
     /// Makes syncs wait until [`Faults::release_syncs`].
     pub fn hold_syncs(&self) {
-        self.plan().held = true;
+        self.plan().syncs_held = true;
     }
 
     /// Lets syncs go on.
     pub fn release_syncs(&self) {
-        self.plan().held = false;
+        self.plan().syncs_held = false;
         self.0.released.notify_all();
     }
 
@@ -87,28 +88,28 @@
     }
 
     /// Makes every sync take longer.
-    pub fn slow_syncs(&self, pause: Duration) {
-        self.plan().pause = pause;
+    pub fn slow_syncs(&self, delay: Duration) {
+        self.plan().sync_delay = delay;
     }
 
     /// Returns how many of `wanted` bytes may be written.
-    pub(crate) fn room(&self, wanted: usize) -> usize {
+    pub(crate) fn allow_write(&self, wanted: usize) -> usize {
         let mut plan = self.plan();
-        let Some(room) = &mut plan.room else {
+        let Some(free_bytes) = &mut plan.free_bytes else {
             return wanted;
         };
-        let taken = wanted.min(*room);
-        *room -= taken;
+        let taken = wanted.min(*free_bytes);
+        *free_bytes -= taken;
         taken
     }
 
     pub(crate) fn check_sync(&self) -> io::Result<()> {
-        let pause = self.plan().pause;
-        if pause > Duration::ZERO {
-            std::thread::sleep(pause);
+        let sync_delay = self.plan().sync_delay;
+        if sync_delay > Duration::ZERO {
+            std::thread::sleep(sync_delay);
         }
-        let waiting = self.0.released.wait_while(self.plan(), |plan| plan.held);
-        refuse(waiting.unwrap_or_else(PoisonError::into_inner).fail)
+        let waiting = self.0.released.wait_while(self.plan(), |plan| plan.syncs_held);
+        fail_if(waiting.unwrap_or_else(PoisonError::into_inner).fail_syncs)
     }
 
     /// Waits while a test holds scans.
@@ -119,9 +120,9 @@
     /// Makes new, renamed and removed names of a folder stable, unless a test has it fail.
     pub(crate) fn sync_folder(&self, path: &Path) -> io::Result<()> {
         let plan = self.plan();
-        let fails = plan.folders || plan.folder.as_deref() == Some(path);
+        let fails = plan.fail_folders || plan.failing_folder.as_deref() == Some(path);
         drop(plan);
-        refuse(fails)?;
+        fail_if(fails)?;
         folder::sync_folder(path)
     }
 
@@ -130,7 +131,7 @@
     }
 }
 
-fn refuse(fail: bool) -> io::Result<()> {
+fn fail_if(fail: bool) -> io::Result<()> {
     match fail {
         true => Err(io::Error::other("a test failed this sync")),
         false => Ok(()),
--- a/crates/gypsumglade/src/disk/folder.rs
+++ b/crates/gypsumglade/src/disk/folder.rs
@@ -84,12 +84,12 @@
 
 fn write_format(folder: &Path, format: Format) -> anyhow::Result<()> {
     let text = serde_yaml_ng::to_string(&format)?;
-    write_whole(folder, FORMAT_FILE, &[text.as_bytes()])?;
+    write_atomically(folder, FORMAT_FILE, &[text.as_bytes()])?;
     Ok(())
 }
 
 /// Writes a file so that after a crash it is there whole or not at all.
-pub(super) fn write_whole(folder: &Path, name: &str, parts: &[&[u8]]) -> io::Result<()> {
+pub(super) fn write_atomically(folder: &Path, name: &str, parts: &[&[u8]]) -> io::Result<()> {
     let temporary = folder.join(format!("{name}.tmp"));
     let mut file = File::create(&temporary)?;
     for part in parts {
--- a/crates/gypsumglade/src/disk/frame.rs
+++ b/crates/gypsumglade/src/disk/frame.rs
@@ -100,8 +100,8 @@
 /// A frame is written only after the one before was synced. So a whole frame after a broken one
 /// proves that the broken one was stable once: that is damage, and no write cut short.
 pub(super) fn find_frame(bytes: &[u8], offset: usize, sequence: u64) -> Option<usize> {
-    let places = offset + 1..=bytes.len().saturating_sub(HEADER_BYTES);
-    places
+    let offsets = offset + 1..=bytes.len().saturating_sub(HEADER_BYTES);
+    offsets
         .filter(|&at| bytes[at..].starts_with(&MAGIC))
         .find(|&at| read_frame(bytes, at).is_some_and(|frame| frame.sequence > sequence))
 }
--- a/crates/gypsumglade/src/disk/inspect.rs
+++ b/crates/gypsumglade/src/disk/inspect.rs
@@ -83,7 +83,7 @@
         number: segment.number,
         bytes: segment.bytes,
         frames: segment.frames,
-        torn: segment.bytes - segment.whole,
+        torn: segment.bytes - segment.valid_bytes,
     });
     Ok(Report {
         vm,
@@ -100,7 +100,7 @@
         group,
         term: term.0,
         vote,
-        snapshot: found.mark,
+        snapshot: found.snapshot,
         length: found.length,
         members: found.members.clone(),
         entries: found.entries() as u64,
--- a/crates/gypsumglade/src/disk/mod.rs
+++ b/crates/gypsumglade/src/disk/mod.rs
@@ -18,6 +18,8 @@
 pub use folder::owner;
 pub use inspect::{Finding, GroupReport, Report, SegmentReport, inspect};
 pub use reader::Reader;
-pub use snapshot::Saver;
-pub use types::{Done, Job, JobWrite, Options, Place, RestoredGroup, Snapshot, Written};
+pub use snapshot::SnapshotWriter;
+pub use types::{
+    CompletedJob, Job, JobWrite, Options, RecordLocation, RestoredGroup, Snapshot, WrittenEntry,
+};
 pub use writer::Disk;
--- a/crates/gypsumglade/src/disk/reader.rs
+++ b/crates/gypsumglade/src/disk/reader.rs
@@ -15,7 +15,7 @@
 use super::folder::segment_path;
 use super::frame::read_record;
 use super::snapshot;
-use super::types::Place;
+use super::types::RecordLocation;
 
 /// Segment files held open at most.
 const OPEN_FILES: usize = 16;
@@ -32,19 +32,19 @@
         Reader { folder, files: HashMap::new() }
     }
 
-    /// Reads the entry at `place`, and checks it.
-    pub fn entry(&mut self, place: Place) -> anyhow::Result<Entry> {
-        let path = segment_path(&self.folder, place.segment);
-        let mut bytes = vec![0; place.length as usize];
-        let file = self.open(place.segment)?;
-        file.read_exact_at(&mut bytes, u64::from(place.offset))
-            .with_context(|| format!("{} can't be read at {}", path.display(), place.offset))?;
+    /// Reads the entry at `location`, and checks it.
+    pub fn entry(&mut self, location: RecordLocation) -> anyhow::Result<Entry> {
+        let path = segment_path(&self.folder, location.segment);
+        let mut bytes = vec![0; location.length as usize];
+        let file = self.open(location.segment)?;
+        file.read_exact_at(&mut bytes, u64::from(location.offset))
+            .with_context(|| format!("{} can't be read at {}", path.display(), location.offset))?;
         match read_record(&bytes).and_then(|(record, _)| record.body) {
             Some(Body::Entry(entry)) => Ok(entry),
             _ => bail!(
                 "{} is damaged at offset {}; check the disk, then replace this VM's replica",
                 path.display(),
-                place.offset
+                location.offset
             ),
         }
     }
--- a/crates/gypsumglade/src/disk/replay.rs
+++ b/crates/gypsumglade/src/disk/replay.rs
@@ -15,7 +15,7 @@
 use super::frame::{find_frame, read_frame};
 use super::inspect::Finding;
 use super::snapshot;
-use super::types::{Place, RestoredGroup};
+use super::types::{RecordLocation, RestoredGroup};
 
 /// What to do about damage; cutting it out would lose what was acknowledged.
 const DAMAGE_ADVICE: &str = "keep the folder as it is, check the disk, and replace this VM's \
@@ -23,10 +23,10 @@
 
 /// A segment as it was read.
 #[derive(Debug)]
-pub(super) struct ReadSegment {
+pub(super) struct ReplayedSegment {
     pub(super) number: u32,
     /// Bytes of whole frames.
-    pub(super) whole: u64,
+    pub(super) valid_bytes: u64,
     /// Bytes of the file.
     pub(super) bytes: u64,
     pub(super) frames: u64,
@@ -35,7 +35,7 @@
 /// A whole folder as it was read.
 #[derive(Debug, Default)]
 pub(super) struct Replay {
-    pub(super) segments: Vec<ReadSegment>,
+    pub(super) segments: Vec<ReplayedSegment>,
     pub(super) groups: BTreeMap<GroupId, ReplayedGroup>,
     /// Sequence of the last frame.
     pub(super) sequence: u64,
@@ -46,12 +46,12 @@
 #[derive(Debug, Default)]
 pub(super) struct ReplayedGroup {
     pub(super) ballot: Ballot,
-    pub(super) mark: Position,
+    pub(super) snapshot: Position,
     pub(super) members: Members,
     pub(super) length: u64,
     /// Index of the first of `entries`.
     first: u64,
-    entries: VecDeque<(EntryMeta, Place)>,
+    entries: VecDeque<(EntryMeta, RecordLocation)>,
     /// The highest index written in each segment.
     pub(super) written: BTreeMap<u32, LogIndex>,
 }
@@ -61,12 +61,12 @@
 pub(super) fn replay(folder: &Path) -> anyhow::Result<Replay> {
     let mut replay = Replay::default();
     let numbers = segments(folder)?;
-    for (place, &number) in numbers.iter().enumerate() {
-        if place > 0 && numbers[place - 1] + 1 != number {
+    for (position, &number) in numbers.iter().enumerate() {
+        if position > 0 && numbers[position - 1] + 1 != number {
             let text = format!("a segment before it is missing; {DAMAGE_ADVICE}");
-            replay.find(&segment_path(folder, number), 0, text);
+            replay.add_finding(&segment_path(folder, number), 0, text);
         }
-        let last = place + 1 == numbers.len();
+        let last = position + 1 == numbers.len();
         replay.read_segment(folder, number, last)?;
     }
     replay.check_groups(folder);
@@ -83,41 +83,45 @@
             let Some(frame) = read_frame(&bytes, at) else {
                 if let Some(next) = find_frame(&bytes, at, self.sequence) {
                     let text = format!("a synced frame is damaged; {DAMAGE_ADVICE}");
-                    self.find(&path, at, text);
+                    self.add_finding(&path, at, text);
                     at = next;
                     continue;
                 }
                 if !last {
                     let text = format!("the end of a synced segment is damaged; {DAMAGE_ADVICE}");
-                    self.find(&path, at, text);
+                    self.add_finding(&path, at, text);
                 }
                 break;
             };
             if self.sequence != 0 && frame.sequence != self.sequence + 1 {
                 let text = format!("frames before this one are missing; {DAMAGE_ADVICE}");
-                self.find(&path, at, text);
+                self.add_finding(&path, at, text);
             }
             self.sequence = frame.sequence;
             for (record, offset, length) in frame.records().unwrap_or_default() {
-                let place = Place { segment: number, offset: offset as u32, length: length as u32 };
-                self.apply(record, place);
+                let location = RecordLocation {
+                    segment: number,
+                    offset: offset as u32,
+                    length: length as u32,
+                };
+                self.apply(record, location);
             }
             at = frame.end();
             frames += 1;
         }
-        let (whole, bytes) = (at as u64, bytes.len() as u64);
-        self.segments.push(ReadSegment { number, whole, bytes, frames });
+        let (valid_bytes, bytes) = (at as u64, bytes.len() as u64);
+        self.segments.push(ReplayedSegment { number, valid_bytes, bytes, frames });
         Ok(())
     }
 
-    fn apply(&mut self, record: wire::Record, place: Place) {
+    fn apply(&mut self, record: wire::Record, location: RecordLocation) {
         let group = self.groups.entry(GroupId(record.group)).or_default();
         match record.body {
-            Some(Body::Entry(entry)) => group.push(&entry, place),
+            Some(Body::Entry(entry)) => group.push(&entry, location),
             Some(Body::Ballot(ballot)) => {
                 group.ballot = Ballot { term: Term(ballot.term), vote: ballot.vote.map(VmId) };
             }
-            Some(Body::Mark(mark)) => group.mark(&mark),
+            Some(Body::Mark(mark)) => group.apply_mark(&mark),
             None => {}
         }
     }
@@ -125,24 +129,24 @@
     fn check_groups(&mut self, folder: &Path) {
         let mut found = Vec::new();
         for (&id, group) in &self.groups {
-            if !group.entries.is_empty() && group.first != group.mark.index.0 + 1 {
+            if !group.entries.is_empty() && group.first != group.snapshot.index.0 + 1 {
                 let text = format!("{id} lacks entries before {}; {DAMAGE_ADVICE}", group.first);
                 found.push((folder.to_path_buf(), text));
             }
             if group.length == 0 {
                 continue;
             }
-            if let Err(error) = snapshot::check(folder, id, group.mark.index, group.length) {
-                let path = folder.join(snapshot::name(id, group.mark.index));
+            if let Err(error) = snapshot::check(folder, id, group.snapshot.index, group.length) {
+                let path = folder.join(snapshot::name(id, group.snapshot.index));
                 found.push((path, format!("the snapshot is damaged: {error:#}; {DAMAGE_ADVICE}")));
             }
         }
         for (path, text) in found {
-            self.find(&path, 0, text);
+            self.add_finding(&path, 0, text);
         }
     }
 
-    fn find(&mut self, path: &Path, offset: usize, text: String) {
+    fn add_finding(&mut self, path: &Path, offset: usize, text: String) {
         let file = path.file_name().unwrap_or_default().to_string_lossy().to_compact_string();
         self.findings.push(Finding { file, offset: offset as u64, text: text.into() });
     }
@@ -153,12 +157,12 @@
         let entries = self.entries.iter().map(|(meta, _)| meta.clone()).collect();
         let state = Restored {
             ballot: self.ballot,
-            snapshot: self.mark,
+            snapshot: self.snapshot,
             members: self.members.clone(),
             entries,
         };
-        let places = self.entries.iter().map(|(_, place)| *place).collect();
-        RestoredGroup { group, state, places, length: self.length }
+        let locations = self.entries.iter().map(|(_, location)| *location).collect();
+        RestoredGroup { group, state, locations, length: self.length }
     }
 
     pub(super) fn entries(&self) -> usize {
@@ -168,15 +172,15 @@
     /// Returns the last entry's place in the log.
     pub(super) fn last(&self) -> Position {
         let Some((meta, _)) = self.entries.back() else {
-            return self.mark;
+            return self.snapshot;
         };
         Position { index: LogIndex(self.first + self.entries.len() as u64 - 1), term: meta.term }
     }
 
-    fn push(&mut self, entry: &wire::Entry, place: Place) {
-        let written = self.written.entry(place.segment).or_default();
+    fn push(&mut self, entry: &wire::Entry, location: RecordLocation) {
+        let written = self.written.entry(location.segment).or_default();
         *written = LogIndex(entry.index).max(*written);
-        if entry.index <= self.mark.index.0 {
+        if entry.index <= self.snapshot.index.0 {
             return;
         }
         let end = self.first + self.entries.len() as u64;
@@ -187,11 +191,11 @@
             self.first = entry.index;
         }
         self.entries.truncate((entry.index - self.first) as usize);
-        self.entries.push_back((EntryMeta::from_entry(entry), place));
+        self.entries.push_back((EntryMeta::from_entry(entry), location));
     }
 
-    fn mark(&mut self, mark: &wire::SnapshotMark) {
-        self.mark = Position { index: LogIndex(mark.index), term: Term(mark.term) };
+    fn apply_mark(&mut self, mark: &wire::SnapshotMark) {
+        self.snapshot = Position { index: LogIndex(mark.index), term: Term(mark.term) };
         self.members = mark.members.as_ref().map(Members::from_wire).unwrap_or_default();
         self.length = mark.length;
         if mark.reset {
--- a/crates/gypsumglade/src/disk/snapshot.rs
+++ b/crates/gypsumglade/src/disk/snapshot.rs
@@ -11,7 +11,7 @@
 use gypsumglade_core::replication::LogIndex;
 
 use super::faults::Faults;
-use super::folder::write_whole;
+use super::folder::write_atomically;
 use super::types::Snapshot;
 
 /// Bytes before the data: length and checksum.
@@ -23,14 +23,14 @@
 
 /// Writes snapshot files while the log goes on. Their marks come after, through the log.
 #[derive(Clone, Debug)]
-pub struct Saver {
+pub struct SnapshotWriter {
     folder: PathBuf,
     faults: Faults,
 }
 
-impl Saver {
-    pub(super) fn new(folder: PathBuf, faults: Faults) -> Saver {
-        Saver { folder, faults }
+impl SnapshotWriter {
+    pub(super) fn new(folder: PathBuf, faults: Faults) -> SnapshotWriter {
+        SnapshotWriter { folder, faults }
     }
 
     /// Writes the file of a snapshot and leaves only its mark to be written.
@@ -56,13 +56,13 @@
     data: &[u8],
     faults: &Faults,
 ) -> io::Result<()> {
-    if faults.room(data.len()) < data.len() {
+    if faults.allow_write(data.len()) < data.len() {
         return Err(io::ErrorKind::StorageFull.into());
     }
     faults.check_sync()?;
     let length = (data.len() as u64).to_le_bytes();
     let checksum = crc32fast::hash(data).to_le_bytes();
-    write_whole(folder, &name(group, index), &[&length, &checksum, data])
+    write_atomically(folder, &name(group, index), &[&length, &checksum, data])
 }
 
 /// Reads a piece of a snapshot. The whole was checked when the folder was opened or written.
@@ -100,7 +100,7 @@
 }
 
 /// Removes snapshot files that `keep` doesn't name, left behind by a crash.
-pub(super) fn remove_others(folder: &Path, keep: &[String]) -> io::Result<()> {
+pub(super) fn remove_unreferenced(folder: &Path, keep: &[String]) -> io::Result<()> {
     for entry in fs::read_dir(folder)? {
         let entry = entry?;
         let name = entry.file_name();
--- a/crates/gypsumglade/src/disk/types.rs
+++ b/crates/gypsumglade/src/disk/types.rs
@@ -25,7 +25,7 @@
 
 /// Where an entry's record is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct RecordLocation {
     /// Number of the segment file.
     pub segment: u32,
     /// Offset of the record in the file, in bytes.
@@ -41,7 +41,7 @@
     pub position: Position,
     /// The members as of it.
     pub members: Members,
-    /// What the owner of the state machine gave; empty once [`super::Saver`] wrote its file.
+    /// What the owner of the state machine gave; empty once [`super::SnapshotWriter`] wrote its file.
     pub data: Bytes,
     /// Bytes of the file that is written already.
     pub saved: u64,
@@ -66,7 +66,7 @@
     /// A snapshot, and what it does to the log.
     Snapshot(Snapshot),
     /// Nothing: entries up to here won't be read any more, and their files may go.
-    Forget(LogIndex),
+    Compact(LogIndex),
 }
 
 /// A write of one group.
@@ -82,39 +82,39 @@
 
 /// Where one entry was written.
 #[derive(Clone, Copy, Debug)]
-pub struct Written {
+pub struct WrittenEntry {
     /// The entry's index.
     pub index: LogIndex,
     /// The entry's term.
     pub term: Term,
     /// Where it can be read.
-    pub place: Place,
+    pub location: RecordLocation,
 }
 
 /// A write that is on stable storage.
 #[derive(Clone, Debug)]
-pub struct Done {
+pub struct CompletedJob {
     /// The group.
     pub group: GroupId,
     /// From the job.
     pub sequence: Option<Sequence>,
     /// Where the job's entries are.
-    pub entries: Vec<Written>,
+    pub entries: Vec<WrittenEntry>,
     /// Where the job's snapshot stands.
     pub snapshot: Option<LogIndex>,
     /// Length of the job's snapshot, in bytes.
     pub length: u64,
 }
 
-impl Done {
+impl CompletedJob {
     /// Returns what a disk would say once it has done `job`, but for the places.
-    pub fn of_memory(job: &Job) -> Done {
+    pub fn for_memory(job: &Job) -> CompletedJob {
         let (snapshot, length) = match &job.write {
             JobWrite::Snapshot(snapshot) => (Some(snapshot.position.index), snapshot.length()),
-            JobWrite::Ballot(_) | JobWrite::Entries(_) | JobWrite::Forget(_) => (None, 0),
+            JobWrite::Ballot(_) | JobWrite::Entries(_) | JobWrite::Compact(_) => (None, 0),
         };
         let entries = Vec::new();
-        Done { group: job.group, sequence: job.sequence, entries, snapshot, length }
+        CompletedJob { group: job.group, sequence: job.sequence, entries, snapshot, length }
     }
 }
 
@@ -126,7 +126,7 @@
     /// What its replica starts from.
     pub state: Restored,
     /// Where its entries are, from the one after the snapshot on.
-    pub places: VecDeque<Place>,
+    pub locations: VecDeque<RecordLocation>,
     /// Length of its snapshot, in bytes.
     pub length: u64,
 }
@@ -134,6 +134,6 @@
 impl RestoredGroup {
     /// Returns a group without entries.
     pub fn empty(group: GroupId, state: Restored) -> RestoredGroup {
-        RestoredGroup { group, state, places: VecDeque::new(), length: 0 }
+        RestoredGroup { group, state, locations: VecDeque::new(), length: 0 }
     }
 }
--- a/crates/gypsumglade/src/disk/writer.rs
+++ b/crates/gypsumglade/src/disk/writer.rs
@@ -15,11 +15,13 @@
 use super::frame::FrameWriter;
 use super::reader::Reader;
 use super::replay::{Replay, ReplayedGroup, replay};
-use super::snapshot::{self, Saver, WRITE_ADVICE};
-use super::types::{Done, Job, JobWrite, Options, Place, RestoredGroup, Snapshot, Written};
+use super::snapshot::{self, SnapshotWriter, WRITE_ADVICE};
+use super::types::{
+    CompletedJob, Job, JobWrite, Options, RecordLocation, RestoredGroup, Snapshot, WrittenEntry,
+};
 
 /// Segment files above which the groups that hold up the oldest one are named.
-const KEPT_SEGMENTS: usize = 4;
+const MAX_KEPT_SEGMENTS: usize = 4;
 
 /// The open data folder of one VM.
 #[derive(Debug)]
@@ -39,17 +41,17 @@
     rotated: bool,
     /// Whether the last frame is empty.
     sealed: bool,
-    groups: BTreeMap<GroupId, Live>,
+    groups: BTreeMap<GroupId, GroupState>,
 }
 
 /// What a new segment repeats of a group, so that older ones can go.
 #[derive(Debug, Default)]
-struct Live {
+struct GroupState {
     ballot: Ballot,
     mark: wire::SnapshotMark,
     /// Entries up to here are read no more. Follows the mark: a reader may still be at work on
     /// an entry when the snapshot that covers it is stable.
-    forgotten: LogIndex,
+    compacted: LogIndex,
     /// The highest index written in each segment.
     written: BTreeMap<u32, LogIndex>,
 }
@@ -62,15 +64,15 @@
         let lock = lock(folder)?;
         check_format(folder, options.vm)?;
         let replay = replay(folder)?;
-        refuse_damage(&replay)?;
+        check_findings(&replay)?;
         let groups: Vec<_> = replay.groups.iter().map(|(&id, g)| g.restored(id)).collect();
         let kept: Vec<_> = replay
             .groups
             .iter()
             .filter(|(_, group)| group.length > 0)
-            .map(|(&id, group)| snapshot::name(id, group.mark.index))
+            .map(|(&id, group)| snapshot::name(id, group.snapshot.index))
             .collect();
-        snapshot::remove_others(folder, &kept)?;
+        snapshot::remove_unreferenced(folder, &kept)?;
         let disk = Disk::resume(folder, options, lock, replay)?;
         Ok((disk, groups))
     }
@@ -81,13 +83,13 @@
     }
 
     /// Returns a writer of snapshot files that works beside this one.
-    pub fn saver(&self) -> Saver {
-        Saver::new(self.folder.clone(), self.options.faults.clone())
+    pub fn snapshot_writer(&self) -> SnapshotWriter {
+        SnapshotWriter::new(self.folder.clone(), self.options.faults.clone())
     }
 
     /// Writes all jobs and returns once they are stable. After an error nothing may be written
     /// any more: it isn't known what the disk holds.
-    pub fn write(&mut self, jobs: &mut Vec<Job>) -> anyhow::Result<Vec<Done>> {
+    pub fn write(&mut self, jobs: &mut Vec<Job>) -> anyhow::Result<Vec<CompletedJob>> {
         self.write_frame(jobs).with_context(|| {
             format!("the data folder {} can't be written; {WRITE_ADVICE}", self.folder.display())
         })
@@ -97,12 +99,13 @@
     ///
     /// A group that is seldom written keeps its few entries for long. Without a snapshot of it
     /// the files of all groups since would stay, and fill the disk.
-    pub fn holders(&mut self) -> Vec<GroupId> {
-        if !std::mem::take(&mut self.rotated) || self.segments.len() <= KEPT_SEGMENTS {
+    pub fn blocking_groups(&mut self) -> Vec<GroupId> {
+        if !std::mem::take(&mut self.rotated) || self.segments.len() <= MAX_KEPT_SEGMENTS {
             return Vec::new();
         }
         let oldest = self.segments[0];
-        let holds = |(&id, live): (&GroupId, &Live)| live.needs(oldest).then_some(id);
+        let holds =
+            |(&id, state): (&GroupId, &GroupState)| state.has_entries_in(oldest).then_some(id);
         self.groups.iter().filter_map(holds).collect()
     }
 
@@ -120,7 +123,7 @@
         Ok(())
     }
 
-    fn write_frame(&mut self, jobs: &mut Vec<Job>) -> anyhow::Result<Vec<Done>> {
+    fn write_frame(&mut self, jobs: &mut Vec<Job>) -> anyhow::Result<Vec<CompletedJob>> {
         if self.offset >= self.options.segment_bytes {
             self.begin_segment()?;
         }
@@ -136,7 +139,7 @@
         for name in stale {
             fs::remove_file(self.folder.join(name))?;
         }
-        self.drop_segments()?;
+        self.remove_unused_segments()?;
         Ok(done)
     }
 
@@ -145,8 +148,8 @@
         frame: &mut FrameWriter,
         job: Job,
         stale: &mut Vec<String>,
-    ) -> anyhow::Result<Done> {
-        let mut done = Done::of_memory(&job);
+    ) -> anyhow::Result<CompletedJob> {
+        let mut done = CompletedJob::for_memory(&job);
         match job.write {
             JobWrite::Ballot(ballot) => {
                 self.groups.entry(job.group).or_default().ballot = ballot;
@@ -157,9 +160,9 @@
                     done.entries.push(self.push_entry(frame, job.group, entry));
                 }
             }
-            JobWrite::Forget(index) => {
-                let live = self.groups.entry(job.group).or_default();
-                live.forgotten = live.forgotten.max(index);
+            JobWrite::Compact(index) => {
+                let state = self.groups.entry(job.group).or_default();
+                state.compacted = state.compacted.max(index);
             }
             JobWrite::Snapshot(snapshot) => {
                 stale.extend(self.push_snapshot(frame, job.group, &snapshot)?);
@@ -173,17 +176,17 @@
         frame: &mut FrameWriter,
         group: GroupId,
         entry: wire::Entry,
-    ) -> Written {
+    ) -> WrittenEntry {
         let (index, term) = (LogIndex(entry.index), Term(entry.term));
-        let segment = self.segment();
-        let live = self.groups.entry(group).or_default();
-        let written = live.written.entry(segment).or_default();
+        let segment = self.current_segment();
+        let state = self.groups.entry(group).or_default();
+        let written = state.written.entry(segment).or_default();
         *written = index.max(*written);
         let record = wire::Record { group: group.0, body: Some(Body::Entry(entry)) };
         let (offset, length) = frame.push(&record);
         let offset = self.offset as usize + offset;
-        let place = Place { segment, offset: offset as u32, length: length as u32 };
-        Written { index, term, place }
+        let location = RecordLocation { segment, offset: offset as u32, length: length as u32 };
+        WrittenEntry { index, term, location }
     }
 
     /// Writes a snapshot's file and then its mark: a mark never names a file that isn't there.
@@ -196,7 +199,7 @@
     ) -> anyhow::Result<Option<String>> {
         let index = snapshot.position.index;
         let length = snapshot.length();
-        let known = self.groups.get(&group).map_or(0, |live| live.mark.index);
+        let known = self.groups.get(&group).map_or(0, |state| state.mark.index);
         if !snapshot.reset && index.0 < known {
             // A leader's snapshot overtook this one while its file was written.
             return Ok((length > 0).then(|| snapshot::name(group, index)));
@@ -212,11 +215,11 @@
             length,
             reset: snapshot.reset,
         };
-        let live = self.groups.entry(group).or_default();
-        let old = std::mem::replace(&mut live.mark, mark.clone());
+        let state = self.groups.entry(group).or_default();
+        let old = std::mem::replace(&mut state.mark, mark.clone());
         if snapshot.reset {
-            live.written.clear();
-            live.forgotten = index;
+            state.written.clear();
+            state.compacted = index;
         }
         frame.push(&mark_record(group, mark));
         let replaced = old.length > 0 && old.index != index.0;
@@ -226,9 +229,9 @@
     fn append_frame(&mut self, frame: FrameWriter) -> anyhow::Result<()> {
         self.sealed = frame.is_empty();
         let bytes = frame.finish(self.sequence + 1);
-        let room = self.options.faults.room(bytes.len());
-        self.file.write_all(&bytes[..room])?;
-        if room < bytes.len() {
+        let writable = self.options.faults.allow_write(bytes.len());
+        self.file.write_all(&bytes[..writable])?;
+        if writable < bytes.len() {
             bail!(std::io::Error::from(std::io::ErrorKind::StorageFull));
         }
         self.options.faults.check_sync()?;
@@ -247,10 +250,10 @@
         self.rotated = true;
         self.offset = 0;
         let mut frame = FrameWriter::new();
-        for (&group, live) in &self.groups {
-            let mark = wire::SnapshotMark { reset: false, ..live.mark.clone() };
+        for (&group, state) in &self.groups {
+            let mark = wire::SnapshotMark { reset: false, ..state.mark.clone() };
             frame.push(&mark_record(group, mark));
-            frame.push(&ballot_record(group, live.ballot));
+            frame.push(&ballot_record(group, state.ballot));
         }
         self.append_frame(frame)?;
         sync_folder(&self.folder)?;
@@ -258,11 +261,11 @@
     }
 
     /// Removes the oldest files while no group has an entry in them after its snapshot.
-    fn drop_segments(&mut self) -> anyhow::Result<()> {
+    fn remove_unused_segments(&mut self) -> anyhow::Result<()> {
         while self.segments.len() > 1 {
             let oldest = self.segments[0];
-            let live = self.groups.values().any(|group| group.needs(oldest));
-            if live {
+            let in_use = self.groups.values().any(|group| group.has_entries_in(oldest));
+            if in_use {
                 return Ok(());
             }
             fs::remove_file(segment_path(&self.folder, oldest))?;
@@ -274,14 +277,14 @@
         Ok(())
     }
 
-    fn segment(&self) -> u32 {
+    fn current_segment(&self) -> u32 {
         self.segments.last().copied().unwrap_or_default()
     }
 
     /// Goes on at the end of the log, after cutting a torn last frame.
     fn resume(folder: &Path, options: Options, lock: File, replay: Replay) -> anyhow::Result<Disk> {
         let mut segments: Vec<u32> = replay.segments.iter().map(|s| s.number).collect();
-        let whole = replay.segments.last().map_or(0, |segment| segment.whole);
+        let valid_bytes = replay.segments.last().map_or(0, |segment| segment.valid_bytes);
         let fresh = segments.is_empty();
         let number = segments.last().copied().unwrap_or(1);
         if fresh {
@@ -289,17 +292,17 @@
         }
         let path = segment_path(folder, number);
         let file = File::options().create(true).append(true).open(path)?;
-        file.set_len(whole)?;
+        file.set_len(valid_bytes)?;
         file.sync_all()?;
         sync_folder(folder)?;
-        let groups = replay.groups.into_iter().map(|(id, group)| (id, Live::of(group)));
+        let groups = replay.groups.into_iter().map(|(id, group)| (id, GroupState::of(group)));
         Ok(Disk {
             folder: folder.to_path_buf(),
             options,
             _lock: lock,
             file,
             segments,
-            offset: whole,
+            offset: valid_bytes,
             sequence: replay.sequence,
             rotated: false,
             sealed: fresh,
@@ -308,26 +311,26 @@
     }
 }
 
-impl Live {
-    fn of(group: ReplayedGroup) -> Live {
+impl GroupState {
+    fn of(group: ReplayedGroup) -> GroupState {
         let mark = wire::SnapshotMark {
-            index: group.mark.index.0,
-            term: group.mark.term.0,
+            index: group.snapshot.index.0,
+            term: group.snapshot.term.0,
             members: Some(group.members.to_wire()),
             length: group.length,
             reset: false,
         };
-        let forgotten = group.mark.index;
-        Live { ballot: group.ballot, mark, forgotten, written: group.written }
+        let compacted = group.snapshot.index;
+        GroupState { ballot: group.ballot, mark, compacted, written: group.written }
     }
 
-    fn needs(&self, segment: u32) -> bool {
-        self.written.get(&segment).is_some_and(|last| *last > self.forgotten)
+    fn has_entries_in(&self, segment: u32) -> bool {
+        self.written.get(&segment).is_some_and(|last| *last > self.compacted)
     }
 }
 
 /// Refuses a folder with findings, and names them all.
-fn refuse_damage(replay: &Replay) -> anyhow::Result<()> {
+fn check_findings(replay: &Replay) -> anyhow::Result<()> {
     if replay.findings.is_empty() {
         return Ok(());
     }
--- a/crates/gypsumglade/src/replica/budget.rs
+++ b/crates/gypsumglade/src/replica/budget.rs
@@ -6,29 +6,29 @@
 #[derive(Debug)]
 pub struct ByteBudget {
     limit: usize,
-    held: AtomicUsize,
+    used: AtomicUsize,
 }
 
 impl ByteBudget {
     /// Starts with nothing that waits.
     pub const fn new(limit: usize) -> ByteBudget {
-        ByteBudget { limit, held: AtomicUsize::new(0) }
+        ByteBudget { limit, used: AtomicUsize::new(0) }
     }
 
     /// Notes that `bytes` wait from now on, and tells whether there was room for them. What is longer
     /// than the limit has room while nothing else waits, for it would never have any otherwise.
-    pub fn try_take(&self, bytes: usize) -> bool {
-        let fits = |held: usize| (held == 0 || held + bytes <= self.limit).then_some(held + bytes);
-        self.held.fetch_update(Ordering::Relaxed, Ordering::Relaxed, fits).is_ok()
+    pub fn try_acquire(&self, bytes: usize) -> bool {
+        let fits = |used: usize| (used == 0 || used + bytes <= self.limit).then_some(used + bytes);
+        self.used.fetch_update(Ordering::Relaxed, Ordering::Relaxed, fits).is_ok()
     }
 
     /// Notes that `bytes` wait no more.
-    pub fn give(&self, bytes: usize) {
-        self.held.fetch_sub(bytes, Ordering::Relaxed);
+    pub fn release(&self, bytes: usize) {
+        self.used.fetch_sub(bytes, Ordering::Relaxed);
     }
 
     /// Returns the bytes that wait.
-    pub fn held(&self) -> usize {
-        self.held.load(Ordering::Relaxed)
+    pub fn used(&self) -> usize {
+        self.used.load(Ordering::Relaxed)
     }
 }
--- a/crates/gypsumglade/src/replica/calls.rs
+++ b/crates/gypsumglade/src/replica/calls.rs
@@ -10,8 +10,8 @@
 use prost::Message;
 use tokio::sync::oneshot;
 
-use super::engine::{Engine, Taking};
-use super::event::{ChangeError, Held, HostStatus, ProposeError, ReadError};
+use super::engine::{Engine, PendingSnapshot};
+use super::event::{ChangeError, HostStatus, MemoryUsage, ProposeError, ReadError};
 use super::group::{Group, Reply, Waiter};
 use super::storage::Storage;
 use crate::disk::{Job, JobWrite, RestoredGroup, Snapshot};
@@ -27,12 +27,12 @@
             let _ = reply.send(self.failed.is_none());
             return;
         }
-        self.creating.push((group, reply));
-        self.add(group, Restored::new_group(Members::from_voters(members)));
+        self.pending_creates.push((group, reply));
+        self.add_replica(group, Restored::new_group(Members::from_voters(members)));
     }
 
     /// Starts a replica that isn't on disk yet.
-    fn add(&mut self, group: GroupId, state: Restored) {
+    fn add_replica(&mut self, group: GroupId, state: Restored) {
         let snapshot = Snapshot {
             position: state.snapshot,
             members: state.members.clone(),
@@ -42,7 +42,7 @@
         };
         self.restore(RestoredGroup::empty(group, state));
         self.submit(Job { group, sequence: None, write: JobWrite::Snapshot(snapshot) });
-        self.take_done();
+        self.process_completed();
     }
 
     pub(super) fn propose(
@@ -63,7 +63,7 @@
     }
 
     /// Proposes what gathered since the last turn, in one write for each group.
-    pub(super) fn propose_gathered(&mut self) {
+    pub(super) fn propose_pending(&mut self) {
         for id in std::mem::take(&mut self.proposing) {
             let Some(group) = self.groups.get_mut(&id) else {
                 continue;
@@ -95,7 +95,7 @@
             _ => {}
         }
         self.carry_out(id, effects);
-        self.take_done();
+        self.process_completed();
     }
 
     pub(super) fn read(
@@ -103,8 +103,8 @@
         id: GroupId,
         reply: oneshot::Sender<Result<LogIndex, ReadError>>,
     ) {
-        self.tokens += 1;
-        let token = self.tokens;
+        self.last_token += 1;
+        let token = self.last_token;
         match self.groups.get_mut(&id) {
             Some(group) if self.failed.is_none() => {
                 group.reads.insert(token, reply);
@@ -140,7 +140,7 @@
             let leads = matches!(message.body, Some(Body::Append(_) | Body::Chunk(_)));
             if leads && !self.groups.contains_key(&id) {
                 // A leader was told to add this VM; the members come with its snapshot.
-                self.add(id, Restored::default());
+                self.add_replica(id, Restored::default());
             }
             self.step(id, Input::Message { from, message });
         }
@@ -158,7 +158,7 @@
         reply: oneshot::Sender<()>,
     ) {
         // A dropped reply ends the caller's wait.
-        let mark = self.groups.get(&id).and_then(|group| group.new_mark(index));
+        let mark = self.groups.get(&id).and_then(|group| group.new_snapshot_meta(index));
         let Some((position, members)) = mark.filter(|_| self.failed.is_none()) else {
             return;
         };
@@ -168,15 +168,16 @@
             group.snapshot = data.clone();
             group.length = data.len() as u64;
         }
-        let again = self.snapshots.iter().any(|other| other.group == id && other.index == index);
-        let bytes = if again { 0 } else { data.len() };
-        self.snapshots.push(Taking { group: id, index, bytes, reply });
-        if again {
+        let in_progress =
+            self.snapshots.iter().any(|other| other.group == id && other.index == index);
+        let bytes = if in_progress { 0 } else { data.len() };
+        self.snapshots.push(PendingSnapshot { group: id, index, bytes, reply });
+        if in_progress {
             return;
         }
         let snapshot = Snapshot { position, members, data, saved: 0, reset: false };
         self.submit(Job { group: id, sequence: None, write: JobWrite::Snapshot(snapshot) });
-        self.take_done();
+        self.process_completed();
     }
 
     pub(super) fn transfer_all(&mut self, reply: oneshot::Sender<()>) {
@@ -193,7 +194,7 @@
             return;
         }
         let now = self.now();
-        let leads = self.failed.is_none() && self.groups.values().any(Group::leads_others);
+        let leads = self.failed.is_none() && self.groups.values().any(Group::can_transfer);
         for (until, reply) in std::mem::take(&mut self.transfers) {
             if leads && now < until {
                 self.transfers.push((until, reply));
@@ -213,26 +214,26 @@
                 .values()
                 .map(|group| group.replica.status(now, &self.links))
                 .collect(),
-            held: self.held(commands),
+            held: self.memory_usage(commands),
         }
     }
 
-    fn held(&self, commands: usize) -> Held {
+    fn memory_usage(&self, commands: usize) -> MemoryUsage {
         let groups = self.groups.values();
-        let mut held = Held {
+        let mut usage = MemoryUsage {
             writing: self.snapshots.iter().map(|waiting| waiting.bytes).sum(),
-            events: self.events.waiting(),
+            events: self.events.pending_events(),
             commands,
-            inbox: self.inbox.held(),
-            ..Held::default()
+            inbox: self.inbox.used(),
+            ..MemoryUsage::default()
         };
         for group in groups {
-            held.cache += group.tail.cached();
-            held.arriving += group.incoming.len();
-            held.sending += group.snapshot.len();
-            held.sending += group.sent.as_ref().map_or(0, |(_, sent)| sent.len());
+            usage.cache += group.tail.cached();
+            usage.arriving += group.incoming.len();
+            usage.sending += group.snapshot.len();
+            usage.sending += group.peer_data.as_ref().map_or(0, |(_, data)| data.len());
         }
-        held
+        usage
     }
 }
 
--- a/crates/gypsumglade/src/replica/effects.rs
+++ b/crates/gypsumglade/src/replica/effects.rs
@@ -32,9 +32,9 @@
                 }
             }
             Effect::Commit { index } => self.commit(id, index),
-            Effect::Restore { position } => self.restored(id, position),
+            Effect::Restore { position } => self.handle_restore(id, position),
             Effect::Leader { term } => self.events.leader(id, term),
-            Effect::Follower { leader } => self.deposed(id, leader),
+            Effect::Follower { leader } => self.handle_follower(id, leader),
             Effect::ReadReady { token, index } => self.answer_read(id, token, Ok(index)),
             Effect::ReadRefused { token, leader } => {
                 self.answer_read(id, token, Err(ReadError::NotLeader { hint: leader }));
@@ -94,7 +94,7 @@
         };
         let limit = self.settings.replication.chunk_bytes;
         // A snapshot that is still being written is asked for again at a later heartbeat.
-        let Ok((data, last)) = group.piece_to_send(&self.storage, chunk.offset, limit) else {
+        let Ok((data, last)) = group.chunk_to_send(&self.storage, chunk.offset, limit) else {
             return;
         };
         chunk.data = data;
@@ -106,18 +106,18 @@
         let Some(group) = self.groups.get_mut(&id) else {
             return;
         };
-        group.settle_waiters(index);
+        group.resolve_waiters(index);
         self.events.commit(id, index);
         if group.wants_snapshot(&self.settings) {
             self.events.need_snapshot(id);
         }
     }
 
-    fn restored(&mut self, id: GroupId, position: Position) {
+    fn handle_restore(&mut self, id: GroupId, position: Position) {
         let Some(group) = self.groups.get_mut(&id) else {
             return;
         };
-        group.give_up(position.index);
+        group.abandon_waiters(position.index);
         let data = group.snapshot.clone();
         if data.is_empty() {
             return self.events.start(id, position.index);
@@ -125,12 +125,12 @@
         self.events.restore(id, position.index, data);
     }
 
-    fn deposed(&mut self, id: GroupId, leader: Option<VmId>) {
-        let until = self.now() + self.settings.settle;
+    fn handle_follower(&mut self, id: GroupId, leader: Option<VmId>) {
+        let until = self.now() + self.settings.outcome_timeout;
         if let Some(group) = self.groups.get_mut(&id)
             && !group.waiters.is_empty()
         {
-            group.settle.get_or_insert(until);
+            group.outcome_deadline.get_or_insert(until);
         }
         self.events.follower(id, leader);
     }
--- a/crates/gypsumglade/src/replica/engine.rs
+++ b/crates/gypsumglade/src/replica/engine.rs
@@ -16,7 +16,7 @@
 use super::settings::HostSettings;
 use super::storage::Storage;
 use crate::clock::Clock;
-use crate::disk::{Done, Job, JobWrite, RestoredGroup};
+use crate::disk::{CompletedJob, Job, JobWrite, RestoredGroup};
 
 /// Commands taken before effects that wait for a batch go out.
 const COMMANDS_PER_TURN: usize = 512;
@@ -55,7 +55,7 @@
         index: LogIndex,
         data: Bytes,
         /// Sent to other VMs in the place of `data`.
-        sent: Option<Bytes>,
+        peer_data: Option<Bytes>,
         reply: oneshot::Sender<()>,
     },
     TransferAll {
@@ -72,7 +72,7 @@
     Status {
         reply: oneshot::Sender<HostStatus>,
     },
-    Written(Vec<Done>),
+    Completed(Vec<CompletedJob>),
     /// These groups hold up the oldest file of the log.
     Compact(Vec<GroupId>),
     DiskFailed(CompactString),
@@ -87,10 +87,10 @@
     outbound: mpsc::Sender<Outbound>,
     events: mpsc::Sender<Event>,
     (inbox, bytes): (mpsc::UnboundedReceiver<Command>, Arc<ByteBudget>),
-    back: mpsc::WeakUnboundedSender<Command>,
+    commands: mpsc::WeakUnboundedSender<Command>,
     ready: oneshot::Sender<anyhow::Result<()>>,
 ) {
-    let opened = Storage::open(&settings, back).and_then(|(storage, groups)| {
+    let opened = Storage::open(&settings, commands).and_then(|(storage, groups)| {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build()?;
         let mut engine = Engine::new(settings, storage, groups, outbound, events);
         engine.inbox = bytes;
@@ -110,7 +110,7 @@
 
 /// A snapshot that is being written, and who waits for it.
 #[derive(Debug)]
-pub(super) struct Taking {
+pub(super) struct PendingSnapshot {
     pub(super) group: GroupId,
     pub(super) index: LogIndex,
     pub(super) bytes: usize,
@@ -127,25 +127,25 @@
     /// Pulses that stand in for idle groups' heartbeats.
     pub(super) links: Links,
     /// When timers were last looked at.
-    pub(super) ticked: Time,
+    pub(super) last_tick: Time,
     /// Groups with proposals that wait for the end of the turn.
     pub(super) proposing: Vec<GroupId>,
     /// When the next pulses go out.
-    pub(super) pulse: Time,
+    pub(super) next_pulse: Time,
     pub(super) outbox: Outbox,
     pub(super) events: EventQueue,
     pub(super) failed: Option<CompactString>,
-    pub(super) creating: Vec<(GroupId, oneshot::Sender<bool>)>,
-    pub(super) snapshots: Vec<Taking>,
+    pub(super) pending_creates: Vec<(GroupId, oneshot::Sender<bool>)>,
+    pub(super) snapshots: Vec<PendingSnapshot>,
     pub(super) transfers: Vec<(Time, oneshot::Sender<()>)>,
-    pub(super) tokens: u64,
+    pub(super) last_token: u64,
     /// Bytes of commands that this thread hasn't taken.
     pub(super) inbox: Arc<ByteBudget>,
     /// Commands that waited when the latest of them was taken.
-    pub(super) waiting: usize,
+    pub(super) queued_commands: usize,
     pub(super) effects: Vec<Effect>,
     /// Writes to memory, which are done at once.
-    pub(super) done: VecDeque<Done>,
+    pub(super) completed: VecDeque<CompletedJob>,
 }
 
 impl Engine {
@@ -165,20 +165,20 @@
             storage,
             // Far from the end of the range, for it is counted up.
             links: Links::new(rand::random::<u64>() >> 1),
-            ticked: Time::ZERO,
+            last_tick: Time::ZERO,
             proposing: Vec::new(),
-            pulse: Time::ZERO,
+            next_pulse: Time::ZERO,
             outbox: Outbox::new(outbound),
             events: EventQueue::new(events),
             failed: None,
-            creating: Vec::new(),
+            pending_creates: Vec::new(),
             snapshots: Vec::new(),
             transfers: Vec::new(),
-            tokens: 0,
+            last_token: 0,
             inbox: Arc::new(ByteBudget::new(0)),
-            waiting: 0,
+            queued_commands: 0,
             effects: Vec::new(),
-            done: VecDeque::new(),
+            completed: VecDeque::new(),
         };
         for restored in groups {
             engine.restore(restored);
@@ -192,22 +192,22 @@
     ) -> Option<oneshot::Sender<()>> {
         loop {
             self.tick();
-            self.propose_gathered();
+            self.propose_pending();
             self.send_pulses();
             self.outbox.flush();
             if let Err(error) = self.events.deliver(&self.groups, &mut self.storage) {
                 self.fail(format!("{error:#}").into());
             }
             self.finish_transfers();
-            let sleep = tokio::time::sleep((self.ticked + TICK).since(self.now()));
+            let sleep = tokio::time::sleep((self.last_tick + TICK).since(self.now()));
             tokio::select! {
                 command = inbox.recv() => {
                     let mut next = Some(command?);
-                    self.waiting = inbox.len();
+                    self.queued_commands = inbox.len();
                     for _ in 0..COMMANDS_PER_TURN {
                         match next {
                             Some(Command::Stop { reply }) => return Some(reply),
-                            Some(command) => self.take(command),
+                            Some(command) => self.handle_command(command),
                             None => break,
                         }
                         next = inbox.try_recv().ok();
@@ -216,7 +216,7 @@
                         if let Command::Stop { reply } = command {
                             return Some(reply);
                         }
-                        self.take(command);
+                        self.handle_command(command);
                     }
                 }
                 () = self.events.writable() => {}
@@ -229,11 +229,11 @@
         self.clock.now()
     }
 
-    fn take(&mut self, command: Command) {
+    fn handle_command(&mut self, command: Command) {
         match command {
             Command::Create { group, members, reply } => self.create(group, members, reply),
             Command::Propose { group, data, reply } => {
-                self.inbox.give(data.len());
+                self.inbox.release(data.len());
                 self.propose(group, data, reply);
             }
             Command::Read { group, reply } => self.read(group, reply),
@@ -245,21 +245,23 @@
                 let _ = reply.send(term.filter(|_| self.failed.is_none()));
             }
             Command::Receive { from, batch } => {
-                self.inbox.give(batch.len());
+                self.inbox.release(batch.len());
                 self.receive(from, batch);
             }
-            Command::Snapshot { group, index, data, sent, reply } => {
-                if let (Some(group), Some(sent)) = (self.groups.get_mut(&group), sent) {
-                    group.sent = Some((index, sent));
+            Command::Snapshot { group, index, data, peer_data, reply } => {
+                if let (Some(group), Some(peer_data)) = (self.groups.get_mut(&group), peer_data) {
+                    group.peer_data = Some((index, peer_data));
                 }
                 self.snapshot(group, index, data, reply);
             }
             Command::TransferAll { reply } => self.transfer_all(reply),
             Command::Transfer { group } => self.step(group, Input::Transfer),
             Command::Change { group, change, reply } => self.change(group, change, reply),
-            Command::Status { reply } => drop(reply.send(self.status(self.waiting))),
-            Command::Written(done) => done.into_iter().for_each(|done| self.written(done)),
-            Command::Compact(groups) => groups.into_iter().for_each(|group| self.release(group)),
+            Command::Status { reply } => drop(reply.send(self.status(self.queued_commands))),
+            Command::Completed(done) => done.into_iter().for_each(|done| self.job_completed(done)),
+            Command::Compact(groups) => {
+                groups.into_iter().for_each(|group| self.compact_group(group))
+            }
             Command::DiskFailed(reason) => self.fail(reason),
             Command::Stop { .. } => {}
         }
@@ -273,7 +275,7 @@
         let group = Group::new(settings, self.settings.vm, self.seed, restored, now);
         if group.length > 0 {
             let limit = usize::try_from(group.length).unwrap_or(usize::MAX);
-            match group.piece(&self.storage, 0, limit) {
+            match group.snapshot_chunk(&self.storage, 0, limit) {
                 Ok((data, _)) => self.events.restore(id, position.index, data),
                 Err(error) => self.fail(format!("{error:#}").into()),
             }
@@ -281,15 +283,15 @@
         self.events.start(id, position.index);
         self.groups.insert(id, group);
         // A group of one voter leads at its first tick.
-        self.ticked = Time::ZERO;
+        self.last_tick = Time::ZERO;
     }
 
     fn tick(&mut self) {
         let now = self.now();
-        if now < self.ticked + TICK {
+        if now < self.last_tick + TICK {
             return;
         }
-        self.ticked = now;
+        self.last_tick = now;
         if self.failed.is_some() {
             return;
         }
@@ -297,9 +299,9 @@
         let due: Vec<_> = due.map(|(&id, _)| id).collect();
         for id in due {
             if let Some(group) = self.groups.get_mut(&id)
-                && group.settle.is_some_and(|settle| settle <= now)
+                && group.outcome_deadline.is_some_and(|deadline| deadline <= now)
             {
-                group.give_up(LogIndex(u64::MAX));
+                group.abandon_waiters(LogIndex(u64::MAX));
             }
             self.step(id, Input::Tick);
         }
@@ -308,10 +310,10 @@
     /// Sends one pulse to each VM that shares a group with this one.
     fn send_pulses(&mut self) {
         let now = self.now();
-        if now < self.pulse {
+        if now < self.next_pulse {
             return;
         }
-        self.pulse = now + self.settings.replication.heartbeat;
+        self.next_pulse = now + self.settings.replication.heartbeat;
         if self.failed.is_some() {
             return;
         }
@@ -323,18 +325,18 @@
     }
 
     pub(super) fn submit(&mut self, job: Job) {
-        self.done.extend(self.storage.submit(job));
+        self.completed.extend(self.storage.submit(job));
     }
 
     /// Takes the writes that memory did at once, after the effects of the step that asked.
-    pub(super) fn take_done(&mut self) {
-        while let Some(done) = self.done.pop_front() {
-            self.written(done);
+    pub(super) fn process_completed(&mut self) {
+        while let Some(done) = self.completed.pop_front() {
+            self.job_completed(done);
         }
     }
 
     /// Takes the news that a write is on stable storage.
-    fn written(&mut self, done: Done) {
+    fn job_completed(&mut self, done: CompletedJob) {
         let id = done.group;
         let Some(group) = self.groups.get_mut(&id) else {
             return;
@@ -342,7 +344,7 @@
         for written in done.entries {
             // An entry that was replaced while it was being written is not the log's any more.
             if group.replica.term_at(written.index) == Some(written.term) {
-                group.tail.note_place(written.index, written.place);
+                group.tail.set_location(written.index, written.location);
             }
         }
         group.tail.evict(self.settings.cache_bytes);
@@ -355,7 +357,7 @@
     }
 
     fn snapshot_written(&mut self, id: GroupId, index: LogIndex, length: u64) {
-        for (_, reply) in self.creating.extract_if(.., |(group, _)| *group == id) {
+        for (_, reply) in self.pending_creates.extract_if(.., |(group, _)| *group == id) {
             let _ = reply.send(true);
         }
         self.step(id, Input::Snapshotted(index));
@@ -367,17 +369,17 @@
             }
             group.length = length;
             let base = group.compact();
-            group.note_snapshot();
-            self.submit(Job { group: id, sequence: None, write: JobWrite::Forget(base) });
+            group.clear_request();
+            self.submit(Job { group: id, sequence: None, write: JobWrite::Compact(base) });
         }
-        let taken = |waiting: &mut Taking| waiting.group == id && waiting.index <= index;
+        let taken = |waiting: &mut PendingSnapshot| waiting.group == id && waiting.index <= index;
         for waiting in self.snapshots.extract_if(.., taken) {
             let _ = waiting.reply.send(());
         }
     }
 
     /// Lets go of a group's oldest entries: they hold up the files of all groups.
-    fn release(&mut self, id: GroupId) {
+    fn compact_group(&mut self, id: GroupId) {
         let Some(group) = self.groups.get_mut(&id) else {
             return;
         };
@@ -386,7 +388,7 @@
         if group.replica.commit() > base {
             self.events.need_snapshot(id);
         }
-        self.submit(Job { group: id, sequence: None, write: JobWrite::Forget(base) });
+        self.submit(Job { group: id, sequence: None, write: JobWrite::Compact(base) });
     }
 
     /// Stops answering. What was synced is kept; what wasn't was promised to nobody.
@@ -399,10 +401,10 @@
         }
         self.failed = Some(reason.clone());
         for group in self.groups.values_mut() {
-            group.give_up(LogIndex(u64::MAX));
+            group.abandon_waiters(LogIndex(u64::MAX));
             group.reads.clear();
         }
-        self.creating.clear();
+        self.pending_creates.clear();
         self.snapshots.clear();
         self.events.fail(reason);
     }
@@ -418,6 +420,6 @@
         let mut effects = std::mem::take(&mut self.effects);
         group.replica.step(now, &self.links, input, &mut effects);
         self.carry_out(id, effects);
-        self.take_done();
+        self.process_completed();
     }
 }
--- a/crates/gypsumglade/src/replica/event.rs
+++ b/crates/gypsumglade/src/replica/event.rs
@@ -101,7 +101,7 @@
     Refused(#[from] Refusal),
     /// It was appended, and its outcome is this.
     #[error(transparent)]
-    Lost(#[from] ProposeError),
+    Proposal(#[from] ProposeError),
 }
 
 /// State of a host for the dump.
@@ -114,12 +114,12 @@
     /// Its replicas, by group.
     pub groups: Vec<Status>,
     /// What it holds in memory.
-    pub held: Held,
+    pub held: MemoryUsage,
 }
 
 /// What a host holds in memory, by kind, so that one can tell which of them grows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Held {
+pub struct MemoryUsage {
     /// Bytes of the logs' latest entries.
     pub cache: usize,
     /// Bytes of snapshots that are being written to disk.
--- a/crates/gypsumglade/src/replica/group.rs
+++ b/crates/gypsumglade/src/replica/group.rs
@@ -11,14 +11,14 @@
 use super::event::{ChangeError, ProposeError, ReadError};
 use super::settings::HostSettings;
 use super::storage::Storage;
-use super::tail::{Found, Tail};
+use super::tail::{EntrySource, Tail};
 use crate::disk::{RestoredGroup, Snapshot};
 
 /// How many times longer the log may grow while a snapshot is on its way to another VM.
-const SENDING_FACTOR: u64 = 4;
+const TRANSFER_LOG_FACTOR: u64 = 4;
 
 /// How many times longer than the last snapshot the log may grow before the next one.
-const LOG_FACTOR: u64 = 2;
+const SNAPSHOT_LOG_FACTOR: u64 = 2;
 
 /// Whom to tell what became of an appended entry.
 #[derive(Debug)]
@@ -32,7 +32,7 @@
         // A caller that has gone needs no answer.
         match self {
             Reply::Propose(reply) => drop(reply.send(result)),
-            Reply::Change(reply) => drop(reply.send(result.map_err(ChangeError::Lost))),
+            Reply::Change(reply) => drop(reply.send(result.map_err(ChangeError::Proposal))),
         }
     }
 }
@@ -56,7 +56,7 @@
     pub(super) waiters: VecDeque<Waiter>,
     pub(super) reads: HashMap<u64, oneshot::Sender<Result<LogIndex, ReadError>>>,
     /// When callers of a deposed leader stop waiting.
-    pub(super) settle: Option<Time>,
+    pub(super) outcome_deadline: Option<Time>,
     /// Pieces of an arriving snapshot.
     pub(super) incoming: Vec<u8>,
     /// The snapshot, if it isn't in a file.
@@ -65,9 +65,9 @@
     pub(super) length: u64,
     /// What other VMs are sent in the place of the snapshot at an index. It is there before that
     /// snapshot is, so all pieces of one that is sent are of the same.
-    pub(super) sent: Option<(LogIndex, Bytes)>,
+    pub(super) peer_data: Option<(LogIndex, Bytes)>,
     /// The commit index at which a snapshot was last asked for.
-    pub(super) asked: LogIndex,
+    pub(super) requested_index: LogIndex,
 }
 
 impl Group {
@@ -83,23 +83,23 @@
         Group {
             id: restored.group,
             replica,
-            tail: Tail::new(start, restored.places),
+            tail: Tail::new(start, restored.locations),
             proposals: Vec::new(),
             waiters: VecDeque::new(),
             reads: HashMap::new(),
-            settle: None,
+            outcome_deadline: None,
             incoming: Vec::new(),
             snapshot: Bytes::new(),
-            sent: None,
+            peer_data: None,
             length: restored.length,
-            asked: start,
+            requested_index: start,
         }
     }
 
     /// Returns when the group wants to be looked at.
     pub(super) fn deadline(&self) -> Time {
-        let settle = self.settle.unwrap_or(Time::MAX);
-        self.replica.deadline().min(settle)
+        let outcome_deadline = self.outcome_deadline.unwrap_or(Time::MAX);
+        self.replica.deadline().min(outcome_deadline)
     }
 
     /// Reads one entry, from memory or from disk.
@@ -109,31 +109,31 @@
         index: LogIndex,
     ) -> anyhow::Result<wire::Entry> {
         match self.tail.find(index) {
-            Some(Found::Cached(entry)) => Ok(entry),
-            Some(Found::OnDisk(place)) => storage.read_entry(place),
+            Some(EntrySource::Cached(entry)) => Ok(entry),
+            Some(EntrySource::OnDisk(location)) => storage.read_entry(location),
             None => anyhow::bail!("entry {index} is not in the log"),
         }
     }
 
     /// Answers the callers whose entries are settled by a commit up to `index`.
-    pub(super) fn settle_waiters(&mut self, index: LogIndex) {
+    pub(super) fn resolve_waiters(&mut self, index: LogIndex) {
         while let Some(waiter) = self.next_waiter(index) {
             let stands = self.replica.term_at(waiter.index) == Some(waiter.term);
             let result = if stands { Ok(waiter.index) } else { Err(ProposeError::Dropped) };
             waiter.reply.send(result);
         }
         if self.waiters.is_empty() {
-            self.settle = None;
+            self.outcome_deadline = None;
         }
     }
 
     /// Tells the callers up to `index` that nobody here can tell what became of their entries.
-    pub(super) fn give_up(&mut self, index: LogIndex) {
+    pub(super) fn abandon_waiters(&mut self, index: LogIndex) {
         while let Some(waiter) = self.next_waiter(index) {
             waiter.reply.send(Err(ProposeError::Uncertain));
         }
         if self.waiters.is_empty() {
-            self.settle = None;
+            self.outcome_deadline = None;
         }
     }
 
@@ -144,7 +144,7 @@
 
     /// Returns where a snapshot at `index` would stand, unless one does already. Writing its file
     /// a second time could leave, after a crash, a file that its mark doesn't fit.
-    pub(super) fn new_mark(&self, index: LogIndex) -> Option<(Position, Members)> {
+    pub(super) fn new_snapshot_meta(&self, index: LogIndex) -> Option<(Position, Members)> {
         let known = self.replica.snapshot().index;
         let there = index < known || (index == known && self.length > 0);
         self.replica.snapshot_meta(index).filter(|_| !there)
@@ -162,7 +162,7 @@
     pub(super) fn install(&mut self, position: Position, members: &Members) -> Snapshot {
         let data = Bytes::from(std::mem::take(&mut self.incoming));
         self.tail.reset(position.index);
-        self.asked = position.index;
+        self.requested_index = position.index;
         self.snapshot = data.clone();
         self.length = data.len() as u64;
         Snapshot { position, members: members.clone(), data, saved: 0, reset: true }
@@ -172,34 +172,34 @@
     pub(super) fn compact(&mut self) -> LogIndex {
         let base = self.replica.base();
         self.tail.compact(base);
-        self.asked = self.asked.max(self.replica.snapshot().index);
+        self.requested_index = self.requested_index.max(self.replica.snapshot().index);
         base
     }
 
     /// Notes that the owner gave the snapshot that it was asked for. It stands before the index at
     /// which it was asked, but the next one need not wait for that.
-    pub(super) fn note_snapshot(&mut self) {
-        self.asked = self.replica.snapshot().index;
+    pub(super) fn clear_request(&mut self) {
+        self.requested_index = self.replica.snapshot().index;
     }
 
     /// Reads a piece of what other VMs are sent for the snapshot, and tells whether it is the last.
-    pub(super) fn piece_to_send(
+    pub(super) fn chunk_to_send(
         &self,
         storage: &Storage,
         offset: u64,
         limit: usize,
     ) -> anyhow::Result<(Bytes, bool)> {
         let index = self.replica.snapshot().index;
-        let Some((_, sent)) = self.sent.as_ref().filter(|(at, _)| *at == index) else {
-            return self.piece(storage, offset, limit);
+        let Some((_, peer_data)) = self.peer_data.as_ref().filter(|(at, _)| *at == index) else {
+            return self.snapshot_chunk(storage, offset, limit);
         };
-        let start = usize::try_from(offset)?.min(sent.len());
-        let end = (start + limit).min(sent.len());
-        Ok((sent.slice(start..end), end == sent.len()))
+        let start = usize::try_from(offset)?.min(peer_data.len());
+        let end = (start + limit).min(peer_data.len());
+        Ok((peer_data.slice(start..end), end == peer_data.len()))
     }
 
     /// Reads a piece of the snapshot, and tells whether it is the last.
-    pub(super) fn piece(
+    pub(super) fn snapshot_chunk(
         &self,
         storage: &Storage,
         offset: u64,
@@ -223,27 +223,28 @@
     /// Tells whether the owner should be asked for a snapshot, and notes that it was.
     pub(super) fn wants_snapshot(&mut self, settings: &HostSettings) -> bool {
         let entries = settings.snapshot_entries;
-        let bytes = self.length.saturating_mul(LOG_FACTOR).max(settings.snapshot_least);
+        let bytes = self.length.saturating_mul(SNAPSHOT_LOG_FACTOR).max(settings.snapshot_min);
         let bytes = bytes.min(settings.snapshot_bytes);
         let commit = self.replica.commit();
         let length = commit.0.saturating_sub(self.replica.snapshot().index.0);
         // A new snapshot makes one that is on its way to another VM start over. Under constant
         // load that VM would never get a whole one.
-        let patience = if self.replica.is_sending_snapshot() { SENDING_FACTOR } else { 1 };
-        let (entries, bytes) = (entries.saturating_mul(patience), bytes.saturating_mul(patience));
+        let factor = if self.replica.is_sending_snapshot() { TRANSFER_LOG_FACTOR } else { 1 };
+        let (entries, bytes) = (entries.saturating_mul(factor), bytes.saturating_mul(factor));
         let long = length >= entries || (length > 0 && self.tail.bytes() >= bytes);
         // An owner that was asked is asked again only after a tenth of the limit, in case the
         // first request was lost to it.
-        let answered = self.asked <= self.replica.snapshot().index;
-        let again = answered || commit.0.saturating_sub(self.asked.0) >= (entries / 10).max(1);
+        let answered = self.requested_index <= self.replica.snapshot().index;
+        let again =
+            answered || commit.0.saturating_sub(self.requested_index.0) >= (entries / 10).max(1);
         if long && again {
-            self.asked = commit;
+            self.requested_index = commit;
         }
         long && again
     }
 
     /// Tells whether other VMs could lead in this one's place.
-    pub(super) fn leads_others(&self) -> bool {
+    pub(super) fn can_transfer(&self) -> bool {
         self.replica.role() == Role::Leader && !self.replica.is_only_voter()
     }
 }
--- a/crates/gypsumglade/src/replica/host.rs
+++ b/crates/gypsumglade/src/replica/host.rs
@@ -37,14 +37,15 @@
     ) -> anyhow::Result<(Host, mpsc::Receiver<Event>)> {
         let (commands, inbox) = mpsc::unbounded_channel();
         let (events, receiver) = mpsc::channel(EVENT_BACKLOG);
-        let (ready, started) = oneshot::channel();
-        let back = commands.downgrade();
+        let (ready, opened) = oneshot::channel();
+        let weak_commands = commands.downgrade();
         let commits = settings.commits.clone();
         let waiting = Arc::new(ByteBudget::new(INBOX_BYTES));
         let bytes = Arc::clone(&waiting);
-        let run = move || engine::run(settings, outbound, events, (inbox, bytes), back, ready);
+        let run =
+            move || engine::run(settings, outbound, events, (inbox, bytes), weak_commands, ready);
         std::thread::Builder::new().name("replicas".to_owned()).spawn(run)?;
-        started.await.context("the replica thread ended before it started")??;
+        opened.await.context("the replica thread ended before it started")??;
         Ok((Host { commands, commits, inbox: waiting }, receiver))
     }
 
@@ -53,8 +54,8 @@
     /// Every member creates it with the same members; a replica that joins later is created by
     /// its leader's first message instead.
     pub async fn create(&self, group: GroupId, members: Vec<VmId>) -> anyhow::Result<()> {
-        let made = self.ask(|reply| Command::Create { group, members, reply }).await;
-        match made {
+        let created = self.ask(|reply| Command::Create { group, members, reply }).await;
+        match created {
             Some(true) => Ok(()),
             _ => bail!("{group} was not created: the disk failed; restart the process"),
         }
@@ -62,15 +63,15 @@
 
     /// Appends a command and resolves once a quorum has synced it.
     pub async fn propose(&self, group: GroupId, data: Bytes) -> Result<LogIndex, ProposeError> {
-        let asked = Instant::now();
-        let outcome = if self.inbox.try_take(data.len()) {
+        let started = Instant::now();
+        let outcome = if self.inbox.try_acquire(data.len()) {
             let reply = self.ask(|reply| Command::Propose { group, data, reply }).await;
             reply.unwrap_or(Err(ProposeError::Uncertain))
         } else {
             Err(ProposeError::Dropped)
         };
         if let Some(commits) = &self.commits {
-            commits.record(group, asked.elapsed(), outcome_name(outcome));
+            commits.record(group, started.elapsed(), outcome_name(outcome));
         }
         outcome
     }
@@ -91,7 +92,7 @@
     /// Takes a batch that another VM's host gave out, or drops it while too much waits: its sender
     /// repeats what isn't answered.
     pub fn receive(&self, from: VmId, batch: Bytes) {
-        if !self.inbox.try_take(batch.len()) {
+        if !self.inbox.try_acquire(batch.len()) {
             return;
         }
         // A host that has ended needs no messages.
@@ -101,19 +102,26 @@
     /// Takes a snapshot of a state machine that has applied all entries up to `index`. The log
     /// before it is dropped once the snapshot is synced.
     pub async fn snapshot(&self, group: GroupId, index: LogIndex, data: Bytes) {
-        self.ask(|reply| Command::Snapshot { group, index, data, sent: None, reply }).await;
+        self.ask(|reply| Command::Snapshot { group, index, data, peer_data: None, reply }).await;
     }
 
     /// As [`Host::snapshot`], with something shorter that other VMs are sent in its place. Their
     /// owners must be able to do without the rest, or to fetch it.
-    pub async fn snapshot_sending(
+    pub async fn snapshot_with_peer_data(
         &self,
         group: GroupId,
         index: LogIndex,
         data: Bytes,
-        sent: Bytes,
+        peer_data: Bytes,
     ) {
-        self.ask(|reply| Command::Snapshot { group, index, data, sent: Some(sent), reply }).await;
+        self.ask(|reply| Command::Snapshot {
+            group,
+            index,
+            data,
+            peer_data: Some(peer_data),
+            reply,
+        })
+        .await;
     }
 
     /// Hands over the leadership of every group, and returns once it is handed over or no
@@ -135,7 +143,7 @@
         change: MemberChange,
     ) -> Result<LogIndex, ChangeError> {
         let reply = self.ask(|reply| Command::Change { group, change, reply }).await;
-        reply.unwrap_or(Err(ChangeError::Lost(ProposeError::Uncertain)))
+        reply.unwrap_or(Err(ChangeError::Proposal(ProposeError::Uncertain)))
     }
 
     /// Returns the state of every replica.
--- a/crates/gypsumglade/src/replica/mod.rs
+++ b/crates/gypsumglade/src/replica/mod.rs
@@ -17,6 +17,6 @@
 mod tail;
 
 pub use budget::ByteBudget;
-pub use event::{ChangeError, Event, Held, HostStatus, Outbound, ProposeError, ReadError};
+pub use event::{ChangeError, Event, HostStatus, MemoryUsage, Outbound, ProposeError, ReadError};
 pub use host::Host;
 pub use settings::HostSettings;
--- a/crates/gypsumglade/src/replica/queue.rs
+++ b/crates/gypsumglade/src/replica/queue.rs
@@ -31,9 +31,9 @@
     sender: mpsc::Sender<Event>,
     pending: VecDeque<Pending>,
     /// Bytes of each event that was put into the channel, as far back as the owner hasn't taken them.
-    sent: VecDeque<usize>,
+    sent_bytes: VecDeque<usize>,
     /// The last index of each group that was put in the queue.
-    queued: BTreeMap<GroupId, LogIndex>,
+    last_queued: BTreeMap<GroupId, LogIndex>,
 }
 
 impl EventQueue {
@@ -41,33 +41,33 @@
         EventQueue {
             sender,
             pending: VecDeque::new(),
-            sent: VecDeque::new(),
-            queued: BTreeMap::new(),
+            sent_bytes: VecDeque::new(),
+            last_queued: BTreeMap::new(),
         }
     }
 
     /// Returns how many events the owner has not taken.
-    pub(super) fn waiting(&self) -> usize {
-        let waiting = |pending: &Pending| match pending {
+    pub(super) fn pending_events(&self) -> usize {
+        let count = |pending: &Pending| match pending {
             Pending::Commit { next, last, .. } => (last.0 + 1).saturating_sub(next.0) as usize,
             Pending::Event(_) => 1,
         };
-        self.untaken() + self.pending.iter().map(waiting).sum::<usize>()
+        self.undelivered() + self.pending.iter().map(count).sum::<usize>()
     }
 
     /// Notes that a group's state machine starts after `index`; nothing is delivered for it.
     pub(super) fn start(&mut self, group: GroupId, index: LogIndex) {
-        self.forget(group);
-        self.queued.insert(group, index);
+        self.drop_commits(group);
+        self.last_queued.insert(group, index);
     }
 
     pub(super) fn commit(&mut self, group: GroupId, last: LogIndex) {
-        let queued = self.queued.entry(group).or_default();
-        if last <= *queued {
+        let last_queued = self.last_queued.entry(group).or_default();
+        if last <= *last_queued {
             return;
         }
-        let next = queued.next();
-        *queued = last;
+        let next = last_queued.next();
+        *last_queued = last;
         if let Some(Pending::Commit { group: same, last: end, .. }) = self.pending.back_mut()
             && *same == group
         {
@@ -110,20 +110,20 @@
     }
 
     /// Returns how many events in the channel the owner hasn't taken.
-    fn untaken(&self) -> usize {
+    fn undelivered(&self) -> usize {
         self.sender.max_capacity() - self.sender.capacity()
     }
 
     /// Tells whether as many bytes as may wait for the owner do.
     fn is_full(&self) -> bool {
-        let untaken = self.sent.iter().rev().take(self.untaken());
-        untaken.sum::<usize>() >= EVENT_BYTES
+        let recent = self.sent_bytes.iter().rev().take(self.undelivered());
+        recent.sum::<usize>() >= EVENT_BYTES
     }
 
-    fn note_sent(&mut self, bytes: usize) {
-        self.sent.push_back(bytes);
-        let taken = self.sent.len().saturating_sub(self.untaken());
-        self.sent.drain(..taken);
+    fn record_sent(&mut self, bytes: usize) {
+        self.sent_bytes.push_back(bytes);
+        let taken = self.sent_bytes.len().saturating_sub(self.undelivered());
+        self.sent_bytes.drain(..taken);
     }
 
     /// Delivers as much as there is room for. Returns an entry's read error, if one failed.
@@ -153,16 +153,16 @@
                 },
             };
             if let Some(event) = event {
-                let bytes = length(&event);
+                let bytes = data_length(&event);
                 permit.send(event);
-                self.note_sent(bytes);
+                self.record_sent(bytes);
             }
         }
         Ok(())
     }
 
     /// Drops a group's commits that a snapshot overtook: their entries are gone from the log.
-    fn forget(&mut self, group: GroupId) {
+    fn drop_commits(&mut self, group: GroupId) {
         self.pending.retain(
             |pending| !matches!(pending, Pending::Commit { group: of, .. } if *of == group),
         );
@@ -170,7 +170,7 @@
 }
 
 /// Returns the bytes of an event's data.
-fn length(event: &Event) -> usize {
+fn data_length(event: &Event) -> usize {
     match event {
         Event::Committed { data, .. } | Event::Restore { data, .. } => data.len(),
         Event::Leader { .. }
--- a/crates/gypsumglade/src/replica/settings.rs
+++ b/crates/gypsumglade/src/replica/settings.rs
@@ -21,7 +21,7 @@
     pub snapshot_entries: u64,
     /// Bytes of a group's entries after which its owner is asked for a snapshot, if its last one was
     /// small. Else it is asked at twice that one's length: a snapshot costs as much as it is long.
-    pub snapshot_least: u64,
+    pub snapshot_min: u64,
     /// Bytes of a group's entries after which its owner is asked for a snapshot at the latest.
     pub snapshot_bytes: u64,
     /// Bytes of a group's latest entries that stay in memory.
@@ -29,7 +29,7 @@
     /// Bytes after which the log goes on in a new file. A start reads one file at a time, whole.
     pub segment_bytes: u64,
     /// How long a proposal waits for its outcome after its leader was deposed.
-    pub settle: Duration,
+    pub outcome_timeout: Duration,
     /// Spreads election timeouts; drawn at random when not set.
     pub seed: Option<u64>,
     /// Where the time from a proposal to its outcome is noted.
@@ -46,11 +46,11 @@
             folder: None,
             replication: Settings::default(),
             snapshot_entries: 10_000,
-            snapshot_least: 4 * 1024 * 1024,
+            snapshot_min: 4 * 1024 * 1024,
             snapshot_bytes: 64 * 1024 * 1024,
             cache_bytes: 1024 * 1024,
             segment_bytes: 4 * 1024 * 1024,
-            settle: Duration::from_secs(5),
+            outcome_timeout: Duration::from_secs(5),
             seed: None,
             commits: None,
             faults: Faults::default(),
--- a/crates/gypsumglade/src/replica/storage.rs
+++ b/crates/gypsumglade/src/replica/storage.rs
@@ -11,7 +11,9 @@
 
 use super::engine::Command;
 use super::settings::HostSettings;
-use crate::disk::{self, Disk, Done, Job, JobWrite, Place, Reader, RestoredGroup, Saver};
+use crate::disk::{
+    self, CompletedJob, Disk, Job, JobWrite, Reader, RecordLocation, RestoredGroup, SnapshotWriter,
+};
 
 /// Jobs that one sync covers at most; a bound on how long the first of them waits.
 const JOBS_PER_SYNC: usize = 4096;
@@ -40,7 +42,7 @@
 impl Storage {
     pub(super) fn open(
         settings: &HostSettings,
-        back: WeakUnboundedSender<Command>,
+        commands: WeakUnboundedSender<Command>,
     ) -> anyhow::Result<(Storage, Vec<RestoredGroup>)> {
         let Some(folder) = &settings.folder else {
             return Ok((Storage::Memory, Vec::new()));
@@ -52,25 +54,25 @@
         };
         let (disk, groups) = Disk::open(folder, options)
             .with_context(|| format!("the data folder {} can't be used", folder.display()))?;
-        let (reader, saver) = (disk.reader(), disk.saver());
+        let (reader, snapshot_writer) = (disk.reader(), disk.snapshot_writer());
         let (jobs, queue) = mpsc::channel();
         let (snapshots, files) = mpsc::channel();
-        let (report, marks) = (back.clone(), jobs.clone());
+        let (report, marks) = (commands.clone(), jobs.clone());
         let threads = vec![
-            spawn("disk", move || write_all(disk, &queue, &back))?,
-            spawn("snapshots", move || save_all(&saver, &files, &marks, &report))?,
+            spawn("disk", move || write_jobs(disk, &queue, &commands))?,
+            spawn("snapshots", move || save_snapshots(&snapshot_writer, &files, &marks, &report))?,
         ];
         Ok((Storage::Folder { jobs, snapshots, reader, threads }, groups))
     }
 
     /// Hands a write to the disk. Returns what is done already.
-    pub(super) fn submit(&self, job: Job) -> Option<Done> {
+    pub(super) fn submit(&self, job: Job) -> Option<CompletedJob> {
         match self {
-            Storage::Memory => Some(Done::of_memory(&job)),
+            Storage::Memory => Some(CompletedJob::for_memory(&job)),
             Storage::Folder { jobs, snapshots, .. } => {
-                let beside = matches!(&job.write, JobWrite::Snapshot(snapshot)
+                let separate = matches!(&job.write, JobWrite::Snapshot(snapshot)
                     if !snapshot.reset && !snapshot.data.is_empty());
-                let queue = if beside { snapshots } else { jobs };
+                let queue = if separate { snapshots } else { jobs };
                 // A thread ends only after it has reported its failure.
                 let _ = queue.send(job);
                 None
@@ -78,10 +80,10 @@
         }
     }
 
-    pub(super) fn read_entry(&mut self, place: Place) -> anyhow::Result<Entry> {
+    pub(super) fn read_entry(&mut self, location: RecordLocation) -> anyhow::Result<Entry> {
         match self {
             Storage::Memory => anyhow::bail!("an entry is gone from memory"),
-            Storage::Folder { reader, .. } => reader.entry(place),
+            Storage::Folder { reader, .. } => reader.entry(location),
         }
     }
 
@@ -119,23 +121,23 @@
 
 /// Writes the files of snapshots, and hands on their marks. On the log's own thread a large file
 /// would hold up the commits of all groups.
-fn save_all(
-    saver: &Saver,
+fn save_snapshots(
+    snapshot_writer: &SnapshotWriter,
     queue: &mpsc::Receiver<Job>,
     marks: &mpsc::Sender<Job>,
-    back: &WeakUnboundedSender<Command>,
+    commands: &WeakUnboundedSender<Command>,
 ) {
     while let Ok(mut job) = queue.recv() {
         let JobWrite::Snapshot(snapshot) = &mut job.write else {
             continue;
         };
-        let Err(error) = saver.save(job.group, snapshot) else {
+        let Err(error) = snapshot_writer.save(job.group, snapshot) else {
             // Without the log's thread the host has failed already.
             let _ = marks.send(job);
             continue;
         };
-        if let Some(back) = back.upgrade() {
-            let _ = back.send(Command::DiskFailed(format!("{error:#}").into()));
+        if let Some(commands) = commands.upgrade() {
+            let _ = commands.send(Command::DiskFailed(format!("{error:#}").into()));
         }
         return;
     }
@@ -143,11 +145,15 @@
 
 /// Writes jobs until there are none to come. While one sync runs, the next batch gathers, so a
 /// sync covers more groups the slower the disk is.
-fn write_all(mut disk: Disk, queue: &mpsc::Receiver<Job>, back: &WeakUnboundedSender<Command>) {
+fn write_jobs(
+    mut disk: Disk,
+    queue: &mpsc::Receiver<Job>,
+    commands: &WeakUnboundedSender<Command>,
+) {
     let mut batch = Vec::new();
     let report = |command| {
         // Without a loop nobody waits for the answer.
-        back.upgrade().is_some_and(|back| back.send(command).is_ok())
+        commands.upgrade().is_some_and(|commands| commands.send(command).is_ok())
     };
     loop {
         let result = match queue.recv_timeout(SEAL_DELAY) {
@@ -162,10 +168,10 @@
         match result {
             Ok(done) if done.is_empty() => {}
             Ok(done) => {
-                report(Command::Written(done));
-                let holders = disk.holders();
-                if !holders.is_empty() {
-                    report(Command::Compact(holders));
+                report(Command::Completed(done));
+                let blocking_groups = disk.blocking_groups();
+                if !blocking_groups.is_empty() {
+                    report(Command::Compact(blocking_groups));
                 }
             }
             Err(error) => {
--- a/crates/gypsumglade/src/replica/tail.rs
+++ b/crates/gypsumglade/src/replica/tail.rs
@@ -6,7 +6,7 @@
 use gypsumglade_core::replication::LogIndex;
 use gypsumglade_core::wire::replication as wire;
 
-use crate::disk::Place;
+use crate::disk::RecordLocation;
 
 /// Where the entries of one group can be read, from the snapshot on.
 #[derive(Debug)]
@@ -14,7 +14,7 @@
     /// The entry after the snapshot.
     first: u64,
     /// Places of synced entries, from `first` on.
-    places: VecDeque<Place>,
+    locations: VecDeque<RecordLocation>,
     /// The latest entries.
     cache: VecDeque<wire::Entry>,
     /// Bytes of data in the cache.
@@ -25,17 +25,17 @@
 
 /// What a [`Tail`] knows of an entry.
 #[derive(Debug)]
-pub(super) enum Found {
+pub(super) enum EntrySource {
     /// The entry itself.
     Cached(wire::Entry),
     /// Where to read it.
-    OnDisk(Place),
+    OnDisk(RecordLocation),
 }
 
 impl Tail {
-    pub(super) fn new(snapshot: LogIndex, places: VecDeque<Place>) -> Tail {
-        let bytes = places.iter().map(|place| u64::from(place.length)).sum();
-        Tail { first: snapshot.0 + 1, places, cache: VecDeque::new(), cached: 0, bytes }
+    pub(super) fn new(snapshot: LogIndex, locations: VecDeque<RecordLocation>) -> Tail {
+        let bytes = locations.iter().map(|location| u64::from(location.length)).sum();
+        Tail { first: snapshot.0 + 1, locations, cache: VecDeque::new(), cached: 0, bytes }
     }
 
     /// Adds entries; the first one's index replaces whatever stood there and after.
@@ -54,22 +54,22 @@
     }
 
     /// Notes where an entry was written. The caller has checked that the entry still stands.
-    pub(super) fn note_place(&mut self, index: LogIndex, place: Place) {
-        let Some(slot) = index.0.checked_sub(self.first) else {
+    pub(super) fn set_location(&mut self, index: LogIndex, location: RecordLocation) {
+        let Some(offset) = index.0.checked_sub(self.first) else {
             return;
         };
-        let slot = slot as usize;
-        if slot < self.places.len() {
-            self.places[slot] = place;
-        } else if slot == self.places.len() {
-            self.places.push_back(place);
+        let offset = offset as usize;
+        if offset < self.locations.len() {
+            self.locations[offset] = location;
+        } else if offset == self.locations.len() {
+            self.locations.push_back(location);
         }
     }
 
     /// Drops entries from memory that are on disk, until `limit` bytes are left.
     pub(super) fn evict(&mut self, limit: usize) {
         while self.cached > limit {
-            let written = self.first + self.places.len() as u64;
+            let written = self.first + self.locations.len() as u64;
             if self.cache.front().is_none_or(|entry| entry.index >= written) {
                 return;
             }
@@ -80,9 +80,9 @@
     /// Drops what a snapshot covers.
     pub(super) fn compact(&mut self, snapshot: LogIndex) {
         let first = snapshot.0 + 1;
-        let covered = first.saturating_sub(self.first).min(self.places.len() as u64);
-        for place in self.places.drain(..covered as usize) {
-            self.bytes = self.bytes.saturating_sub(u64::from(place.length));
+        let covered = first.saturating_sub(self.first).min(self.locations.len() as u64);
+        for location in self.locations.drain(..covered as usize) {
+            self.bytes = self.bytes.saturating_sub(u64::from(location.length));
         }
         while self.cache.front().is_some_and(|entry| entry.index < first) {
             self.pop_cached();
@@ -95,15 +95,15 @@
         *self = Tail::new(snapshot, VecDeque::new());
     }
 
-    pub(super) fn find(&self, index: LogIndex) -> Option<Found> {
+    pub(super) fn find(&self, index: LogIndex) -> Option<EntrySource> {
         if let Some(front) = self.cache.front()
             && index.0 >= front.index
         {
-            let slot = (index.0 - front.index) as usize;
-            return self.cache.get(slot).cloned().map(Found::Cached);
+            let offset = (index.0 - front.index) as usize;
+            return self.cache.get(offset).cloned().map(EntrySource::Cached);
         }
-        let slot = index.0.checked_sub(self.first)? as usize;
-        self.places.get(slot).copied().map(Found::OnDisk)
+        let offset = index.0.checked_sub(self.first)? as usize;
+        self.locations.get(offset).copied().map(EntrySource::OnDisk)
     }
 
     /// Returns the bytes of the entries in memory.
@@ -123,7 +123,7 @@
             }
         }
         let keep = first.saturating_sub(self.first) as usize;
-        self.places.truncate(keep);
+        self.locations.truncate(keep);
     }
 
     fn pop_cached(&mut self) {
--- a/crates/gypsumglade/src/store/gauges.rs
+++ b/crates/gypsumglade/src/store/gauges.rs
@@ -6,7 +6,7 @@
 
 use super::serve::StoreState;
 use crate::metrics::group_name;
-use crate::replica::{Held, HostStatus};
+use crate::replica::{HostStatus, MemoryUsage};
 
 /// Longest wait for the replicas' state; the page goes without it then, which shows that they are
 /// held up.
@@ -55,7 +55,7 @@
         Ok(gauge)
     }
 
-    fn held(&self, held: &Held, bytes: &GaugeVec, counts: &GaugeVec) {
+    fn held(&self, held: &MemoryUsage, bytes: &GaugeVec, counts: &GaugeVec) {
         set(bytes, &["log_cache"], held.cache as f64);
         set(bytes, &["snapshot_writing"], held.writing as f64);
         set(bytes, &["snapshot_sending"], held.sending as f64);
--- a/crates/gypsumglade/src/store/text_holder.rs
+++ b/crates/gypsumglade/src/store/text_holder.rs
@@ -90,7 +90,7 @@
     /// Drops texts whose turns are not kept any more, until `halt`.
     pub(super) async fn drop_unkept(self: Arc<Self>, halt: CancellationToken) {
         while !halt.is_cancelled() {
-            let due = self.texts.due(DUE_BATCH);
+            let due = self.texts.expired(DUE_BATCH);
             let full = due.len() == DUE_BATCH;
             if self.settle_due(due).await && full {
                 continue;
--- a/crates/gypsumglade/src/texts/index.rs
+++ b/crates/gypsumglade/src/texts/index.rs
@@ -5,20 +5,20 @@
 use gypsumglade_core::prelude::*;
 
 /// A segment is compacted once less than one part in so many of it is live.
-pub(super) const SPARSE_PARTS: u64 = 4;
+pub(super) const SPARSE_DIVISOR: u64 = 4;
 
 /// Bytes that a text counts at least against the disk's limit. The index takes some 240 bytes of memory for
 /// each, so all of them take a quarter of the limit at most, however short they are.
-const LEAST_CHARGE: u64 = 1024;
+const MIN_CHARGE_BYTES: u64 = 1024;
 
 /// Returns what a record counts against the limit beyond its bytes.
 pub(super) fn padding(length: u64) -> u64 {
-    LEAST_CHARGE.saturating_sub(length)
+    MIN_CHARGE_BYTES.saturating_sub(length)
 }
 
 /// Where a record is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Place {
+pub(super) struct RecordLocation {
     pub(super) segment: u32,
     pub(super) offset: u32,
     pub(super) length: u32,
@@ -27,8 +27,8 @@
 /// Where a text is, and when it is due.
 #[derive(Clone, Copy, Debug)]
 struct Entry {
-    place: Place,
-    due: Time,
+    location: RecordLocation,
+    expiry: Time,
 }
 
 /// Bytes of a segment.
@@ -40,7 +40,7 @@
 
 impl Usage {
     fn is_sparse(&self) -> bool {
-        self.live * SPARSE_PARTS < self.length
+        self.live * SPARSE_DIVISOR < self.length
     }
 }
 
@@ -58,7 +58,7 @@
 pub(super) struct Index {
     texts: HashMap<CompactString, Entry>,
     /// When each text is due, in order.
-    due: BTreeSet<(Time, CompactString)>,
+    expiries: BTreeSet<(Time, CompactString)>,
     segments: BTreeMap<u32, Usage>,
     /// Bytes of the segments that an earlier process left and that were not scanned yet, or can't be. As
     /// long as it is not known what is in them they stay.
@@ -95,13 +95,13 @@
     }
 
     /// Returns the bytes of the longest segment.
-    pub(super) fn longest(&self) -> u64 {
+    pub(super) fn longest_segment(&self) -> u64 {
         let scanned = self.segments.values().map(|usage| usage.length);
         scanned.chain(self.unscanned.values().copied()).max().unwrap_or_default()
     }
 
-    pub(super) fn place(&self, turn: &str) -> Option<Place> {
-        self.texts.get(turn).map(|entry| entry.place)
+    pub(super) fn location(&self, turn: &str) -> Option<RecordLocation> {
+        self.texts.get(turn).map(|entry| entry.location)
     }
 
     /// Notes that a segment has grown.
@@ -110,33 +110,38 @@
     }
 
     /// Notes a text; one that was known elsewhere is there no more.
-    pub(super) fn insert(&mut self, turn: CompactString, place: Place, due: Time) {
+    pub(super) fn insert(&mut self, turn: CompactString, location: RecordLocation, expiry: Time) {
         self.remove(&turn);
-        self.segments.entry(place.segment).or_default().live += u64::from(place.length);
-        self.padding += padding(u64::from(place.length));
-        self.due.insert((due, turn.clone()));
-        self.texts.insert(turn, Entry { place, due });
+        self.segments.entry(location.segment).or_default().live += u64::from(location.length);
+        self.padding += padding(u64::from(location.length));
+        self.expiries.insert((expiry, turn.clone()));
+        self.texts.insert(turn, Entry { location, expiry });
     }
 
     /// Notes a text that a scan found. Scans go backwards, so one that is known is the newer one.
-    pub(super) fn insert_found(&mut self, turn: CompactString, place: Place, due: Time) {
+    pub(super) fn insert_scanned(
+        &mut self,
+        turn: CompactString,
+        location: RecordLocation,
+        expiry: Time,
+    ) {
         if !self.texts.contains_key(&turn) {
-            self.insert(turn, place, due);
+            self.insert(turn, location, expiry);
         }
     }
 
     /// Notes that all texts of a segment were found, in its first `bytes`.
-    pub(super) fn end_scan(&mut self, segment: u32, bytes: u64) {
+    pub(super) fn finish_scan(&mut self, segment: u32, bytes: u64) {
         self.unscanned.remove(&segment);
         self.grow(segment, bytes);
     }
 
     /// Notes that a text was moved, unless it was dropped meanwhile.
-    pub(super) fn relocate(&mut self, turn: &str, from: Place, to: Place) {
-        let Some(entry) = self.texts.get_mut(turn).filter(|entry| entry.place == from) else {
+    pub(super) fn relocate(&mut self, turn: &str, from: RecordLocation, to: RecordLocation) {
+        let Some(entry) = self.texts.get_mut(turn).filter(|entry| entry.location == from) else {
             return;
         };
-        entry.place = to;
+        entry.location = to;
         self.segments.entry(to.segment).or_default().live += u64::from(to.length);
         self.release(from);
     }
@@ -146,9 +151,9 @@
         let Some((turn, entry)) = self.texts.remove_entry(turn) else {
             return false;
         };
-        self.padding -= padding(u64::from(entry.place.length));
-        self.due.remove(&(entry.due, turn));
-        self.release(entry.place)
+        self.padding -= padding(u64::from(entry.location.length));
+        self.expiries.remove(&(entry.expiry, turn));
+        self.release(entry.location)
     }
 
     pub(super) fn remove_segment(&mut self, segment: u32) {
@@ -156,22 +161,27 @@
         self.compacting.take_if(|number| *number == segment);
     }
 
-    pub(super) fn extend(&mut self, turn: &str, due: Time) {
+    pub(super) fn extend(&mut self, turn: &str, expiry: Time) {
         let Some(entry) = self.texts.get_mut(turn) else {
             return;
         };
-        let old = std::mem::replace(&mut entry.due, due);
+        let old = std::mem::replace(&mut entry.expiry, expiry);
         let turn = CompactString::from(turn);
-        self.due.remove(&(old, turn.clone()));
-        self.due.insert((due, turn));
+        self.expiries.remove(&(old, turn.clone()));
+        self.expiries.insert((expiry, turn));
     }
 
-    /// Returns up to `most` texts that are due, and has them due again at `again`.
-    pub(super) fn take_due(&mut self, now: Time, again: Time, most: usize) -> Vec<CompactString> {
-        let due = self.due.iter().take_while(|(time, _)| *time <= now).take(most);
-        let due: Vec<_> = due.map(|(_, turn)| turn.clone()).collect();
-        due.iter().for_each(|turn| self.extend(turn, again));
-        due
+    /// Returns up to `limit` texts that are due, and has them due again at `again`.
+    pub(super) fn take_expired(
+        &mut self,
+        now: Time,
+        again: Time,
+        limit: usize,
+    ) -> Vec<CompactString> {
+        let expired = self.expiries.iter().take_while(|(time, _)| *time <= now).take(limit);
+        let expired: Vec<_> = expired.map(|(_, turn)| turn.clone()).collect();
+        expired.iter().for_each(|turn| self.extend(turn, again));
+        expired
     }
 
     /// Returns a segment other than `current` whose space can be had back; `current` too, once none of
@@ -180,9 +190,9 @@
     /// Deletes come first: they cost next to nothing.
     pub(super) fn reclaim(&mut self, current: Option<u32>, idle: bool) -> Option<Reclaim> {
         let scanned = || self.segments.iter().filter(|(n, _)| !self.unscanned.contains_key(*n));
-        let dead = scanned()
+        let unused = scanned()
             .find(|(number, usage)| usage.live == 0 && (idle || current != Some(**number)));
-        if let Some((&number, _)) = dead {
+        if let Some((&number, _)) = unused {
             return Some(Reclaim::Delete(number));
         }
         if self.compacting.is_none() {
@@ -194,22 +204,26 @@
     }
 
     /// Returns live texts of a segment, of some `bytes` together.
-    pub(super) fn live_in(&self, segment: u32, bytes: u64) -> Vec<(CompactString, Place)> {
+    pub(super) fn live_texts(
+        &self,
+        segment: u32,
+        bytes: u64,
+    ) -> Vec<(CompactString, RecordLocation)> {
         let mut taken = 0;
-        let live = self.texts.iter().filter(|(_, entry)| entry.place.segment == segment);
-        let few = live.take_while(|(_, entry)| {
+        let live = self.texts.iter().filter(|(_, entry)| entry.location.segment == segment);
+        let selected = live.take_while(|(_, entry)| {
             let first = taken == 0;
-            taken += u64::from(entry.place.length);
+            taken += u64::from(entry.location.length);
             first || taken <= bytes
         });
-        few.map(|(turn, entry)| (turn.clone(), entry.place)).collect()
+        selected.map(|(turn, entry)| (turn.clone(), entry.location)).collect()
     }
 
-    fn release(&mut self, place: Place) -> bool {
-        let Some(usage) = self.segments.get_mut(&place.segment) else {
+    fn release(&mut self, location: RecordLocation) -> bool {
+        let Some(usage) = self.segments.get_mut(&location.segment) else {
             return false;
         };
-        usage.live = usage.live.saturating_sub(u64::from(place.length));
+        usage.live = usage.live.saturating_sub(u64::from(location.length));
         usage.is_sparse()
     }
 }
--- a/crates/gypsumglade/src/texts/mod.rs
+++ b/crates/gypsumglade/src/texts/mod.rs
@@ -27,17 +27,17 @@
 /// Bytes after which a new segment file is begun.
 const SEGMENT_BYTES: u64 = 8 * 1024 * 1024;
 /// Segments at least that the disk's limit is divided into, so that space comes back in small parts.
-const LEAST_SEGMENTS: u64 = 8;
+const MIN_SEGMENTS: u64 = 8;
 /// How long a text that an earlier process left is held before it is due. Its retention is not known: it
 /// is the turn group that knows whether the turn is kept.
-const FOUND_RETENTION: Duration = Duration::from_secs(30);
+const RECOVERED_RETENTION: Duration = Duration::from_secs(30);
 /// How long a due text that was returned is not returned again: a lookup at the turn group takes less.
-const DUE_PAUSE: Duration = Duration::from_secs(5);
+const RECHECK_INTERVAL: Duration = Duration::from_secs(5);
 /// How long a text is waited for that may be in a file not scanned yet. Its caller asks another holder
 /// after that, and gives up on this one after a second.
-const SCAN_PATIENCE: Duration = Duration::from_millis(500);
+const SCAN_TIMEOUT: Duration = Duration::from_millis(500);
 /// Pause before a disk that failed is tried again.
-const RETRY_PAUSE: Duration = Duration::from_secs(1);
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// Limits of a [`TextStore`].
 #[derive(Clone, Debug)]
@@ -54,13 +54,13 @@
     /// Where damage and failures are told.
     pub log: slog::Logger,
     /// How long a text that an earlier process left is held before it is due.
-    pub found_retention: Duration,
+    pub recovered_retention: Duration,
     /// How long a due text that was returned is not returned again.
-    pub due_pause: Duration,
+    pub recheck_interval: Duration,
     /// Pause before a disk that failed is tried again.
-    pub retry_pause: Duration,
+    pub retry_delay: Duration,
     /// How long a text is waited for that may be in a file not scanned yet.
-    pub scan_patience: Duration,
+    pub scan_timeout: Duration,
     /// Failures of the disk to come.
     #[doc(hidden)]
     pub faults: Faults,
@@ -72,17 +72,17 @@
         TextOptions {
             limits,
             log,
-            found_retention: FOUND_RETENTION,
-            due_pause: DUE_PAUSE,
-            retry_pause: RETRY_PAUSE,
-            scan_patience: SCAN_PATIENCE,
+            recovered_retention: RECOVERED_RETENTION,
+            recheck_interval: RECHECK_INTERVAL,
+            retry_delay: RETRY_DELAY,
+            scan_timeout: SCAN_TIMEOUT,
             faults: Faults::default(),
         }
     }
 
     /// Returns the bytes after which a new segment is begun.
     fn segment_bytes(&self) -> u64 {
-        SEGMENT_BYTES.min(self.limits.disk_bytes / LEAST_SEGMENTS)
+        SEGMENT_BYTES.min(self.limits.disk_bytes / MIN_SEGMENTS)
     }
 }
 
@@ -156,7 +156,7 @@
 
     /// Puts texts on the disk, and returns once they are synced. A text that is there is left as it is.
     ///
-    /// `retention` is how long each is kept before it is due, see [`TextStore::due`].
+    /// `retention` is how long each is kept before it is due, see [`TextStore::expired`].
     ///
     /// # Errors
     /// Says why they are not on the disk.
@@ -172,9 +172,9 @@
     /// While the files of an earlier process are read, a text that is not known yet is waited for, for
     /// some time.
     pub async fn get(&self, turns: &[String]) -> Vec<Text> {
-        self.handle.shared.wait_found(turns).await;
-        let here = turns.iter().filter(|turn| self.handle.shared.place(turn).is_some());
-        let turns: Vec<_> = here.cloned().collect();
+        self.handle.shared.wait_for_scan(turns).await;
+        let indexed = turns.iter().filter(|turn| self.handle.shared.location(turn).is_some());
+        let turns: Vec<_> = indexed.cloned().collect();
         let (reply, texts) = oneshot::channel();
         let query = Query { turns, reply };
         match &self.handle.queries {
@@ -185,15 +185,15 @@
         }
     }
 
-    /// Returns up to `most` turns whose texts have been kept for their retention. One that is neither
+    /// Returns up to `limit` turns whose texts have been kept for their retention. One that is neither
     /// extended nor dropped is returned again after a pause.
-    pub fn due(&self, most: usize) -> Vec<CompactString> {
-        self.handle.shared.take_due(most)
+    pub fn expired(&self, limit: usize) -> Vec<CompactString> {
+        self.handle.shared.take_expired(limit)
     }
 
     /// Keeps a text for longer.
-    pub fn extend(&self, turn: &str, left: Duration) {
-        self.handle.shared.extend(turn, left);
+    pub fn extend(&self, turn: &str, retention: Duration) {
+        self.handle.shared.extend(turn, retention);
     }
 
     /// Drops a text.
--- a/crates/gypsumglade/src/texts/open.rs
+++ b/crates/gypsumglade/src/texts/open.rs
@@ -21,7 +21,7 @@
 pub(super) fn open(folder: &Path, options: TextOptions) -> anyhow::Result<Handle> {
     fs::create_dir_all(folder)
         .with_context(|| format!("the folder {} can't be made", folder.display()))?;
-    sync_name(folder, &options.faults)
+    sync_parent(folder, &options.faults)
         .with_context(|| format!("the name of {} can't be synced", folder.display()))?;
     options.faults.sync_folder(folder)?;
     let lengths = segment::lengths(folder)?;
@@ -34,7 +34,7 @@
 /// Makes the folder's own name stable: a power loss would else take it with all that was acknowledged.
 ///
 /// It is done for a folder that was there too. Whoever made it may have ended before the sync.
-fn sync_name(folder: &Path, faults: &Faults) -> io::Result<()> {
+fn sync_parent(folder: &Path, faults: &Faults) -> io::Result<()> {
     match folder.canonicalize()?.parent() {
         Some(parent) => faults.sync_folder(parent),
         None => Ok(()),
@@ -42,7 +42,7 @@
 }
 
 fn start(folder: &Path, shared: Arc<Shared>, segments: Vec<u32>) -> anyhow::Result<Handle> {
-    let (queries, asked) = mpsc::channel();
+    let (queries, receiver) = mpsc::channel();
     let mut handle =
         Handle { shared: Arc::clone(&shared), queries: Some(queries), threads: Vec::new() };
     let next = segments.first().map_or(1, |newest| newest + 1);
@@ -51,7 +51,7 @@
     let writer = Writer::new(shared, folder.to_path_buf(), next);
     let named = |name: &str| thread::Builder::new().name(name.to_owned());
     handle.threads.push(named("texts-scan").spawn(move || scanner.run())?);
-    handle.threads.push(named("texts-read").spawn(move || reader.run(&asked))?);
+    handle.threads.push(named("texts-read").spawn(move || reader.run(&receiver))?);
     handle.threads.push(named("texts-write").spawn(move || writer.run())?);
     Ok(handle)
 }
--- a/crates/gypsumglade/src/texts/reader.rs
+++ b/crates/gypsumglade/src/texts/reader.rs
@@ -13,7 +13,7 @@
 use super::shared::Shared;
 
 /// How often a text is looked up: its record may be moved while it is being read.
-const LOOKUPS: usize = 3;
+const MAX_LOOKUPS: usize = 3;
 
 /// Texts that a caller asks for.
 #[derive(Debug)]
@@ -46,14 +46,15 @@
     }
 
     fn read(&self, files: &mut Files, turn: &str) -> Option<Text> {
-        for _ in 0..LOOKUPS {
-            let place = self.shared.place(turn)?;
-            match self.open(files, place.segment).and_then(|f| segment::read(f, place, turn)) {
+        for _ in 0..MAX_LOOKUPS {
+            let location = self.shared.location(turn)?;
+            match self.open(files, location.segment).and_then(|f| segment::read(f, location, turn))
+            {
                 Ok(Some(text)) => return Some(text),
-                Ok(None) => self.shared.note_damaged(turn, place),
-                Err(error) if self.shared.place(turn) == Some(place) => {
+                Ok(None) => self.shared.drop_damaged(turn, location),
+                Err(error) if self.shared.location(turn) == Some(location) => {
                     slog::error!(self.shared.options.log, "a text can't be read";
-                        "turn" => turn, "segment" => place.segment, "error" => %error);
+                        "turn" => turn, "segment" => location.segment, "error" => %error);
                     return None;
                 }
                 // It was moved or dropped meanwhile.
--- a/crates/gypsumglade/src/texts/record.rs
+++ b/crates/gypsumglade/src/texts/record.rs
@@ -12,7 +12,7 @@
 /// Bytes of a record before its parts: mark, three lengths, and two checksums.
 pub(super) const HEADER_BYTES: usize = 24;
 /// Longest name of a turn that is read into memory.
-const NAME_BYTES: usize = 4 * 1024;
+const MAX_NAME_BYTES: usize = 4 * 1024;
 
 /// Lengths and checksum of a record's parts.
 #[derive(Clone, Copy, Debug)]
@@ -31,7 +31,7 @@
             return None;
         }
         let [name, input, output] = [4, 8, 12].map(|at| field(at) as usize);
-        (name <= NAME_BYTES).then_some(Header { name, input, output, checksum: field(16) })
+        (name <= MAX_NAME_BYTES).then_some(Header { name, input, output, checksum: field(16) })
     }
 
     /// Returns the bytes of the whole record.
@@ -46,8 +46,8 @@
 }
 
 /// Tells whether the name is one that a scan would accept.
-pub(super) fn is_nameable(text: &Text) -> bool {
-    text.turn.len() <= NAME_BYTES
+pub(super) fn has_valid_name(text: &Text) -> bool {
+    text.turn.len() <= MAX_NAME_BYTES
 }
 
 /// Adds a text's record.
@@ -62,8 +62,8 @@
         bytes.extend(length.to_le_bytes());
     }
     bytes.extend(checksum.finalize().to_le_bytes());
-    let own = crc32fast::hash(&bytes[start..]);
-    bytes.extend(own.to_le_bytes());
+    let header_checksum = crc32fast::hash(&bytes[start..]);
+    bytes.extend(header_checksum.to_le_bytes());
     parts.iter().for_each(|part| bytes.extend_from_slice(part));
 }
 
--- a/crates/gypsumglade/src/texts/scanner.rs
+++ b/crates/gypsumglade/src/texts/scanner.rs
@@ -7,7 +7,7 @@
 
 use gypsumglade_core::prelude::*;
 
-use super::index::Place;
+use super::index::RecordLocation;
 use super::segment::{self, Scanned};
 use super::shared::Shared;
 
@@ -30,17 +30,17 @@
     /// Scans all segments, or those until the store is closed.
     pub(super) fn run(self) {
         let options = &self.shared.options;
-        let due = self.shared.now() + options.found_retention;
+        let expiry = self.shared.now() + options.recovered_retention;
         for &number in &self.segments {
             options.faults.wait_scan();
             if self.shared.is_closed() {
                 return;
             }
-            match self.scan(number, due) {
-                Ok(scanned) if scanned.damaged > 0 || scanned.whole < scanned.length => {
+            match self.scan(number, expiry) {
+                Ok(scanned) if scanned.damaged > 0 || scanned.valid_length < scanned.length => {
                     slog::warn!(options.log, "a file of texts was damaged or cut short";
                         "segment" => number, "damaged" => scanned.damaged,
-                        "cut" => scanned.length - scanned.whole);
+                        "cut" => scanned.length - scanned.valid_length);
                 }
                 Ok(_) => {}
                 // It stays as it is, for the next process may be able to read it.
@@ -57,26 +57,26 @@
     /// It is synced first: a process that was killed leaves writes that nobody has synced, and a text
     /// that is found is acknowledged at its next put without a sync. Any segment may have such writes,
     /// for one that was killed while it scanned may have begun later ones.
-    fn scan(&self, number: u32, due: Time) -> io::Result<Scanned> {
+    fn scan(&self, number: u32, expiry: Time) -> io::Result<Scanned> {
         let path = segment::path(&self.folder, number);
         let file = File::options().read(true).write(true).open(path)?;
         let mut found = Vec::new();
         let scanned = segment::scan(&file, |turn, offset, length| {
             let (offset, length) = (offset as u32, length as u32);
-            found.push((turn, Place { segment: number, offset, length }));
+            found.push((turn, RecordLocation { segment: number, offset, length }));
         })?;
-        if scanned.whole < scanned.length {
-            file.set_len(scanned.whole)?;
+        if scanned.valid_length < scanned.length {
+            file.set_len(scanned.valid_length)?;
         }
         file.sync_all()?;
         // Backwards, as the segments are: of two records of a text the later one counts.
         found.reverse();
         while !found.is_empty() {
             let rest = found.split_off(found.len().min(FOUND_BATCH));
-            self.shared.insert_found(found, due);
+            self.shared.insert_scanned(found, expiry);
             found = rest;
         }
-        self.shared.end_scan(number, &scanned);
+        self.shared.finish_scan(number, &scanned);
         Ok(scanned)
     }
 }
@@ -84,6 +84,6 @@
 impl Drop for Scanner {
     /// Ends the wait of those who ask for texts, also if the thread panicked.
     fn drop(&mut self) {
-        self.shared.end_scans();
+        self.shared.finish_scanning();
     }
 }
--- a/crates/gypsumglade/src/texts/segment.rs
+++ b/crates/gypsumglade/src/texts/segment.rs
@@ -10,11 +10,11 @@
 use gypsumglade_core::prelude::*;
 use gypsumglade_core::wire::turn::Text;
 
-use super::index::Place;
+use super::index::RecordLocation;
 use super::record::{self, HEADER_BYTES, Header, MAGIC};
 
 /// Bytes that a scan reads at one time, whatever a file or a record holds.
-const PIECE_BYTES: usize = 64 * 1024;
+const READ_BYTES: usize = 64 * 1024;
 const PREFIX: &str = "texts-";
 
 pub(super) fn path(folder: &Path, number: u32) -> PathBuf {
@@ -36,15 +36,15 @@
 }
 
 /// Reads the bytes of one record.
-pub(super) fn read_raw(file: &File, place: Place) -> io::Result<Bytes> {
-    let mut bytes = vec![0; place.length as usize];
-    file.read_exact_at(&mut bytes, u64::from(place.offset))?;
+pub(super) fn read_raw(file: &File, location: RecordLocation) -> io::Result<Bytes> {
+    let mut bytes = vec![0; location.length as usize];
+    file.read_exact_at(&mut bytes, u64::from(location.offset))?;
     Ok(Bytes::from(bytes))
 }
 
 /// Reads one text, if its record is whole and of this turn.
-pub(super) fn read(file: &File, place: Place, turn: &str) -> io::Result<Option<Text>> {
-    let text = record::read(read_raw(file, place)?);
+pub(super) fn read(file: &File, location: RecordLocation, turn: &str) -> io::Result<Option<Text>> {
+    let text = record::read(read_raw(file, location)?);
     Ok(text.filter(|text| text.turn == turn))
 }
 
@@ -52,7 +52,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Scanned {
     /// End of the last whole record.
-    pub(super) whole: u64,
+    pub(super) valid_length: u64,
     /// Bytes of the file.
     pub(super) length: u64,
     /// Damaged places before the last whole record.
@@ -63,7 +63,7 @@
 struct Scan<'a> {
     file: &'a File,
     length: u64,
-    piece: Vec<u8>,
+    chunk: Vec<u8>,
 }
 
 /// Finds the whole records of a file, and gives each one's turn, offset and length to `found`.
@@ -75,7 +75,7 @@
     mut found: impl FnMut(CompactString, u64, u64),
 ) -> io::Result<Scanned> {
     let length = file.metadata()?.len();
-    let mut scan = Scan { file, length, piece: vec![0; PIECE_BYTES] };
+    let mut scan = Scan { file, length, chunk: vec![0; READ_BYTES] };
     let mut scanned = Scanned { length, ..Scanned::default() };
     // Damage counts only once a whole record follows; at the end it is a write that was cut short.
     let mut skipped = 0;
@@ -83,14 +83,14 @@
     while at < length {
         let Some(header) = scan.header(at)? else {
             skipped += 1;
-            at = scan.find(at + 1)?;
+            at = scan.find_header(at + 1)?;
             continue;
         };
         let size = header.length() as u64;
-        match scan.check(at, &header)? {
+        match scan.check_record(at, &header)? {
             Some(turn) => {
                 scanned.damaged += std::mem::take(&mut skipped);
-                scanned.whole = at + size;
+                scanned.valid_length = at + size;
                 found(turn, at, size);
             }
             None => skipped += 1,
@@ -113,18 +113,18 @@
     }
 
     /// Returns the turn of the record at `at`, if its parts fit their checksum.
-    fn check(&mut self, at: u64, header: &Header) -> io::Result<Option<CompactString>> {
+    fn check_record(&mut self, at: u64, header: &Header) -> io::Result<Option<CompactString>> {
         let mut checksum = crc32fast::Hasher::new();
         let mut turn = None;
         let end = at + header.length() as u64;
         let mut next = at + HEADER_BYTES as u64;
         while next < end {
-            let count = (end - next).min(PIECE_BYTES as u64) as usize;
-            let piece = &mut self.piece[..count];
-            self.file.read_exact_at(piece, next)?;
-            checksum.update(piece);
+            let count = (end - next).min(READ_BYTES as u64) as usize;
+            let chunk = &mut self.chunk[..count];
+            self.file.read_exact_at(chunk, next)?;
+            checksum.update(chunk);
             if turn.is_none() {
-                turn = Some(record::turn(&piece[..header.name]));
+                turn = Some(record::turn(&chunk[..header.name]));
             }
             next += count as u64;
         }
@@ -132,15 +132,16 @@
     }
 
     /// Returns the offset of the next whole header from `at` on, or the end of the file.
-    fn find(&mut self, mut at: u64) -> io::Result<u64> {
+    fn find_header(&mut self, mut at: u64) -> io::Result<u64> {
         while at + HEADER_BYTES as u64 <= self.length {
-            let count = (self.length - at).min(PIECE_BYTES as u64) as usize;
-            self.file.read_exact_at(&mut self.piece[..count], at)?;
-            let marks = self.piece[..count].windows(MAGIC.len()).enumerate();
-            let marks = marks.filter(|(_, bytes)| *bytes == MAGIC).map(|(i, _)| at + i as u64);
-            for mark in marks {
-                if self.header(mark)?.is_some() {
-                    return Ok(mark);
+            let count = (self.length - at).min(READ_BYTES as u64) as usize;
+            self.file.read_exact_at(&mut self.chunk[..count], at)?;
+            let candidates = self.chunk[..count].windows(MAGIC.len()).enumerate();
+            let candidates =
+                candidates.filter(|(_, bytes)| *bytes == MAGIC).map(|(i, _)| at + i as u64);
+            for candidate in candidates {
+                if self.header(candidate)?.is_some() {
+                    return Ok(candidate);
                 }
             }
             // A mark may lie across the border of two pieces.
--- a/crates/gypsumglade/src/texts/shared.rs
+++ b/crates/gypsumglade/src/texts/shared.rs
@@ -7,7 +7,7 @@
 use gypsumglade_core::wire::turn::Text;
 use tokio::sync::{oneshot, watch};
 
-use super::index::{self, Index, Place, Reclaim, SPARSE_PARTS};
+use super::index::{self, Index, Reclaim, RecordLocation, SPARSE_DIVISOR};
 use super::record;
 use super::segment::Scanned;
 use super::{PutError, TextOptions, TextStatus};
@@ -15,33 +15,33 @@
 
 /// Bytes at most that wait for the disk, or are being written. One put may have more if it is alone: it could
 /// never be taken else.
-pub(super) const QUEUE_BYTES: u64 = 8 * 1024 * 1024;
+pub(super) const MAX_QUEUE_BYTES: u64 = 8 * 1024 * 1024;
 /// Bytes of one put at most, for a place in a file has 32 bits.
-const PUT_BYTES: u64 = 1024 * 1024 * 1024;
+const MAX_PUT_BYTES: u64 = 1024 * 1024 * 1024;
 /// Bytes after which one sync takes no further texts: some 10 ms of a slow disk's time.
-pub(super) const BATCH_BYTES: u64 = 1024 * 1024;
+pub(super) const MAX_BATCH_BYTES: u64 = 1024 * 1024;
 /// Live bytes that one sync moves out of a segment.
-const MOVE_BYTES: u64 = 256 * 1024;
+const MAX_MOVE_BYTES: u64 = 256 * 1024;
 
 /// Texts that wait for the disk.
 #[derive(Debug)]
 pub(super) struct Put {
-    number: PutNumber,
+    number: PutId,
     pub(super) texts: Vec<Text>,
     bytes: u64,
     padding: u64,
     /// When they are due.
-    pub(super) due: Time,
+    pub(super) expiry: Time,
 }
 
 /// Names a put until it is answered.
-type PutNumber = u64;
+type PutId = u64;
 
 /// Answers one who waits for a put.
 type Waiter = oneshot::Sender<Result<(), PutError>>;
 
 /// A live text that is to be moved to the current segment.
-pub(super) type Move = (CompactString, Place);
+pub(super) type Move = (CompactString, RecordLocation);
 
 /// What the writer does next.
 pub(super) enum Work {
@@ -53,20 +53,21 @@
 
 /// What a sync made stable.
 #[derive(Debug, Default)]
-pub(super) struct Stable {
+pub(super) struct SyncedBatch {
     pub(super) segment: u32,
     pub(super) bytes: u64,
-    pub(super) texts: Vec<(CompactString, Place, Time)>,
+    pub(super) texts: Vec<(CompactString, RecordLocation, Time)>,
     /// Texts with their old and new places.
-    pub(super) moved: Vec<(CompactString, Place, Place)>,
+    pub(super) moved: Vec<(CompactString, RecordLocation, RecordLocation)>,
 }
 
-impl Stable {
+impl SyncedBatch {
     /// Says where the records are, that were placed from zero on until now.
-    pub(super) fn settle(&mut self, segment: u32, start: u64) {
-        let texts = self.texts.iter_mut().map(|(_, place, _)| place);
-        for place in texts.chain(self.moved.iter_mut().map(|(_, _, to)| to)) {
-            *place = Place { segment, offset: place.offset + start as u32, ..*place };
+    pub(super) fn assign_segment(&mut self, segment: u32, start: u64) {
+        let texts = self.texts.iter_mut().map(|(_, location, _)| location);
+        for location in texts.chain(self.moved.iter_mut().map(|(_, _, to)| to)) {
+            *location =
+                RecordLocation { segment, offset: location.offset + start as u32, ..*location };
         }
         self.segment = segment;
     }
@@ -77,10 +78,10 @@
     index: Index,
     queue: VecDeque<Put>,
     /// Texts of the queue, and of what is being written, with the puts that they are in.
-    pending: HashMap<CompactString, PutNumber>,
+    pending: HashMap<CompactString, PutId>,
     /// Those who wait for each of these puts: its caller, and callers who put one of its texts again.
-    waiters: HashMap<PutNumber, Vec<Waiter>>,
-    next: PutNumber,
+    waiters: HashMap<PutId, Vec<Waiter>>,
+    next: PutId,
     /// Bytes of the queue, and of what is being written.
     queued: u64,
     /// What these count against the limit of the disk beyond their bytes.
@@ -115,28 +116,28 @@
     }
 
     /// Waits until all of the texts are found, the scan is over or it takes too long.
-    pub(super) async fn wait_found(&self, turns: &[String]) {
+    pub(super) async fn wait_for_scan(&self, turns: &[String]) {
         let mut scanning = self.scanning.subscribe();
-        let found = || turns.iter().all(|turn| self.place(turn).is_some());
+        let found = || turns.iter().all(|turn| self.location(turn).is_some());
         if *scanning.borrow_and_update() && !found() {
             let ended = scanning.wait_for(|scanning| !scanning || found());
             // What is not found in time counts as absent.
-            let _ = tokio::time::timeout(self.options.scan_patience, ended).await;
+            let _ = tokio::time::timeout(self.options.scan_timeout, ended).await;
         }
     }
 
     /// Makes known what a scan found.
-    pub(super) fn insert_found(&self, found: Vec<(CompactString, Place)>, due: Time) {
+    pub(super) fn insert_scanned(&self, found: Vec<(CompactString, RecordLocation)>, expiry: Time) {
         let mut state = self.state();
-        for (turn, place) in found {
-            state.index.insert_found(turn, place, due);
+        for (turn, location) in found {
+            state.index.insert_scanned(turn, location, expiry);
         }
     }
 
     /// Notes that a segment was scanned, and what is in it is known.
-    pub(super) fn end_scan(&self, segment: u32, scanned: &Scanned) {
+    pub(super) fn finish_scan(&self, segment: u32, scanned: &Scanned) {
         let mut state = self.state();
-        state.index.end_scan(segment, scanned.whole);
+        state.index.finish_scan(segment, scanned.valid_length);
         state.damaged += scanned.damaged;
         drop(state);
         self.work.notify_one();
@@ -144,7 +145,7 @@
     }
 
     /// Notes that no segment will be scanned any more.
-    pub(super) fn end_scans(&self) {
+    pub(super) fn finish_scanning(&self) {
         self.scanning.send_replace(false);
     }
 
@@ -170,7 +171,7 @@
         texts.retain(|text| {
             let pending = state.pending.get(text.turn.as_str());
             others.extend(pending);
-            let known = pending.is_some() || state.index.place(&text.turn).is_some();
+            let known = pending.is_some() || state.index.location(&text.turn).is_some();
             !known && seen.insert(text.turn.as_str().into())
         });
         if texts.is_empty() {
@@ -181,10 +182,10 @@
         let padding: u64 = state.padding + lengths().map(index::padding).sum::<u64>();
         let queued = state.queued.saturating_add(bytes);
         let disk = state.index.charged_bytes().saturating_add(queued).saturating_add(padding);
-        let room = self.put_room(state.index.longest().max(bytes));
-        let named = texts.iter().all(record::is_nameable);
-        let crowded = state.queued > 0 && queued > QUEUE_BYTES;
-        if !named || crowded || bytes > PUT_BYTES || disk > room {
+        let capacity = self.put_capacity(state.index.longest_segment().max(bytes));
+        let names_valid = texts.iter().all(record::has_valid_name);
+        let queue_full = state.queued > 0 && queued > MAX_QUEUE_BYTES;
+        if !names_valid || queue_full || bytes > MAX_PUT_BYTES || disk > capacity {
             return Err(PutError::Full);
         }
         let number = state.next;
@@ -192,8 +193,8 @@
         state.queued = queued;
         let padding = padding - std::mem::replace(&mut state.padding, padding);
         state.pending.extend(seen.into_iter().map(|turn| (turn, number)));
-        let due = self.clock.now() + retention;
-        state.queue.push_back(Put { number, texts, bytes, padding, due });
+        let expiry = self.clock.now() + retention;
+        state.queue.push_back(Put { number, texts, bytes, padding, expiry });
         self.work.notify_one();
         others.insert(number);
         Ok(others.into_iter().map(|number| state.wait_for(number)).collect())
@@ -201,7 +202,7 @@
 
     /// Waits for what is to be done. Returns nothing once the store is closed and all is written.
     pub(super) fn next_work(&self, current: Option<u32>) -> Option<Work> {
-        let batch = BATCH_BYTES.min(self.options.segment_bytes());
+        let batch = MAX_BATCH_BYTES.min(self.options.segment_bytes());
         let mut state = self.state();
         loop {
             let idle = state.queue.is_empty();
@@ -212,7 +213,7 @@
             }
             let moves = match reclaim {
                 Some(Reclaim::Compact(segment)) if !state.closed => {
-                    state.index.live_in(segment, MOVE_BYTES)
+                    state.index.live_texts(segment, MAX_MOVE_BYTES)
                 }
                 _ => Vec::new(),
             };
@@ -227,11 +228,11 @@
     }
 
     /// Takes what is on the disk already out of `puts`: a scan may have found it while they waited.
-    pub(super) fn retain_new(&self, puts: &mut [Put]) {
+    pub(super) fn retain_unsaved(&self, puts: &mut [Put]) {
         let mut state = self.state();
         for texts in puts.iter_mut().map(|put| &mut put.texts) {
             texts.retain(|text| {
-                let new = state.index.place(&text.turn).is_none();
+                let new = state.index.location(&text.turn).is_none();
                 if !new {
                     state.pending.remove(text.turn.as_str());
                 }
@@ -241,17 +242,17 @@
     }
 
     /// Makes known what is stable, and then answers the puts.
-    pub(super) fn publish(&self, stable: Stable, puts: Vec<Put>) {
+    pub(super) fn publish(&self, synced: SyncedBatch, puts: Vec<Put>) {
         let mut state = self.state();
-        if stable.bytes > 0 {
-            state.index.grow(stable.segment, stable.bytes);
+        if synced.bytes > 0 {
+            state.index.grow(synced.segment, synced.bytes);
             state.syncs += 1;
         }
-        for (turn, place, due) in stable.texts {
+        for (turn, location, expiry) in synced.texts {
             state.pending.remove(&turn);
-            state.index.insert(turn, place, due);
+            state.index.insert(turn, location, expiry);
         }
-        for (turn, from, to) in stable.moved {
+        for (turn, from, to) in synced.moved {
             state.index.relocate(&turn, from, to);
         }
         state.queued -= puts.iter().map(|put| put.bytes).sum::<u64>();
@@ -265,18 +266,18 @@
         }
     }
 
-    pub(super) fn place(&self, turn: &str) -> Option<Place> {
-        self.state().index.place(turn)
+    pub(super) fn location(&self, turn: &str) -> Option<RecordLocation> {
+        self.state().index.location(turn)
     }
 
-    pub(super) fn take_due(&self, most: usize) -> Vec<CompactString> {
+    pub(super) fn take_expired(&self, limit: usize) -> Vec<CompactString> {
         let now = self.clock.now();
-        self.state().index.take_due(now, now + self.options.due_pause, most)
+        self.state().index.take_expired(now, now + self.options.recheck_interval, limit)
     }
 
     pub(super) fn extend(&self, turn: &str, left: Duration) {
-        let due = self.clock.now() + left;
-        self.state().index.extend(turn, due);
+        let expiry = self.clock.now() + left;
+        self.state().index.extend(turn, expiry);
     }
 
     pub(super) fn remove(&self, turn: &str) {
@@ -290,15 +291,15 @@
     }
 
     /// Forgets a text whose record can't be read, and counts it, unless it was moved meanwhile.
-    pub(super) fn note_damaged(&self, turn: &str, place: Place) {
+    pub(super) fn drop_damaged(&self, turn: &str, location: RecordLocation) {
         let mut state = self.state();
-        if state.index.place(turn) == Some(place) {
+        if state.index.location(turn) == Some(location) {
             state.damaged += 1;
             state.index.remove(turn);
             drop(state);
             self.work.notify_one();
             slog::error!(self.options.log, "a text on the disk is damaged and was dropped";
-                "turn" => turn, "segment" => place.segment, "offset" => place.offset);
+                "turn" => turn, "segment" => location.segment, "offset" => location.offset);
         }
     }
 
@@ -320,8 +321,8 @@
     }
 
     /// Waits until a disk that failed may be tried again. Returns false once the store is closed.
-    pub(super) fn wait_retry(&self) -> bool {
-        let pause = self.options.retry_pause;
+    pub(super) fn wait_for_retry(&self) -> bool {
+        let pause = self.options.retry_delay;
         let waiting = self.work.wait_timeout_while(self.state(), pause, |state| !state.closed);
         let (state, _) = waiting.expect("no panic while held");
         !state.closed
@@ -334,7 +335,7 @@
     }
 
     pub(super) fn status(&self) -> TextStatus {
-        // Read first: who waits for it looks at the state meanwhile, see `wait_found`.
+        // Read first: who waits for it looks at the state meanwhile, see `wait_for_scan`.
         let scanning = *self.scanning.borrow();
         let state = self.state();
         TextStatus {
@@ -350,9 +351,9 @@
     }
 
     /// Returns the bytes that puts may fill. What is left of the limit is for the live texts of one
-    /// segment, of `longest` bytes at most, so that space can be had back on a full disk too.
-    fn put_room(&self, longest: u64) -> u64 {
-        let reserve = longest.max(self.options.segment_bytes()) / SPARSE_PARTS;
+    /// segment, of `longest_segment` bytes at most, so that space can be had back on a full disk too.
+    fn put_capacity(&self, longest: u64) -> u64 {
+        let reserve = longest.max(self.options.segment_bytes()) / SPARSE_DIVISOR;
         self.options.limits.disk_bytes.saturating_sub(reserve)
     }
 
@@ -363,18 +364,18 @@
 
 impl State {
     /// Has one more wait for a put that is queued or being written.
-    fn wait_for(&mut self, number: PutNumber) -> oneshot::Receiver<Result<(), PutError>> {
+    fn wait_for(&mut self, number: PutId) -> oneshot::Receiver<Result<(), PutError>> {
         let (waiter, waiting) = oneshot::channel();
         self.waiters.entry(number).or_default().push(waiter);
         waiting
     }
 
-    /// Takes puts of up to `most` bytes together, and at least one.
-    fn take_puts(&mut self, most: u64) -> Vec<Put> {
+    /// Takes puts of up to `limit` bytes together, and at least one.
+    fn take_puts(&mut self, limit: u64) -> Vec<Put> {
         let mut taken = 0;
         let fitting = self.queue.iter().take_while(|put| {
             taken += put.bytes;
-            taken <= most
+            taken <= limit
         });
         let count = fitting.count().max(1).min(self.queue.len());
         self.queue.drain(..count).collect()
--- a/crates/gypsumglade/src/texts/writer.rs
+++ b/crates/gypsumglade/src/texts/writer.rs
@@ -7,10 +7,10 @@
 
 use gypsumglade_core::wire::turn::Text;
 
-use super::index::Place;
+use super::index::RecordLocation;
 use super::record;
 use super::segment;
-use super::shared::{BATCH_BYTES, Move, Put, Shared, Stable, Work};
+use super::shared::{MAX_BATCH_BYTES, Move, Put, Shared, SyncedBatch, Work};
 
 /// Bytes that a disk which failed must take before puts are taken again: a block.
 const PROBE_BYTES: usize = 4 * 1024;
@@ -33,13 +33,13 @@
     /// The segment whose last write failed, until that is cut off.
     unsynced: Option<Current>,
     /// Number of the next segment.
-    next: u32,
+    next_segment: u32,
     buffer: Vec<u8>,
 }
 
 impl Writer {
-    pub(super) fn new(shared: Arc<Shared>, folder: PathBuf, next: u32) -> Writer {
-        Writer { shared, folder, current: None, unsynced: None, next, buffer: Vec::new() }
+    pub(super) fn new(shared: Arc<Shared>, folder: PathBuf, next_segment: u32) -> Writer {
+        Writer { shared, folder, current: None, unsynced: None, next_segment, buffer: Vec::new() }
     }
 
     /// Writes until the store is closed.
@@ -67,24 +67,24 @@
     fn recover(&mut self) -> bool {
         self.unsynced = self.current.take();
         // A process that is ended during the pause must not leave what the failed sync did.
-        let _ = self.forget_unsynced();
-        while self.shared.wait_retry() {
-            if self.begin_anew().is_ok() {
+        let _ = self.discard_unsynced();
+        while self.shared.wait_for_retry() {
+            if self.probe_new_segment().is_ok() {
                 self.shared.recover();
                 slog::warn!(self.shared.options.log, "texts can be written again";
                     "folder" => %self.folder.display());
                 return true;
             }
         }
-        let _ = self.forget_unsynced();
+        let _ = self.discard_unsynced();
         false
     }
 
     /// Begins a new segment on a disk that failed, once a write to it could be synced.
     ///
     /// Nothing goes to the old one any more: what a failed sync left of it is not known.
-    fn begin_anew(&mut self) -> io::Result<()> {
-        self.forget_unsynced()?;
+    fn probe_new_segment(&mut self) -> io::Result<()> {
+        self.discard_unsynced()?;
         self.buffer.clear();
         self.buffer.resize(PROBE_BYTES, 0);
         let current = self.create_segment()?;
@@ -112,45 +112,45 @@
     }
 
     fn write(&mut self, mut puts: Vec<Put>, moves: &[Move]) -> io::Result<()> {
-        self.shared.retain_new(&mut puts);
+        self.shared.retain_unsaved(&mut puts);
         self.buffer.clear();
-        let mut stable = Stable::default();
+        let mut synced = SyncedBatch::default();
         for put in &puts {
             for text in &put.texts {
-                let place = self.push(text);
-                stable.texts.push((text.turn.as_str().into(), place, put.due));
+                let location = self.push(text);
+                synced.texts.push((text.turn.as_str().into(), location, put.expiry));
             }
         }
-        self.push_moves(moves, &mut stable)?;
+        self.push_moves(moves, &mut synced)?;
         if !self.buffer.is_empty() {
             let (segment, start) = self.open_segment(self.buffer.len() as u64)?;
-            stable.settle(segment, start);
-            stable.bytes = self.append()?;
+            synced.assign_segment(segment, start);
+            synced.bytes = self.append()?;
         }
-        self.shared.publish(stable, puts);
+        self.shared.publish(synced, puts);
         Ok(())
     }
 
     /// Adds a record to the buffer, and returns its place there.
-    fn push(&mut self, text: &Text) -> Place {
+    fn push(&mut self, text: &Text) -> RecordLocation {
         let offset = self.buffer.len();
         record::push(&mut self.buffer, text);
         let length = self.buffer.len() - offset;
-        Place { segment: 0, offset: offset as u32, length: length as u32 }
+        RecordLocation { segment: 0, offset: offset as u32, length: length as u32 }
     }
 
     /// Adds live texts of an old segment. One that can't be read is dropped: it can't be had back here,
     /// and its segment would stay for ever.
-    fn push_moves(&mut self, moves: &[Move], stable: &mut Stable) -> io::Result<()> {
+    fn push_moves(&mut self, moves: &[Move], synced: &mut SyncedBatch) -> io::Result<()> {
         let Some((_, first)) = moves.first() else { return Ok(()) };
         let file = File::open(segment::path(&self.folder, first.segment))?;
         for (turn, from) in moves {
             match segment::read(&file, *from, turn) {
                 Ok(Some(text)) => {
-                    let place = self.push(&text);
-                    stable.moved.push((turn.clone(), *from, place));
+                    let location = self.push(&text);
+                    synced.moved.push((turn.clone(), *from, location));
                 }
-                Ok(None) | Err(_) => self.shared.note_damaged(turn, *from),
+                Ok(None) | Err(_) => self.shared.drop_damaged(turn, *from),
             }
         }
         Ok(())
@@ -162,7 +162,7 @@
         self.append_to(&current.file)?;
         let bytes = self.buffer.len() as u64;
         self.buffer.clear();
-        self.buffer.shrink_to(BATCH_BYTES as usize);
+        self.buffer.shrink_to(MAX_BATCH_BYTES as usize);
         self.current.iter_mut().for_each(|current| current.length += bytes);
         Ok(bytes)
     }
@@ -170,9 +170,9 @@
     /// Writes the buffer to the end of a file, and syncs it.
     fn append_to(&self, mut file: &File) -> io::Result<()> {
         let faults = &self.shared.options.faults;
-        let room = faults.room(self.buffer.len());
-        file.write_all(&self.buffer[..room])?;
-        if room < self.buffer.len() {
+        let writable = faults.allow_write(self.buffer.len());
+        file.write_all(&self.buffer[..writable])?;
+        if writable < self.buffer.len() {
             return Err(ErrorKind::StorageFull.into());
         }
         faults.check_sync()?;
@@ -197,8 +197,8 @@
     /// A file's data can be stable while its name isn't, and then a power loss takes the whole file. So
     /// the folder is synced before anything in the new file is acknowledged.
     fn create_segment(&mut self) -> io::Result<Current> {
-        let number = self.next;
-        self.next += 1;
+        let number = self.next_segment;
+        self.next_segment += 1;
         let path = segment::path(&self.folder, number);
         let file = File::options().append(true).create_new(true).open(&path)?;
         if let Err(error) = self.shared.options.faults.sync_folder(&self.folder) {
@@ -213,7 +213,7 @@
     /// The kernel may take pages for clean after a failed sync. The next process would read them, sync
     /// them to no effect and acknowledge a text that is not on the disk. Until the cut is synced no
     /// further put is taken, so the file is still the last one, which the next process syncs and cuts.
-    fn forget_unsynced(&mut self) -> io::Result<()> {
+    fn discard_unsynced(&mut self) -> io::Result<()> {
         let Some(old) = &self.unsynced else { return Ok(()) };
         old.file.set_len(old.length)?;
         self.shared.options.faults.check_sync()?;
--- a/crates/gypsumglade/tests/disk_failures.rs
+++ b/crates/gypsumglade/tests/disk_failures.rs
@@ -257,17 +257,17 @@
             disk.write(&mut vec![entries(OTHER, 2..=2)]).expect("written");
         }
     }
-    assert_eq!(disk.holders(), [GROUP], "the other group began in a later file");
+    assert_eq!(disk.blocking_groups(), [GROUP], "the other group began in a later file");
     let before = inspect(&folder.path).expect("a report").segments.len();
     disk.write(&mut vec![snapshot(GROUP, 35, b"one", false)]).expect("written");
     let first = inspect(&folder.path).expect("a report").segments[0].number;
     assert_eq!(first, 1, "entries may still be read");
-    disk.write(&mut vec![job(GROUP, JobWrite::Forget(LogIndex(35)))]).expect("dropped");
+    disk.write(&mut vec![job(GROUP, JobWrite::Compact(LogIndex(35)))]).expect("dropped");
     disk.write(&mut vec![entries(GROUP, 40..=40)]).expect("written");
-    assert_eq!(disk.holders(), [OTHER], "only the seldom written group holds up the log");
+    assert_eq!(disk.blocking_groups(), [OTHER], "only the seldom written group holds up the log");
     let pinned = inspect(&folder.path).expect("a report").segments.len();
     disk.write(&mut vec![snapshot(OTHER, 2, b"two", false)]).expect("written");
-    disk.write(&mut vec![job(OTHER, JobWrite::Forget(LogIndex(2)))]).expect("dropped");
+    disk.write(&mut vec![job(OTHER, JobWrite::Compact(LogIndex(2)))]).expect("dropped");
     drop(disk);
     let report = inspect(&folder.path).expect("a report");
     assert!(report.segments.len() < pinned && pinned < before + 2, "{report:?}");
@@ -287,7 +287,7 @@
     let (mut disk, _) = folder.open().expect("opened");
     let mut own = snapshot(GROUP, 3, b"the older", false);
     let JobWrite::Snapshot(older) = &mut own.write else { unreachable!() };
-    disk.saver().save(GROUP, older).expect("saved");
+    disk.snapshot_writer().save(GROUP, older).expect("saved");
     disk.write(&mut vec![snapshot(GROUP, 9, b"newer", true), own]).expect("written");
     drop(disk);
     let (_, groups) = folder.open().expect("opened");
@@ -308,6 +308,6 @@
     let (disk, groups) = folder.open().expect("opened");
     let terms: Vec<_> = groups[0].state.entries.iter().map(|meta| meta.term.0).collect();
     assert_eq!(terms, [2, 3]);
-    let read = disk.reader().entry(groups[0].places[1]).expect("readable");
+    let read = disk.reader().entry(groups[0].locations[1]).expect("readable");
     assert_eq!((read.term, read.index), (3, 3));
 }
--- a/crates/gypsumglade/tests/replica_cluster.rs
+++ b/crates/gypsumglade/tests/replica_cluster.rs
@@ -324,7 +324,7 @@
     for (vm, commit) in &others {
         let whole = Bytes::from(commands(0..60).concat());
         let shorter = Bytes::from(commands(30..60).concat());
-        cluster.host(*vm).snapshot_sending(GROUP, *commit, whole, shorter).await;
+        cluster.host(*vm).snapshot_with_peer_data(GROUP, *commit, whole, shorter).await;
     }
     cluster.propose(GROUP, &commands(60..62)).await;
     cluster.start(late, Faults::default()).await;
--- a/crates/gypsumglade/tests/replica_memory.rs
+++ b/crates/gypsumglade/tests/replica_memory.rs
@@ -94,11 +94,11 @@
 #[test]
 fn try_take_up_to_limit() {
     let budget = ByteBudget::new(1_000);
-    assert!(budget.try_take(5_000), "a long one has room when nothing waits");
-    assert!(!budget.try_take(1));
-    budget.give(5_000);
-    let taken = (0..100).filter(|_| budget.try_take(300)).count();
-    assert_eq!((taken, budget.held()), (3, 900));
+    assert!(budget.try_acquire(5_000), "a long one has room when nothing waits");
+    assert!(!budget.try_acquire(1));
+    budget.release(5_000);
+    let taken = (0..100).filter(|_| budget.try_acquire(300)).count();
+    assert_eq!((taken, budget.used()), (3, 900));
 }
 
 /// Guards against batches and proposals that are counted in and never out: after 8 MB of them a host
--- a/crates/gypsumglade/tests/replica_restart_memory.rs
+++ b/crates/gypsumglade/tests/replica_restart_memory.rs
@@ -36,7 +36,7 @@
     let settings = HostSettings {
         vm: VmId(1),
         folder: Some(folder.path().join("data")),
-        snapshot_least: u64::MAX,
+        snapshot_min: u64::MAX,
         snapshot_bytes: u64::MAX,
         ..HostSettings::default()
     };
--- a/crates/gypsumglade/tests/text_store.rs
+++ b/crates/gypsumglade/tests/text_store.rs
@@ -106,10 +106,10 @@
         let log = slog::Logger::root(counts, slog::o!());
         let mut options = TextOptions::new(limits, log);
         options.faults = self.faults.clone();
-        options.found_retention = self.found;
-        options.due_pause = self.pause;
-        options.retry_pause = self.retry;
-        options.scan_patience = self.patience;
+        options.recovered_retention = self.found;
+        options.recheck_interval = self.pause;
+        options.retry_delay = self.retry;
+        options.scan_timeout = self.patience;
         TextStore::open_with(self.root.path(), options).expect("the folder opens")
     }
 
@@ -618,7 +618,7 @@
             // Several tries fail, and leave nothing.
             tokio::time::sleep(10 * folder.retry).await;
             assert!(store.status().failed);
-            folder.faults.heal();
+            folder.faults.clear();
             until(&store, |status| !status.failed).await;
             assert_eq!(get(&store, 2).await, None, "what wasn't synced doesn't come back");
             put(&store, 3 + round, 100).await;
@@ -646,7 +646,7 @@
     folder.faults.fail_syncs();
     assert_eq!(store.put(vec![text(2, 1000)], LONG).await, Err(PutError::Failed));
     until(&store, |status| status.failed).await;
-    folder.faults.heal();
+    folder.faults.clear();
     until(&store, |status| !status.failed).await;
     put(&store, 2, 1000).await;
     assert_eq!((old.len(), folder.files().len()), (1, 2));
@@ -765,9 +765,9 @@
     store.drop(&name(1));
     drop(store);
     let store = folder.open();
-    let mut due = store.due(10);
-    due.sort();
-    assert_eq!(due, [name(1), name(2)]);
+    let mut expired = store.expired(10);
+    expired.sort();
+    assert_eq!(expired, [name(1), name(2)]);
     store.drop(&name(1));
     store.extend(&name(2), LONG);
     assert_eq!(get(&store, 1).await, None);
@@ -782,16 +782,16 @@
     for i in 1..4 {
         store.put(vec![text(i, 100)], Duration::ZERO).await.expect("the text is put");
     }
-    let first = store.due(2);
+    let first = store.expired(2);
     assert_eq!(first, [name(1), name(2)], "the longest due comes first");
-    assert_eq!(store.due(10), [name(3)], "those returned come again only after the pause");
-    assert_eq!(store.due(10), Vec::<String>::new());
+    assert_eq!(store.expired(10), [name(3)], "those returned come again only after the pause");
+    assert_eq!(store.expired(10), Vec::<String>::new());
     store.extend(&name(1), Duration::ZERO);
-    assert_eq!(store.due(10), [name(1)], "an extended one is due at its new time");
+    assert_eq!(store.expired(10), [name(1)], "an extended one is due at its new time");
     store.extend(&name(0), Duration::ZERO);
     store.drop(&name(0));
     store.extend(&name(0), Duration::ZERO);
-    assert_eq!(store.due(10), Vec::<String>::new(), "a dropped one is not due");
+    assert_eq!(store.expired(10), Vec::<String>::new(), "a dropped one is not due");
 }
 
 #[tokio::test]
@@ -801,10 +801,10 @@
     folder.pause = Duration::ZERO;
     let store = folder.open();
     store.put(vec![text(1, 100)], Duration::ZERO).await.expect("the text is put");
-    assert_eq!(store.due(10), [name(1)]);
-    assert_eq!(store.due(10), [name(1)]);
+    assert_eq!(store.expired(10), [name(1)]);
+    assert_eq!(store.expired(10), [name(1)]);
     store.extend(&name(1), LONG);
-    assert_eq!(store.due(10), Vec::<String>::new());
+    assert_eq!(store.expired(10), Vec::<String>::new());
 }
 
 #[tokio::test]
@@ -814,7 +814,7 @@
     store.put(vec![text(1, 100)], Duration::ZERO).await.expect("the text is put");
     drop(store);
     let store = folder.open();
-    assert_eq!(store.due(10), Vec::<String>::new(), "a found text is held for a while");
+    assert_eq!(store.expired(10), Vec::<String>::new(), "a found text is held for a while");
     assert_eq!(get(&store, 1).await, Some(text(1, 100)));
 }
 
@@ -924,10 +924,10 @@
     drop(store);
     let held = folder.hold_scans();
     let store = folder.open_at_once();
-    assert_eq!(store.due(10), Vec::<String>::new());
+    assert_eq!(store.expired(10), Vec::<String>::new());
     drop(held);
     until(&store, |status| !status.scanning).await;
-    assert_eq!(store.due(10), [name(1)]);
+    assert_eq!(store.expired(10), [name(1)]);
 }
 
 #[tokio::test]
