--- a/crates/gypsumglade/src/disk/faults.rs
+++ b/crates/gypsumglade/src/disk/faults.rs
@@ -1,4 +1,4 @@
-//! Failures of the disk, for tests: the one edge of this module that a test replaces.
+//! Disk failures that tests inject.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -7,7 +7,7 @@
 
 use super::folder;
 
-/// Failures to come; without any, the disk works.
+/// Failures to inject. Clones share them; the default injects none.
 #[doc(hidden)]
 #[derive(Clone, Debug, Default)]
 pub struct Faults(Arc<Inner>);
@@ -15,84 +15,84 @@
 #[derive(Debug, Default)]
 struct Inner {
     plan: Mutex<Plan>,
-    /// Wakes what waits in a sync or a scan that is held.
+    /// Wakes syncs and scans that are held.
     released: Condvar,
 }
 
 #[derive(Debug, Default)]
 struct Plan {
-    /// Bytes that still fit.
+    /// Bytes that can be written before the disk is full, if limited.
     free_bytes: Option<usize>,
-    /// Whether syncs fail.
+    /// Whether syncs of files fail.
     fail_syncs: bool,
     /// Whether syncs of folders fail.
     fail_folders: bool,
     /// The one folder whose syncs fail.
     failing_folder: Option<PathBuf>,
-    /// Whether syncs wait.
+    /// Whether syncs wait until they are released.
     syncs_held: bool,
-    /// Whether scans of files wait.
+    /// Whether scans of text files wait until they are released.
     scans_held: bool,
-    /// What each sync takes beside the disk's own time.
+    /// Delay added to each sync.
     sync_delay: Duration,
 }
 
 impl Faults {
-    /// Makes the disk full after `free_bytes` more bytes.
+    /// Makes the disk full after this many more bytes.
     pub fn fill_after(&self, bytes: usize) {
         self.plan().free_bytes = Some(bytes);
     }
 
-    /// Makes every sync fail from now on.
+    /// Makes every sync of a file fail from now on.
     pub fn fail_syncs(&self) {
         self.plan().fail_syncs = true;
     }
 
-    /// Makes every sync of a folder of texts fail from now on.
+    /// Makes every sync of a folder in the text store fail from now on.
     pub fn fail_folders(&self) {
         self.plan().fail_folders = true;
     }
 
-    /// Makes every sync of this folder fail from now on, where it is synced for texts.
+    /// Makes every sync of this folder in the text store fail from now on.
     pub fn fail_folder(&self, folder: &Path) {
         self.plan().failing_folder = Some(folder.to_path_buf());
     }
 
-    /// Ends all failures.
+    /// Ends all failures. Held or delayed syncs and scans stay so.
     pub fn clear(&self) {
         let mut plan = self.plan();
         (plan.free_bytes, plan.fail_syncs, plan.fail_folders, plan.failing_folder) =
             (None, false, false, None);
     }
 
-    /// Makes syncs wait until [`Faults::release_syncs`].
+    /// Holds syncs of files until [`Faults::release_syncs`].
     pub fn hold_syncs(&self) {
         self.plan().syncs_held = true;
     }
 
-    /// Lets syncs go on.
+    /// Releases held syncs.
     pub fn release_syncs(&self) {
         self.plan().syncs_held = false;
         self.0.released.notify_all();
     }
 
-    /// Makes scans of files of texts wait until [`Faults::release_scans`].
+    /// Holds scans of text files until [`Faults::release_scans`].
     pub fn hold_scans(&self) {
         self.plan().scans_held = true;
     }
 
-    /// Lets scans go on.
+    /// Releases held scans.
     pub fn release_scans(&self) {
         self.plan().scans_held = false;
         self.0.released.notify_all();
     }
 
-    /// Makes every sync take longer.
+    /// Adds a delay to every sync of a file.
     pub fn slow_syncs(&self, delay: Duration) {
         self.plan().sync_delay = delay;
     }
 
-    /// Returns how many of `wanted` bytes may be written.
+    /// Returns how many of `wanted` bytes may be written, and counts them as used.
     pub(crate) fn allow_write(&self, wanted: usize) -> usize {
         let mut plan = self.plan();
         let Some(free_bytes) = &mut plan.free_bytes else {
@@ -112,12 +112,12 @@
         fail_if(waiting.unwrap_or_else(PoisonError::into_inner).fail_syncs)
     }
 
-    /// Waits while a test holds scans.
+    /// Waits while scans are held.
     pub(crate) fn wait_scan(&self) {
         drop(self.0.released.wait_while(self.plan(), |plan| plan.scans_held));
     }
 
-    /// Makes new, renamed and removed names of a folder stable, unless a test has it fail.
+    /// Syncs a folder, unless its syncs are set to fail.
     pub(crate) fn sync_folder(&self, path: &Path) -> io::Result<()> {
         let plan = self.plan();
         let fails = plan.fail_folders || plan.failing_folder.as_deref() == Some(path);
@@ -133,7 +133,7 @@
 
 fn fail_if(fail: bool) -> io::Result<()> {
     match fail {
-        true => Err(io::Error::other("a test failed this sync")),
+        true => Err(io::Error::other("injected sync failure")),
         false => Ok(()),
     }
 }
--- a/crates/gypsumglade/src/disk/folder.rs
+++ b/crates/gypsumglade/src/disk/folder.rs
@@ -1,4 +1,4 @@
-//! Names, format version and lock of a data folder.
+//! File names, format version and lock of a data folder.
 
 use std::fs::{self, File, TryLockError};
 use std::io;
@@ -7,34 +7,34 @@
 use anyhow::{Context, bail};
 use gypsumglade_core::prelude::*;
 
-/// Version of the folder's format; another one is refused.
+/// Supported format version of a data folder. Others are refused.
 const FORMAT: u32 = 1;
 const FORMAT_FILE: &str = "FORMAT";
 const LOCK_FILE: &str = "LOCK";
 
-/// What the format file says.
+/// Content of the format file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Format {
     /// Version of the format.
     format: u32,
-    /// The VM whose folder it is.
+    /// The VM that owns the folder.
     vm: VmId,
 }
 
-/// Locks the folder for this process. The lock goes when the file is closed, also by a crash.
+/// Locks the folder for this process. The lock ends when the returned file is closed, also by a crash.
 pub(super) fn lock(folder: &Path) -> anyhow::Result<File> {
     let path = folder.join(LOCK_FILE);
     let file = File::options().create(true).truncate(false).write(true).open(&path)?;
     match file.try_lock() {
         Ok(()) => Ok(file),
         Err(TryLockError::WouldBlock) => {
-            bail!("another process uses it; stop that process first, or set another folder")
+            bail!("another process uses it; stop that process, or configure another folder")
         }
         Err(TryLockError::Error(error)) => Err(error).context("its lock file can't be locked"),
     }
 }
 
-/// Tells whether a process holds the folder.
+/// Returns whether a process has locked the folder.
 pub(super) fn is_locked(folder: &Path) -> bool {
     let Ok(file) = File::open(folder.join(LOCK_FILE)) else {
         return false;
@@ -42,27 +42,29 @@
     matches!(file.try_lock_shared(), Err(TryLockError::WouldBlock))
 }
 
-/// Checks that the folder is of this format and this VM; marks a new one so.
+/// Checks the format version and the owner of the folder, and writes them to a new folder.
 ///
-/// A replica that starts on another VM's folder would vote in that VM's place a second time.
+/// A replica on the folder of another VM could vote a second time in the same term.
 pub(super) fn check_format(folder: &Path, vm: VmId) -> anyhow::Result<()> {
     let Some(found) = read_format(folder)? else {
         if !segments(folder)?.is_empty() {
-            bail!("it holds a log and no {FORMAT_FILE} file; restore that file from a copy");
+            bail!("it holds a log but no {FORMAT_FILE} file; restore that file from a backup");
         }
         return write_format(folder, Format { format: FORMAT, vm });
     };
     if found.vm != vm {
         let owner = found.vm;
-        bail!("it belongs to {owner} and this is {vm}; check the settings' folder and VM number");
+        bail!(
+            "it belongs to {owner} and this is {vm}; check the folder and the VM number in the settings"
+        );
     }
     Ok(())
 }
 
-/// Returns the VM whose folder it is; nothing for a folder that was never used.
+/// Returns the VM that owns the folder, or `None` if the folder was never used.
 ///
 /// # Errors
-/// Fails on a folder whose format file is damaged or of another version.
+/// Fails if the format file can't be read, is damaged or has another version.
 pub fn owner(folder: &Path) -> anyhow::Result<Option<VmId>> {
     Ok(read_format(folder)?.map(|format| format.vm))
 }
@@ -74,10 +76,10 @@
         Err(error) => return Err(error).context("its FORMAT file can't be read"),
     };
     let found: Format = serde_yaml_ng::from_str(&text)
-        .with_context(|| format!("its {FORMAT_FILE} file is damaged; restore it from a copy"))?;
+        .with_context(|| format!("its {FORMAT_FILE} file is damaged; restore it from a backup"))?;
     if found.format != FORMAT {
         let format = found.format;
-        bail!("its format is {format} and this program reads {FORMAT}; use the matching release");
+        bail!("its format is {format}, but this release reads {FORMAT}; use a matching release");
     }
     Ok(Some(found))
 }
@@ -88,7 +90,7 @@
     Ok(())
 }
 
-/// Writes a file so that after a crash it is there whole or not at all.
+/// Writes and syncs a file atomically: after a crash it is complete or absent.
 pub(super) fn write_atomically(folder: &Path, name: &str, parts: &[&[u8]]) -> io::Result<()> {
     let temporary = folder.join(format!("{name}.tmp"));
     let mut file = File::create(&temporary)?;
@@ -100,7 +102,7 @@
     sync_folder(folder)
 }
 
-/// Makes new, renamed and removed names stable.
+/// Syncs a folder, so that created, renamed and removed names survive a power loss.
 pub(super) fn sync_folder(folder: &Path) -> io::Result<()> {
     File::open(folder)?.sync_all()
 }
@@ -109,7 +111,7 @@
     folder.join(format!("log-{segment:010}"))
 }
 
-/// Returns the numbers of the segment files, in order.
+/// Returns the numbers of the segment files in ascending order.
 pub(super) fn segments(folder: &Path) -> io::Result<Vec<u32>> {
     let mut numbers = Vec::new();
     for entry in fs::read_dir(folder)? {
--- a/crates/gypsumglade/src/disk/frame.rs
+++ b/crates/gypsumglade/src/disk/frame.rs
@@ -1,16 +1,16 @@
-//! Frames of the log: what one sync made stable, with checksums.
+//! Frames of the log: the records of one sync, with checksums.
 //!
-//! A frame is a header (magic, body length, checksum, sequence) and a body of records. A record
-//! has a length and a checksum of its own, so that one entry can be read and checked alone.
+//! A frame consists of a header (magic, body length, checksum, sequence) and a body of records. Each
+//! record has its own length and checksum, so that a single entry can be read and checked.
 
 use gypsumglade_core::wire::replication::Record;
 use prost::Message;
 
 /// Marks the start of a frame, so that frames after a damaged one can be found.
 const MAGIC: [u8; 4] = *b"GGF1";
-/// Bytes of a frame before its body.
+/// Length of a frame's header, in bytes.
 pub(super) const HEADER_BYTES: usize = 20;
-/// Bytes of a record before its content.
+/// Length of a record's header (length and checksum), in bytes.
 pub(super) const RECORD_HEADER_BYTES: usize = 8;
 
 /// A frame under construction.
@@ -28,11 +28,11 @@
         self.bytes.len() == HEADER_BYTES
     }
 
-    /// Adds a record. Returns its offset in the frame and its length.
+    /// Appends a record. Returns its offset in the frame and its length, including its header.
     pub(super) fn push(&mut self, record: &Record) -> (usize, usize) {
         let offset = self.bytes.len();
         self.bytes.extend_from_slice(&[0; RECORD_HEADER_BYTES]);
-        record.encode(&mut self.bytes).expect("a vector grows as needed");
+        record.encode(&mut self.bytes).expect("encoding into a vector can't run out of space");
         let content = &self.bytes[offset + RECORD_HEADER_BYTES..];
         let length = content.len() as u32;
         let checksum = crc32fast::hash(content);
@@ -41,7 +41,7 @@
         (offset, self.bytes.len() - offset)
     }
 
-    /// Returns the whole frame.
+    /// Fills in the header, and returns the bytes of the frame.
     pub(super) fn finish(mut self, sequence: u64) -> Vec<u8> {
         let length = (self.bytes.len() - HEADER_BYTES) as u32;
         self.bytes[..4].copy_from_slice(&MAGIC);
@@ -53,7 +53,7 @@
     }
 }
 
-/// A whole frame in a segment's bytes.
+/// A valid frame within the bytes of a segment.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Frame<'a> {
     pub(super) sequence: u64,
@@ -67,7 +67,7 @@
         self.start + self.body.len()
     }
 
-    /// Returns the records with their offsets in the segment and their lengths.
+    /// Returns the records with their offsets in the segment and their lengths, or `None` if one is damaged.
     pub(super) fn records(&self) -> Option<Vec<(Record, usize, usize)>> {
         let mut records = Vec::new();
         let mut at = 0;
@@ -80,7 +80,7 @@
     }
 }
 
-/// Reads the frame at `offset`, if it is whole and its checksum fits.
+/// Reads the frame at `offset`. Returns `None` if it is incomplete or damaged.
 pub(super) fn read_frame(bytes: &[u8], offset: usize) -> Option<Frame<'_>> {
     let rest = bytes.get(offset..)?;
     if !rest.starts_with(&MAGIC) || rest.len() < HEADER_BYTES {
@@ -95,10 +95,10 @@
     Some(Frame { sequence, start: offset + HEADER_BYTES, body: &frame[HEADER_BYTES..] })
 }
 
-/// Returns the offset of the first whole frame after `offset` that is newer than `sequence`.
+/// Returns the offset of the first valid frame after `offset` whose sequence is above `sequence`.
 ///
-/// A frame is written only after the one before was synced. So a whole frame after a broken one
-/// proves that the broken one was stable once: that is damage, and no write cut short.
+/// A frame is written only after the previous one was synced. A valid frame after an invalid one thus
+/// proves that the invalid one was synced and is damaged, rather than an incomplete write.
 pub(super) fn find_frame(bytes: &[u8], offset: usize, sequence: u64) -> Option<usize> {
     let offsets = offset + 1..=bytes.len().saturating_sub(HEADER_BYTES);
     offsets
@@ -106,7 +106,7 @@
         .find(|&at| read_frame(bytes, at).is_some_and(|frame| frame.sequence > sequence))
 }
 
-/// Reads the record at the start of `bytes` and returns it with its length, if its checksum fits.
+/// Reads the record at the start of `bytes`. Returns it with its length, or `None` if it is damaged.
 pub(super) fn read_record(bytes: &[u8]) -> Option<(Record, usize)> {
     let length = read_u32(bytes, 0)? as usize;
     let content = bytes.get(RECORD_HEADER_BYTES..RECORD_HEADER_BYTES + length)?;
@@ -116,7 +116,7 @@
     Some((Record::decode(content).ok()?, RECORD_HEADER_BYTES + length))
 }
 
-/// Returns the checksum of all of a frame but the field that holds it.
+/// Returns the checksum of a frame, excluding the checksum field itself.
 fn frame_checksum(frame: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(&frame[..8]);
--- a/crates/gypsumglade/src/disk/inspect.rs
+++ b/crates/gypsumglade/src/disk/inspect.rs
@@ -1,4 +1,4 @@
-//! Looks at a data folder without changing it.
+//! Inspects a data folder without changing it.
 
 use std::path::Path;
 
@@ -8,74 +8,74 @@
 use super::folder;
 use super::replay::{Replay, ReplayedGroup, replay};
 
-/// Something that is wrong with a folder.
+/// A fault found in a data folder.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Finding {
-    /// The file.
+    /// Name of the file.
     pub file: CompactString,
-    /// Where in the file, in bytes.
+    /// Offset in the file, in bytes.
     pub offset: u64,
-    /// What is wrong and what to do.
+    /// Description of the fault, with advice on what to do.
     pub text: CompactString,
 }
 
-/// One file of the log.
+/// A segment file of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SegmentReport {
-    /// Its number.
+    /// Number in the file's name.
     pub number: u32,
-    /// Its length in bytes.
+    /// Length of the file, in bytes.
     pub bytes: u64,
-    /// How many syncs it holds.
+    /// Number of valid frames.
     pub frames: u64,
-    /// Bytes of a write that was cut short; the next start removes them.
+    /// Bytes of an incomplete write at the end, which the next start removes.
     pub torn: u64,
 }
 
-/// One group.
+/// State of one group in the folder.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupReport {
-    /// The group.
+    /// Identifier of the group.
     pub group: GroupId,
-    /// Its latest term and vote.
+    /// Latest term that this VM has seen.
     pub term: u64,
     /// The candidate voted for in that term.
     pub vote: Option<VmId>,
-    /// Where its snapshot stands.
+    /// Index and term of the last entry that the snapshot covers.
     pub snapshot: Position,
-    /// Bytes of its snapshot.
+    /// Length of the snapshot, in bytes.
     pub length: u64,
-    /// The members as of the snapshot.
+    /// Members as of the snapshot.
     pub members: Members,
-    /// Entries after the snapshot.
+    /// Number of entries after the snapshot.
     pub entries: u64,
-    /// The last entry.
+    /// Index and term of the last entry.
     pub last: Position,
 }
 
-/// What a folder holds and whether it is sound.
+/// Content and condition of a data folder.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// The VM whose folder it is; nothing for a folder that was never used.
+    /// The VM that owns the folder; `None` if the folder was never used.
     pub vm: Option<VmId>,
-    /// Whether a process uses it now; the report is of one moment then.
+    /// Whether a process uses the folder now. The report is then a momentary view.
     pub locked: bool,
-    /// The files of the log.
+    /// Segment files of the log, in order.
     pub segments: Vec<SegmentReport>,
-    /// The groups.
+    /// Groups with at least one record, by identifier.
     pub groups: Vec<GroupReport>,
-    /// What is wrong; a folder without findings is sound.
+    /// Faults found. A folder without findings is sound.
     pub findings: Vec<Finding>,
 }
 
 impl Report {
-    /// Tells whether a process could start on the folder.
+    /// Returns whether the folder is undamaged, so that a process can start on it.
     pub fn is_sound(&self) -> bool {
         self.findings.is_empty()
     }
 }
 
-/// Reads a whole folder and reports on it. Changes nothing, and needs no lock.
+/// Reads a whole data folder and reports its content. Changes nothing and takes no lock.
 pub fn inspect(folder: &Path) -> anyhow::Result<Report> {
     let vm = folder::owner(folder)?;
     let Replay { segments, groups, findings, .. } = replay(folder)?;
--- a/crates/gypsumglade/src/disk/mod.rs
+++ b/crates/gypsumglade/src/disk/mod.rs
@@ -1,8 +1,8 @@
-//! Log, vote and snapshots of replicas in the data folder.
+//! Stores the logs, votes and snapshots of replicas in the data folder.
 //!
-//! One folder holds one VM's replicas. All groups share a log of segment files; a frame of the
-//! log is what one sync made stable, so one sync serves many groups. docs/design/disk.md has the
-//! format and the reasons.
+//! A folder holds all replicas of one VM. All groups share a log of segment files. A frame of the
+//! log holds the records that are written with one sync, so that one sync serves many groups. See
+//! docs/design/disk.md for the format.
 
 mod faults;
 mod folder;
--- a/crates/gypsumglade/src/disk/reader.rs
+++ b/crates/gypsumglade/src/disk/reader.rs
@@ -1,4 +1,4 @@
-//! Reads single entries and pieces of snapshots while the log is being written.
+//! Reads single entries and chunks of snapshots while the log is being written.
 
 use std::collections::HashMap;
 use std::fs::File;
@@ -17,10 +17,10 @@
 use super::snapshot;
 use super::types::RecordLocation;
 
-/// Segment files held open at most.
+/// Maximum number of segment files kept open.
 const OPEN_FILES: usize = 16;
 
-/// Reads what the disk has made stable.
+/// Reads synced entries and snapshots.
 #[derive(Debug)]
 pub struct Reader {
     folder: PathBuf,
@@ -32,7 +32,7 @@
         Reader { folder, files: HashMap::new() }
     }
 
-    /// Reads the entry at `location`, and checks it.
+    /// Reads the entry at `location`, and verifies its checksum.
     pub fn entry(&mut self, location: RecordLocation) -> anyhow::Result<Entry> {
         let path = segment_path(&self.folder, location.segment);
         let mut bytes = vec![0; location.length as usize];
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Reads a piece of a group's snapshot.
+    /// Reads `length` bytes at `offset` of a group's snapshot.
     pub fn snapshot(
         &self,
         group: GroupId,
--- a/crates/gypsumglade/src/disk/replay.rs
+++ b/crates/gypsumglade/src/disk/replay.rs
@@ -1,4 +1,4 @@
-//! Reads a folder's whole log and finds what is wrong with it.
+//! Reads the whole log of a data folder and detects damage.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::fs;
@@ -17,32 +17,32 @@
 use super::snapshot;
 use super::types::{RecordLocation, RestoredGroup};
 
-/// What to do about damage; cutting it out would lose what was acknowledged.
+/// Advice on damage. Removing the damaged part would lose acknowledged writes.
 const DAMAGE_ADVICE: &str = "keep the folder as it is, check the disk, and replace this VM's \
      replica: remove it from its groups and add a VM with a new number and an empty folder";
 
-/// A segment as it was read.
+/// A segment file that was read.
 #[derive(Debug)]
 pub(super) struct ReplayedSegment {
     pub(super) number: u32,
-    /// Bytes of whole frames.
+    /// Bytes up to the end of the last valid frame.
     pub(super) valid_bytes: u64,
-    /// Bytes of the file.
+    /// Length of the file, in bytes.
     pub(super) bytes: u64,
     pub(super) frames: u64,
 }
 
-/// A whole folder as it was read.
+/// Content of a data folder.
 #[derive(Debug, Default)]
 pub(super) struct Replay {
     pub(super) segments: Vec<ReplayedSegment>,
     pub(super) groups: BTreeMap<GroupId, ReplayedGroup>,
-    /// Sequence of the last frame.
+    /// Sequence number of the last frame.
     pub(super) sequence: u64,
     pub(super) findings: Vec<Finding>,
 }
 
-/// A group while its records are read.
+/// State of a group, built up from its records.
 #[derive(Debug, Default)]
 pub(super) struct ReplayedGroup {
     pub(super) ballot: Ballot,
@@ -52,12 +52,12 @@
     /// Index of the first of `entries`.
     first: u64,
     entries: VecDeque<(EntryMeta, RecordLocation)>,
-    /// The highest index written in each segment.
+    /// Highest index written to each segment.
     pub(super) written: BTreeMap<u32, LogIndex>,
 }
 
-/// Reads every segment and snapshot. Damage is noted and reading goes on, so that all findings
-/// come together.
+/// Reads every segment and snapshot. Reading continues after damage, so that all findings are
+/// reported at once.
 pub(super) fn replay(folder: &Path) -> anyhow::Result<Replay> {
     let mut replay = Replay::default();
     let numbers = segments(folder)?;
@@ -169,7 +169,7 @@
         self.entries.len()
     }
 
-    /// Returns the last entry's place in the log.
+    /// Returns the position of the last entry, or of the snapshot if there are no entries.
     pub(super) fn last(&self) -> Position {
         let Some((meta, _)) = self.entries.back() else {
             return self.snapshot;
@@ -185,8 +185,8 @@
         }
         let end = self.first + self.entries.len() as u64;
         if self.entries.is_empty() || entry.index > end || entry.index < self.first {
-            // Segments before are dropped once a snapshot covers them, and its mark is still to
-            // come here. A gap that stays is found when all is read.
+            // Segments covered by a snapshot may have been removed, and the mark of the snapshot comes
+            // later in the log. `check_groups` reports gaps that remain.
             self.entries.clear();
             self.first = entry.index;
         }
--- a/crates/gypsumglade/src/disk/snapshot.rs
+++ b/crates/gypsumglade/src/disk/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshot files: a header with length and checksum, then the data.
+//! Snapshot files: a header with length and checksum, followed by the data.
 
 use std::fs::{self, File};
 use std::io;
@@ -14,14 +14,15 @@
 use super::folder::write_atomically;
 use super::types::Snapshot;
 
-/// Bytes before the data: length and checksum.
+/// Length of the header in bytes: data length and checksum.
 const HEADER_BYTES: u64 = 12;
 const PREFIX: &str = "snapshot-";
-/// What to do when a write fails.
+/// Advice on a failed write.
 pub(super) const WRITE_ADVICE: &str = "make room or replace the disk, then restart the process \
      (nothing that was acknowledged is lost)";
 
-/// Writes snapshot files while the log goes on. Their marks come after, through the log.
+/// Writes snapshot files independently of the log. The log records a snapshot after its file is
+/// written.
 #[derive(Clone, Debug)]
 pub struct SnapshotWriter {
     folder: PathBuf,
@@ -33,7 +34,7 @@
         SnapshotWriter { folder, faults }
     }
 
-    /// Writes the file of a snapshot and leaves only its mark to be written.
+    /// Writes the file of a snapshot, and clears its data. Only its mark remains to be written to the log.
     pub fn save(&self, group: GroupId, snapshot: &mut Snapshot) -> anyhow::Result<()> {
         let index = snapshot.position.index;
         write(&self.folder, group, index, &snapshot.data, &self.faults).with_context(|| {
@@ -65,7 +66,7 @@
     write_atomically(folder, &name(group, index), &[&length, &checksum, data])
 }
 
-/// Reads a piece of a snapshot. The whole was checked when the folder was opened or written.
+/// Reads a part of a snapshot. The checksum of the file was verified when the folder was opened.
 pub(super) fn read(
     folder: &Path,
     group: GroupId,
@@ -79,7 +80,7 @@
     Ok(Bytes::from(data))
 }
 
-/// Checks a whole snapshot file against its checksum and the length that the log gives.
+/// Verifies a snapshot file against its checksum and the length recorded in the log.
 pub(super) fn check(
     folder: &Path,
     group: GroupId,
@@ -87,19 +88,20 @@
     length: u64,
 ) -> anyhow::Result<()> {
     let path = folder.join(name(group, index));
-    let bytes = fs::read(&path).context("it can't be read")?;
-    let (header, data) = bytes.split_at_checked(HEADER_BYTES as usize).context("it is cut off")?;
+    let bytes = fs::read(&path).context("the file can't be read")?;
+    let (header, data) =
+        bytes.split_at_checked(HEADER_BYTES as usize).context("the file is truncated")?;
     let (stored, checksum) = header.split_at(8);
     if stored != length.to_le_bytes() || data.len() as u64 != length {
-        bail!("its length is not the {length} bytes that the log gives");
+        bail!("its length is not the {length} bytes recorded in the log");
     }
     if checksum != crc32fast::hash(data).to_le_bytes() {
-        bail!("its checksum doesn't fit its data");
+        bail!("its checksum doesn't match its data");
     }
     Ok(())
 }
 
-/// Removes snapshot files that `keep` doesn't name, left behind by a crash.
+/// Removes snapshot files that are not in `keep`, such as those left behind by a crash.
 pub(super) fn remove_unreferenced(folder: &Path, keep: &[String]) -> io::Result<()> {
     for entry in fs::read_dir(folder)? {
         let entry = entry?;
--- a/crates/gypsumglade/src/disk/types.rs
+++ b/crates/gypsumglade/src/disk/types.rs
@@ -1,4 +1,4 @@
-//! What goes to the disk and what comes back.
+//! Jobs for the disk, their results and the restored state.
 
 use std::collections::VecDeque;
 
@@ -11,19 +11,19 @@
 
 use super::faults::Faults;
 
-/// How a data folder is used.
+/// Options for opening a data folder.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The VM whose folder it is.
+    /// The VM that must own the folder.
     pub vm: VmId,
-    /// Bytes after which the log goes on in a new file.
+    /// Length in bytes after which the log continues in a new segment file.
     pub segment_bytes: u64,
-    /// Failures that a test wants to see.
+    /// Disk failures that a test injects.
     #[doc(hidden)]
     pub faults: Faults,
 }
 
-/// Where an entry's record is.
+/// Location of an entry's record in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RecordLocation {
     /// Number of the segment file.
@@ -37,77 +37,77 @@
 /// A snapshot to be written.
 #[derive(Clone, Debug)]
 pub struct Snapshot {
-    /// Where it stands.
+    /// Index and term of the last entry that it covers.
     pub position: Position,
-    /// The members as of it.
+    /// Members as of that entry.
     pub members: Members,
-    /// What the owner of the state machine gave; empty once [`super::SnapshotWriter`] wrote its file.
+    /// Serialised state machine; empty once [`super::SnapshotWriter`] has written the file.
     pub data: Bytes,
-    /// Bytes of the file that is written already.
+    /// Length of the data in bytes if the file is already written, otherwise 0.
     pub saved: u64,
-    /// True when it replaces the whole log.
+    /// Whether it replaces the whole log of the group.
     pub reset: bool,
 }
 
 impl Snapshot {
-    /// Returns the bytes of the snapshot.
+    /// Returns the length of the data in bytes, whether its file is written yet or not.
     pub fn length(&self) -> u64 {
         self.saved.max(self.data.len() as u64)
     }
 }
 
-/// What is to be written for one group.
+/// Content of a [`Job`].
 #[derive(Clone, Debug)]
 pub enum JobWrite {
-    /// The term and vote.
+    /// A new term or vote.
     Ballot(Ballot),
-    /// Entries; the first one's index replaces whatever stood there and after.
+    /// Entries that replace all existing ones from the index of the first one on.
     Entries(Vec<wire::Entry>),
-    /// A snapshot, and what it does to the log.
+    /// A snapshot, with its mark in the log.
     Snapshot(Snapshot),
-    /// Nothing: entries up to here won't be read any more, and their files may go.
+    /// Writes nothing: entries up to this index are not read any more, so their segments may be removed.
     Compact(LogIndex),
 }
 
-/// A write of one group.
+/// A write for one group.
 #[derive(Clone, Debug)]
 pub struct Job {
     /// The group.
     pub group: GroupId,
-    /// The replica's number for the write, if it asked for it.
+    /// The replica's sequence number for the write, if the replica requested it.
     pub sequence: Option<Sequence>,
-    /// What to write.
+    /// Content to write.
     pub write: JobWrite,
 }
 
-/// Where one entry was written.
+/// Location of an entry that was written.
 #[derive(Clone, Copy, Debug)]
 pub struct WrittenEntry {
     /// The entry's index.
     pub index: LogIndex,
     /// The entry's term.
     pub term: Term,
-    /// Where it can be read.
+    /// Location to read it from.
     pub location: RecordLocation,
 }
 
-/// A write that is on stable storage.
+/// Result of a [`Job`] that is synced.
 #[derive(Clone, Debug)]
 pub struct CompletedJob {
     /// The group.
     pub group: GroupId,
-    /// From the job.
+    /// Sequence number of the job.
     pub sequence: Option<Sequence>,
-    /// Where the job's entries are.
+    /// Locations of the job's entries.
     pub entries: Vec<WrittenEntry>,
-    /// Where the job's snapshot stands.
+    /// Last index that the job's snapshot covers.
     pub snapshot: Option<LogIndex>,
     /// Length of the job's snapshot, in bytes.
     pub length: u64,
 }
 
 impl CompletedJob {
-    /// Returns what a disk would say once it has done `job`, but for the places.
+    /// Returns the result of `job` without a disk: entries have no locations.
     pub fn for_memory(job: &Job) -> CompletedJob {
         let (snapshot, length) = match &job.write {
             JobWrite::Snapshot(snapshot) => (Some(snapshot.position.index), snapshot.length()),
@@ -118,21 +118,21 @@
     }
 }
 
-/// A group as the folder holds it.
+/// State of a group as restored from the data folder.
 #[derive(Clone, Debug)]
 pub struct RestoredGroup {
     /// The group.
     pub group: GroupId,
-    /// What its replica starts from.
+    /// Initial state of its replica.
     pub state: Restored,
-    /// Where its entries are, from the one after the snapshot on.
+    /// Locations of its entries, beginning after the snapshot.
     pub locations: VecDeque<RecordLocation>,
     /// Length of its snapshot, in bytes.
     pub length: u64,
 }
 
 impl RestoredGroup {
-    /// Returns a group without entries.
+    /// Returns a group without entries or a snapshot file on the disk.
     pub fn empty(group: GroupId, state: Restored) -> RestoredGroup {
         RestoredGroup { group, state, locations: VecDeque::new(), length: 0 }
     }
--- a/crates/gypsumglade/src/disk/writer.rs
+++ b/crates/gypsumglade/src/disk/writer.rs
@@ -1,4 +1,4 @@
-//! Writes the log: one frame and one sync for all jobs at hand.
+//! Writes the log, with one frame and one sync for each batch of jobs.
 
 use std::collections::BTreeMap;
 use std::fs::{self, File};
@@ -20,7 +20,7 @@
     CompletedJob, Job, JobWrite, Options, RecordLocation, RestoredGroup, Snapshot, WrittenEntry,
 };
 
-/// Segment files above which the groups that hold up the oldest one are named.
+/// Number of segment files above which groups are asked to compact their logs.
 const MAX_KEPT_SEGMENTS: usize = 4;
 
 /// The open data folder of one VM.
@@ -28,37 +28,37 @@
 pub struct Disk {
     folder: PathBuf,
     options: Options,
-    /// Held for as long as the folder is used.
+    /// Locks the folder until it is dropped.
     _lock: File,
     file: File,
-    /// Numbers of the segment files; the last one is written to.
+    /// Numbers of the segment files in order; the last one is written to.
     segments: Vec<u32>,
-    /// Where the next frame goes.
+    /// Offset of the next frame in the last segment.
     offset: u64,
-    /// Sequence of the last frame.
+    /// Sequence number of the last frame.
     sequence: u64,
-    /// Whether a file was begun since the holders of the oldest were last named.
+    /// Whether a segment was created since [`Disk::blocking_groups`] was last called.
     rotated: bool,
     /// Whether the last frame is empty.
     sealed: bool,
     groups: BTreeMap<GroupId, GroupState>,
 }
 
-/// What a new segment repeats of a group, so that older ones can go.
+/// State of a group that each new segment repeats, so that older segments can be removed.
 #[derive(Debug, Default)]
 struct GroupState {
     ballot: Ballot,
     mark: wire::SnapshotMark,
-    /// Entries up to here are read no more. Follows the mark: a reader may still be at work on
-    /// an entry when the snapshot that covers it is stable.
+    /// Entries up to this index are not read any more. Updated after the mark: covered entries may
+    /// still be read when the snapshot is synced.
     compacted: LogIndex,
-    /// The highest index written in each segment.
+    /// Highest index written to each segment.
     written: BTreeMap<u32, LogIndex>,
 }
 
 impl Disk {
-    /// Opens a folder, and creates it if need be. Refuses one that is damaged, locked, of another
-    /// format or of another VM, and cuts off a last write that a crash cut short.
+    /// Opens a data folder, creating it if necessary, and removes an incomplete write at the end of the
+    /// log. Fails if the folder is damaged, locked, of another format version or owned by another VM.
     pub fn open(folder: &Path, options: Options) -> anyhow::Result<(Disk, Vec<RestoredGroup>)> {
         fs::create_dir_all(folder)?;
         let lock = lock(folder)?;
@@ -77,28 +77,29 @@
         Ok((disk, groups))
     }
 
-    /// Returns a reader of what this disk writes.
+    /// Returns a reader for what this disk has synced.
     pub fn reader(&self) -> Reader {
         Reader::new(self.folder.clone())
     }
 
-    /// Returns a writer of snapshot files that works beside this one.
+    /// Returns a writer of snapshot files that can be used concurrently with this disk.
     pub fn snapshot_writer(&self) -> SnapshotWriter {
         SnapshotWriter::new(self.folder.clone(), self.options.faults.clone())
     }
 
-    /// Writes all jobs and returns once they are stable. After an error nothing may be written
-    /// any more: it isn't known what the disk holds.
+    /// Writes all jobs, and returns once they are synced. After an error the disk must not be used any
+    /// more, as its content is not known.
     pub fn write(&mut self, jobs: &mut Vec<Job>) -> anyhow::Result<Vec<CompletedJob>> {
         self.write_frame(jobs).with_context(|| {
             format!("the data folder {} can't be written; {WRITE_ADVICE}", self.folder.display())
         })
     }
 
-    /// Returns the groups whose entries hold up the oldest file, once for each new file.
+    /// Returns the groups whose entries keep the oldest segment from being removed. Returns them once for
+    /// each new segment, and only if there are many segments.
     ///
-    /// A group that is seldom written keeps its few entries for long. Without a snapshot of it
-    /// the files of all groups since would stay, and fill the disk.
+    /// A group that is seldom written doesn't take snapshots on its own, and would keep all segments
+    /// since its last entries on the disk.
     pub fn blocking_groups(&mut self) -> Vec<GroupId> {
         if !std::mem::take(&mut self.rotated) || self.segments.len() <= MAX_KEPT_SEGMENTS {
             return Vec::new();
@@ -109,11 +110,10 @@
         self.groups.iter().filter_map(holds).collect()
     }
 
-    /// Ends a busy time with an empty frame.
+    /// Appends an empty frame, unless the last frame is empty.
     ///
-    /// Damage to the last frame can't be told from a write that was cut short, and is cut off.
-    /// After a seal the last frame holds nothing, so what was acknowledged is never cut off
-    /// because a bit flipped at rest.
+    /// A damaged last frame can't be distinguished from an incomplete write and is removed at the next
+    /// start. With an empty frame at the end, damage to an idle log never removes acknowledged records.
     pub fn seal(&mut self) -> anyhow::Result<()> {
         if self.sealed {
             return Ok(());
@@ -189,8 +189,8 @@
         WrittenEntry { index, term, location }
     }
 
-    /// Writes a snapshot's file and then its mark: a mark never names a file that isn't there.
-    /// Returns the file that the mark makes useless.
+    /// Writes the file of a snapshot before its mark, so that a mark never refers to a missing file.
+    /// Returns the name of the file that is not needed any more, if any.
     fn push_snapshot(
         &mut self,
         frame: &mut FrameWriter,
@@ -201,7 +201,7 @@
         let length = snapshot.length();
         let known = self.groups.get(&group).map_or(0, |state| state.mark.index);
         if !snapshot.reset && index.0 < known {
-            // A leader's snapshot overtook this one while its file was written.
+            // A newer snapshot arrived from the leader while this file was being written.
             return Ok((length > 0).then(|| snapshot::name(group, index)));
         }
         if !snapshot.data.is_empty() {
@@ -241,7 +241,7 @@
         Ok(())
     }
 
-    /// Goes on in a new file that starts with the ballots and marks of all groups.
+    /// Creates a segment that begins with the ballots and snapshot marks of all groups.
     fn begin_segment(&mut self) -> anyhow::Result<()> {
         let number = self.segments.last().map_or(1, |last| last + 1);
         let path = segment_path(&self.folder, number);
@@ -260,7 +260,7 @@
         Ok(())
     }
 
-    /// Removes the oldest files while no group has an entry in them after its snapshot.
+    /// Removes the oldest segments that hold no entry that is still needed.
     fn remove_unused_segments(&mut self) -> anyhow::Result<()> {
         while self.segments.len() > 1 {
             let oldest = self.segments[0];
@@ -281,7 +281,7 @@
         self.segments.last().copied().unwrap_or_default()
     }
 
-    /// Goes on at the end of the log, after cutting a torn last frame.
+    /// Opens the last segment for appending, and removes an incomplete frame at its end.
     fn resume(folder: &Path, options: Options, lock: File, replay: Replay) -> anyhow::Result<Disk> {
         let mut segments: Vec<u32> = replay.segments.iter().map(|s| s.number).collect();
         let valid_bytes = replay.segments.last().map_or(0, |segment| segment.valid_bytes);
@@ -329,7 +329,7 @@
     }
 }
 
-/// Refuses a folder with findings, and names them all.
+/// Fails with a list of all findings, if there are any.
 fn check_findings(replay: &Replay) -> anyhow::Result<()> {
     if replay.findings.is_empty() {
         return Ok(());
--- a/crates/gypsumglade/src/texts/index.rs
+++ b/crates/gypsumglade/src/texts/index.rs
@@ -1,22 +1,23 @@
-//! Where each text is, until when it is held, and how full the segments are with live texts.
+//! In-memory index of the stored texts: their locations and expiries, and the live bytes of each segment.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use gypsumglade_core::prelude::*;
 
-/// A segment is compacted once less than one part in so many of it is live.
+/// A segment is compacted once less than `1 / SPARSE_DIVISOR` of its bytes is live.
 pub(super) const SPARSE_DIVISOR: u64 = 4;
 
-/// Bytes that a text counts at least against the disk's limit. The index takes some 240 bytes of memory for
-/// each, so all of them take a quarter of the limit at most, however short they are.
+/// Bytes that even the shortest text counts against the disk limit.
+///
+/// This bounds the memory of the index, about 240 bytes for each text, to a quarter of the limit.
 const MIN_CHARGE_BYTES: u64 = 1024;
 
-/// Returns what a record counts against the limit beyond its bytes.
+/// Returns the bytes that a record counts against the limit in addition to its length.
 pub(super) fn padding(length: u64) -> u64 {
     MIN_CHARGE_BYTES.saturating_sub(length)
 }
 
-/// Where a record is.
+/// Location of a record in the segment files.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct RecordLocation {
     pub(super) segment: u32,
@@ -24,14 +25,14 @@
     pub(super) length: u32,
 }
 
-/// Where a text is, and when it is due.
+/// Location of a text, and when its retention ends.
 #[derive(Clone, Copy, Debug)]
 struct Entry {
     location: RecordLocation,
     expiry: Time,
 }
 
-/// Bytes of a segment.
+/// Total and live bytes of a segment.
 #[derive(Clone, Copy, Debug, Default)]
 struct Usage {
     length: u64,
@@ -44,34 +45,34 @@
     }
 }
 
-/// A segment whose space can be had back.
+/// A segment whose space can be reclaimed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Reclaim {
     /// None of its texts is live.
     Delete(u32),
-    /// Few of its texts are live, and must be moved first.
+    /// Few of its texts are live; they must be moved first.
     Compact(u32),
 }
 
-/// All that is known in memory of the texts on the disk.
+/// Tracks every text on the disk, without its content.
 #[derive(Debug, Default)]
 pub(super) struct Index {
     texts: HashMap<CompactString, Entry>,
-    /// When each text is due, in order.
+    /// All texts in the order of their expiry.
     expiries: BTreeSet<(Time, CompactString)>,
     segments: BTreeMap<u32, Usage>,
-    /// Bytes of the segments that an earlier process left and that were not scanned yet, or can't be. As
-    /// long as it is not known what is in them they stay.
+    /// Bytes of the segments of an earlier process that are not scanned yet or can't be read. They are
+    /// never reclaimed, because their content is not known.
     unscanned: BTreeMap<u32, u64>,
-    /// What the texts count against the limit beyond their bytes.
+    /// Bytes that the texts count against the limit in addition to their length.
     padding: u64,
-    /// The segment that is being compacted. It is finished before another one is begun, so that no more
-    /// than the live part of one segment is on the disk twice.
+    /// The segment that is being compacted. Only one is compacted at a time, so that at most the live
+    /// part of one segment is on the disk twice.
     compacting: Option<u32>,
 }
 
 impl Index {
-    /// Creates the index of a folder of which nothing but the bytes of each segment is known.
+    /// Creates the index of a folder whose segments are not scanned yet.
     pub(super) fn new(unscanned: BTreeMap<u32, u64>) -> Index {
         Index { unscanned, ..Index::default() }
     }
@@ -89,12 +90,12 @@
         scanned + self.unscanned.values().sum::<u64>()
     }
 
-    /// Returns what counts against the limit.
+    /// Returns the bytes that count against the disk limit.
     pub(super) fn charged_bytes(&self) -> u64 {
         self.disk_bytes() + self.padding
     }
 
-    /// Returns the bytes of the longest segment.
+    /// Returns the length of the longest segment, in bytes.
     pub(super) fn longest_segment(&self) -> u64 {
         let scanned = self.segments.values().map(|usage| usage.length);
         scanned.chain(self.unscanned.values().copied()).max().unwrap_or_default()
@@ -104,12 +105,12 @@
         self.texts.get(turn).map(|entry| entry.location)
     }
 
-    /// Notes that a segment has grown.
+    /// Adds `bytes` to the length of a segment.
     pub(super) fn grow(&mut self, segment: u32, bytes: u64) {
         self.segments.entry(segment).or_default().length += bytes;
     }
 
-    /// Notes a text; one that was known elsewhere is there no more.
+    /// Adds a text, and replaces an earlier location of it.
     pub(super) fn insert(&mut self, turn: CompactString, location: RecordLocation, expiry: Time) {
         self.remove(&turn);
         self.segments.entry(location.segment).or_default().live += u64::from(location.length);
@@ -118,7 +119,8 @@
         self.texts.insert(turn, Entry { location, expiry });
     }
 
-    /// Notes a text that a scan found. Scans go backwards, so one that is known is the newer one.
+    /// Adds a text that a scan found, unless it is known. Scans run from the newest record to the
+    /// oldest, so a known location is the newer one.
     pub(super) fn insert_scanned(
         &mut self,
         turn: CompactString,
@@ -130,13 +132,13 @@
         }
     }
 
-    /// Notes that all texts of a segment were found, in its first `bytes`.
+    /// Marks a segment of `bytes` as scanned, after all its texts were added.
     pub(super) fn finish_scan(&mut self, segment: u32, bytes: u64) {
         self.unscanned.remove(&segment);
         self.grow(segment, bytes);
     }
 
-    /// Notes that a text was moved, unless it was dropped meanwhile.
+    /// Updates the location of a moved text, unless it was dropped or moved in the meantime.
     pub(super) fn relocate(&mut self, turn: &str, from: RecordLocation, to: RecordLocation) {
         let Some(entry) = self.texts.get_mut(turn).filter(|entry| entry.location == from) else {
             return;
@@ -146,7 +148,7 @@
         self.release(from);
     }
 
-    /// Forgets a text, and tells whether its segment has few live ones left.
+    /// Removes a text. Returns whether its segment is sparse now.
     pub(super) fn remove(&mut self, turn: &str) -> bool {
         let Some((turn, entry)) = self.texts.remove_entry(turn) else {
             return false;
@@ -171,7 +173,7 @@
         self.expiries.insert((expiry, turn));
     }
 
-    /// Returns up to `limit` texts that are due, and has them due again at `again`.
+    /// Returns up to `limit` expired texts, and postpones their expiry to `again`.
     pub(super) fn take_expired(
         &mut self,
         now: Time,
@@ -184,10 +186,10 @@
         expired
     }
 
-    /// Returns a segment other than `current` whose space can be had back; `current` too, once none of
-    /// its texts is live and `idle` says that nothing is about to be written.
+    /// Returns a segment whose space can be reclaimed. `current` is included only if none of its texts is
+    /// live and `idle` is set, that is, no write is queued.
     ///
-    /// Deletes come first: they cost next to nothing.
+    /// Prefers deletes, which need no copying.
     pub(super) fn reclaim(&mut self, current: Option<u32>, idle: bool) -> Option<Reclaim> {
         let scanned = || self.segments.iter().filter(|(n, _)| !self.unscanned.contains_key(*n));
         let unused = scanned()
@@ -203,7 +205,7 @@
         self.compacting.map(Reclaim::Compact)
     }
 
-    /// Returns live texts of a segment, of some `bytes` together.
+    /// Returns live texts of a segment, up to `bytes` in total but at least one.
     pub(super) fn live_texts(
         &self,
         segment: u32,
--- a/crates/gypsumglade/src/texts/mod.rs
+++ b/crates/gypsumglade/src/texts/mod.rs
@@ -1,7 +1,7 @@
-//! Texts of kept turns on this store's disk; see docs/design/texts.md.
+//! Stores the texts of kept turns on the disk of this VM; see docs/design/texts.md.
 //!
-//! Texts are appended to segment files by one thread, with one sync for all that are at hand, and read by
-//! another. Memory holds where each one is and no text.
+//! One thread appends texts to segment files, with one sync for each batch, and another reads them. Only
+//! their locations are kept in memory.
 
 mod index;
 mod open;
@@ -24,50 +24,51 @@
 use self::shared::Shared;
 use crate::disk::Faults;
 
-/// Bytes after which a new segment file is begun.
+/// Maximum length of a segment file, in bytes. A batch that is longer gets a file of its own.
 const SEGMENT_BYTES: u64 = 8 * 1024 * 1024;
-/// Segments at least that the disk's limit is divided into, so that space comes back in small parts.
+/// Minimum number of segments within the disk limit, so that space is reclaimed in small steps.
 const MIN_SEGMENTS: u64 = 8;
-/// How long a text that an earlier process left is held before it is due. Its retention is not known: it
-/// is the turn group that knows whether the turn is kept.
+/// Retention of a text that an earlier process wrote. The original one is not stored; only the turn
+/// group knows whether the turn is still kept.
 const RECOVERED_RETENTION: Duration = Duration::from_secs(30);
-/// How long a due text that was returned is not returned again: a lookup at the turn group takes less.
+/// How long [`TextStore::expired`] doesn't return the same text again; longer than a lookup at the turn
+/// group takes.
 const RECHECK_INTERVAL: Duration = Duration::from_secs(5);
-/// How long a text is waited for that may be in a file not scanned yet. Its caller asks another holder
-/// after that, and gives up on this one after a second.
+/// How long a read waits for a text that may be in a file not scanned yet. Shorter than the timeout of
+/// the caller, which then asks another holder.
 const SCAN_TIMEOUT: Duration = Duration::from_millis(500);
-/// Pause before a disk that failed is tried again.
+/// Pause before the next attempt to write to a failed disk.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// Limits of a [`TextStore`].
 #[derive(Clone, Debug)]
 pub struct TextLimits {
-    /// Bytes of all files at most; a put that would pass it is refused.
+    /// Maximum total length of the files, in bytes. A put that would exceed it is refused.
     pub disk_bytes: u64,
 }
 
-/// Settings of a [`TextStore`]; only tests replace more than the log.
+/// Settings of a [`TextStore`]. Production code sets only the limits and the log.
 #[derive(Clone, Debug)]
 pub struct TextOptions {
-    /// Limits on what it takes.
+    /// Limits on disk usage.
     pub limits: TextLimits,
-    /// Where damage and failures are told.
+    /// Receives reports of damaged records and failed writes.
     pub log: slog::Logger,
-    /// How long a text that an earlier process left is held before it is due.
+    /// Retention of a text that an earlier process wrote.
     pub recovered_retention: Duration,
-    /// How long a due text that was returned is not returned again.
+    /// How long [`TextStore::expired`] doesn't return the same text again.
     pub recheck_interval: Duration,
-    /// Pause before a disk that failed is tried again.
+    /// Pause before the next attempt to write to a failed disk.
     pub retry_delay: Duration,
-    /// How long a text is waited for that may be in a file not scanned yet.
+    /// How long a read waits for a text that may be in a file not scanned yet.
     pub scan_timeout: Duration,
-    /// Failures of the disk to come.
+    /// Disk failures that a test injects.
     #[doc(hidden)]
     pub faults: Faults,
 }
 
 impl TextOptions {
-    /// Returns the usual settings.
+    /// Returns the default settings with these limits and this log.
     pub fn new(limits: TextLimits, log: slog::Logger) -> TextOptions {
         TextOptions {
             limits,
@@ -80,51 +81,52 @@
         }
     }
 
-    /// Returns the bytes after which a new segment is begun.
+    /// Returns the maximum length of a segment under this disk limit, in bytes.
     fn segment_bytes(&self) -> u64 {
         SEGMENT_BYTES.min(self.limits.disk_bytes / MIN_SEGMENTS)
     }
 }
 
-/// Why texts are not on the disk.
+/// Reason why a put failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PutError {
-    /// There is no room, on the disk or in the queue before it.
-    #[error("no room for further texts")]
+    /// The disk limit is reached, the write queue is full, or a turn's name or the put is too long.
+    #[error("no room for further texts on the disk or in its write queue")]
     Full,
-    /// The disk failed. Puts are refused until it takes writes again.
-    #[error("the disk failed")]
+    /// A write failed, or the store is closed. After a failure puts are refused until the disk accepts
+    /// writes again.
+    #[error("texts can't be written: the disk failed or the store is closed")]
     Failed,
 }
 
-/// What a [`TextStore`] holds and has done.
+/// State and counters of a [`TextStore`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct TextStatus {
     /// Texts that can be read.
     pub texts: usize,
-    /// Bytes of these texts on the disk.
+    /// Bytes of the records of these texts on the disk.
     pub live_bytes: u64,
-    /// Bytes of all files.
+    /// Total length of all segment files, in bytes.
     pub disk_bytes: u64,
-    /// Bytes that wait for the disk.
+    /// Bytes that are queued or being written.
     pub queued_bytes: u64,
-    /// Records that were found damaged and dropped.
+    /// Damaged records that were found and dropped.
     pub damaged: u64,
     /// Syncs since the store was opened.
     pub syncs: u64,
-    /// Whether what an earlier process left is still being looked for.
+    /// Whether files of an earlier process are still being scanned.
     pub scanning: bool,
-    /// Whether puts are refused because the disk failed and has not taken a write since.
+    /// Whether puts are refused because a write failed and none succeeded since.
     pub failed: bool,
 }
 
-/// A handle to the texts on this store's disk; clones share them.
+/// Handle to the texts on the disk of this VM. Clones share the same store.
 #[derive(Clone, Debug)]
 pub struct TextStore {
     handle: Arc<Handle>,
 }
 
-/// The threads; the last handle waits for them, so that what was put is written.
+/// Owns the threads. Dropping it waits until all queued texts are written.
 #[derive(Debug)]
 struct Handle {
     shared: Arc<Shared>,
@@ -133,33 +135,33 @@
 }
 
 impl TextStore {
-    /// Opens the folder. What an earlier process left there is found from then on.
+    /// Opens the folder, and scans the files of an earlier process in the background.
     ///
     /// # Errors
-    /// Fails when the folder can't be used.
+    /// Fails when the folder can't be created, synced or listed, or a thread can't be started.
     pub fn open(folder: &Path, limits: TextLimits) -> anyhow::Result<TextStore> {
         let log = slog::Logger::root(slog::Discard, slog::o!());
         TextStore::open_with(folder, TextOptions::new(limits, log))
     }
 
-    /// Opens the folder as [`TextStore::open`] does, with all settings.
+    /// Opens the folder as [`TextStore::open`] does, with explicit settings.
     ///
-    /// It doesn't wait until all files were read: that takes seconds, in which a store would neither vote
-    /// nor be heard of, and be taken for lost. Until then a text may be put that is there already, and
-    /// [`TextStore::get`] takes longer.
+    /// Returns before the files are scanned, which may take seconds: a store that is silent for so long
+    /// is considered lost. Until then a stored text may be put again, and [`TextStore::get`] may wait.
     ///
     /// # Errors
-    /// Fails when the folder can't be used.
+    /// Fails when the folder can't be created, synced or listed, or a thread can't be started.
     pub fn open_with(folder: &Path, options: TextOptions) -> anyhow::Result<TextStore> {
         Ok(TextStore { handle: Arc::new(open::open(folder, options)?) })
     }
 
-    /// Puts texts on the disk, and returns once they are synced. A text that is there is left as it is.
+    /// Writes texts to the disk, and returns once they are synced. Texts that are stored already are not
+    /// written again and keep their expiry.
     ///
-    /// `retention` is how long each is kept before it is due, see [`TextStore::expired`].
+    /// After `retention` a text is returned by [`TextStore::expired`].
     ///
     /// # Errors
-    /// Says why they are not on the disk.
+    /// Fails when there is no room or a write fails; some of the texts may be stored nevertheless.
     pub async fn put(&self, texts: Vec<Text>, retention: Duration) -> Result<(), PutError> {
         for synced in self.handle.shared.enqueue(texts, retention)? {
             synced.await.unwrap_or(Err(PutError::Failed))?;
@@ -167,10 +169,10 @@
         Ok(())
     }
 
-    /// Returns those of the turns' texts that are here; one that is not synced yet isn't.
+    /// Returns the stored texts of these turns. Texts that are not synced yet are left out.
     ///
-    /// While the files of an earlier process are read, a text that is not known yet is waited for, for
-    /// some time.
+    /// While files of an earlier process are being scanned, waits for missing texts up to
+    /// [`TextOptions::scan_timeout`].
     pub async fn get(&self, turns: &[String]) -> Vec<Text> {
         self.handle.shared.wait_for_scan(turns).await;
         let indexed = turns.iter().filter(|turn| self.handle.shared.location(turn).is_some());
@@ -185,26 +187,26 @@
         }
     }
 
-    /// Returns up to `limit` turns whose texts have been kept for their retention. One that is neither
-    /// extended nor dropped is returned again after a pause.
+    /// Returns up to `limit` turns whose texts have reached the end of their retention. A text that is
+    /// neither extended nor dropped is returned again after [`TextOptions::recheck_interval`].
     pub fn expired(&self, limit: usize) -> Vec<CompactString> {
         self.handle.shared.take_expired(limit)
     }
 
-    /// Keeps a text for longer.
+    /// Sets the remaining retention of a text.
     pub fn extend(&self, turn: &str, retention: Duration) {
         self.handle.shared.extend(turn, retention);
     }
 
     /// Drops a text.
     ///
-    /// Only memory knows of it until the file goes. After a restart the text may be back; it is then due
-    /// like any other that was found, and dropped again once the turn group is asked.
+    /// The drop is not written to the disk. After a restart the text may be found again; it then expires,
+    /// and is dropped again once the turn group is asked.
     pub fn drop(&self, turn: &str) {
         self.handle.shared.remove(turn);
     }
 
-    /// Returns what the store holds and has done.
+    /// Returns the current state and counters.
     pub fn status(&self) -> TextStatus {
         self.handle.shared.status()
     }
@@ -215,7 +217,8 @@
         self.shared.close();
         self.queries = None;
         for thread in self.threads.drain(..) {
-            // A thread that panicked has been seen on standard error.
+            // The panic of a thread was already printed to standard error.
+
             let _ = thread.join();
         }
     }
--- a/crates/gypsumglade/src/texts/open.rs
+++ b/crates/gypsumglade/src/texts/open.rs
@@ -1,4 +1,4 @@
-//! Opens the folder, and starts the threads.
+//! Opens the folder of a text store, and starts its threads.
 
 use std::fs;
 use std::io;
@@ -20,20 +20,20 @@
 
 pub(super) fn open(folder: &Path, options: TextOptions) -> anyhow::Result<Handle> {
     fs::create_dir_all(folder)
-        .with_context(|| format!("the folder {} can't be made", folder.display()))?;
+        .with_context(|| format!("the folder {} can't be created", folder.display()))?;
     sync_parent(folder, &options.faults)
-        .with_context(|| format!("the name of {} can't be synced", folder.display()))?;
+        .with_context(|| format!("the parent folder of {} can't be synced", folder.display()))?;
     options.faults.sync_folder(folder)?;
     let lengths = segment::lengths(folder)?;
-    // From the newest on: turns that go on soonest are there.
+    // Newest first: recent turns are the most likely to be continued.
     let segments: Vec<u32> = lengths.keys().rev().copied().collect();
     let shared = Arc::new(Shared::new(options, Clock::start(), Index::new(lengths)));
-    start(folder, shared, segments).context("the threads for texts can't be started")
+    start(folder, shared, segments).context("the threads of the text store can't be started")
 }
 
-/// Makes the folder's own name stable: a power loss would else take it with all that was acknowledged.
+/// Syncs the parent folder, so that a power loss doesn't remove the new folder with its texts.
 ///
-/// It is done for a folder that was there too. Whoever made it may have ended before the sync.
+/// Also done for an existing folder: the process that created it may have ended before the sync.
 fn sync_parent(folder: &Path, faults: &Faults) -> io::Result<()> {
     match folder.canonicalize()?.parent() {
         Some(parent) => faults.sync_folder(parent),
--- a/crates/gypsumglade/src/texts/reader.rs
+++ b/crates/gypsumglade/src/texts/reader.rs
@@ -1,4 +1,4 @@
-//! The thread that reads texts, so that a slow disk holds up no call.
+//! The thread that reads texts, so that a slow disk doesn't block the callers' runtime.
 
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -12,27 +12,27 @@
 use super::segment;
 use super::shared::Shared;
 
-/// How often a text is looked up: its record may be moved while it is being read.
+/// Attempts to read a text whose record is moved by the writer in the meantime.
 const MAX_LOOKUPS: usize = 3;
 
-/// Texts that a caller asks for.
+/// A request for the texts of some turns.
 #[derive(Debug)]
 pub(super) struct Query {
     pub(super) turns: Vec<String>,
     pub(super) reply: oneshot::Sender<Vec<Text>>,
 }
 
-/// Reads texts.
+/// Answers queries from the segment files.
 pub(super) struct Reader {
     pub(super) shared: Arc<Shared>,
     pub(super) folder: PathBuf,
 }
 
-/// Files that are open for one query. Kept for longer, they would hold the space of deleted ones.
+/// Files opened for one query. Open files of deleted segments would still occupy disk space.
 type Files = BTreeMap<u32, File>;
 
 impl Reader {
-    /// Answers queries until the store is closed.
+    /// Answers queries until the store is dropped.
     pub(super) fn run(&self, queries: &mpsc::Receiver<Query>) {
         while let Ok(query) = queries.recv() {
             if query.reply.is_closed() {
@@ -40,7 +40,7 @@
             }
             let mut files = Files::new();
             let texts = query.turns.iter().filter_map(|turn| self.read(&mut files, turn));
-            // A caller that has gone needs no answer.
+            // The caller may have stopped waiting.
             let _ = query.reply.send(texts.collect());
         }
     }
@@ -53,11 +53,11 @@
                 Ok(Some(text)) => return Some(text),
                 Ok(None) => self.shared.drop_damaged(turn, location),
                 Err(error) if self.shared.location(turn) == Some(location) => {
-                    slog::error!(self.shared.options.log, "a text can't be read";
+                    slog::error!(self.shared.options.log, "failed to read a text from disk";
                         "turn" => turn, "segment" => location.segment, "error" => %error);
                     return None;
                 }
-                // It was moved or dropped meanwhile.
+                // The record was moved or dropped in the meantime.
                 Err(_) => {}
             }
         }
--- a/crates/gypsumglade/src/texts/record.rs
+++ b/crates/gypsumglade/src/texts/record.rs
@@ -1,7 +1,8 @@
 //! Records of segment files: one text each, with checksums.
 //!
-//! A header has the lengths of the parts, their checksum, and a checksum of its own. So a scan steps
-//! over a record whose parts are damaged, and needs to search only where a header is.
+//! The header holds the lengths of the parts, their checksum, and a checksum of the header itself. With
+//! an intact header a scan can skip a damaged record; it searches for the next one only if the header is
+//! damaged.
 
 use bytes::Bytes;
 use gypsumglade_core::prelude::*;
@@ -9,9 +10,9 @@
 
 /// Marks the start of a record, so that records after a damaged header can be found.
 pub(super) const MAGIC: [u8; 4] = *b"GGT1";
-/// Bytes of a record before its parts: mark, three lengths, and two checksums.
+/// Length of the header in bytes: magic, three lengths and two checksums.
 pub(super) const HEADER_BYTES: usize = 24;
-/// Longest name of a turn that is read into memory.
+/// Maximum length of a turn's name, in bytes. Bounds what a scan reads into memory.
 const MAX_NAME_BYTES: usize = 4 * 1024;
 
 /// Lengths and checksum of a record's parts.
@@ -24,7 +25,7 @@
 }
 
 impl Header {
-    /// Reads a header, if its checksum fits.
+    /// Decodes a header. Returns `None` if it is damaged or the name is too long.
     pub(super) fn read(bytes: &[u8; HEADER_BYTES]) -> Option<Header> {
         let field = |at| u32::from_le_bytes([0, 1, 2, 3].map(|i: usize| bytes[at + i]));
         if !bytes.starts_with(&MAGIC) || field(20) != crc32fast::hash(&bytes[..20]) {
@@ -34,23 +35,23 @@
         (name <= MAX_NAME_BYTES).then_some(Header { name, input, output, checksum: field(16) })
     }
 
-    /// Returns the bytes of the whole record.
+    /// Returns the length of the whole record, in bytes.
     pub(super) fn length(&self) -> usize {
         HEADER_BYTES + self.name + self.input + self.output
     }
 }
 
-/// Returns the bytes that a text takes in a file.
+/// Returns the length of a text's record, in bytes.
 pub(super) fn length(text: &Text) -> usize {
     HEADER_BYTES + text.turn.len() + text.input.len() + text.output.len()
 }
 
-/// Tells whether the name is one that a scan would accept.
+/// Returns whether a scan would accept the turn's name.
 pub(super) fn has_valid_name(text: &Text) -> bool {
     text.turn.len() <= MAX_NAME_BYTES
 }
 
-/// Adds a text's record.
+/// Appends the record of a text to `bytes`.
 pub(super) fn push(bytes: &mut Vec<u8>, text: &Text) {
     let parts = [text.turn.as_bytes(), &text.input, &text.output];
     let mut checksum = crc32fast::Hasher::new();
@@ -58,7 +59,7 @@
     let start = bytes.len();
     bytes.extend(MAGIC);
     for part in parts {
-        let length = u32::try_from(part.len()).expect("a put has less");
+        let length = u32::try_from(part.len()).expect("a put is limited to 1 GiB");
         bytes.extend(length.to_le_bytes());
     }
     bytes.extend(checksum.finalize().to_le_bytes());
@@ -67,7 +68,7 @@
     parts.iter().for_each(|part| bytes.extend_from_slice(part));
 }
 
-/// Returns the text of a whole record, if its checksums fit.
+/// Decodes a record. Returns `None` if it is incomplete or damaged.
 pub(super) fn read(bytes: Bytes) -> Option<Text> {
     let header = Header::read(bytes.first_chunk()?)?;
     if bytes.len() != header.length() {
@@ -83,7 +84,7 @@
     Some(Text { turn, input, output })
 }
 
-/// Returns the turn that a record's name part gives.
+/// Decodes the name part of a record. Returns `None` if it is not valid UTF-8.
 pub(super) fn turn(name: &[u8]) -> Option<CompactString> {
     CompactString::from_utf8(name).ok()
 }
--- a/crates/gypsumglade/src/texts/scanner.rs
+++ b/crates/gypsumglade/src/texts/scanner.rs
@@ -1,4 +1,4 @@
-//! The thread that finds what an earlier process left, while the store is in use already.
+//! The thread that indexes the segments of an earlier process while the store is already in use.
 
 use std::fs::File;
 use std::io;
@@ -11,14 +11,14 @@
 use super::segment::{self, Scanned};
 use super::shared::Shared;
 
-/// Texts that are made known at one time, so that no caller waits for those of a whole segment.
+/// Texts that are added to the index under one lock; bounds how long callers wait for it.
 const FOUND_BATCH: usize = 1_024;
 
 /// Scans the segments of an earlier process.
 pub(super) struct Scanner {
     shared: Arc<Shared>,
     folder: PathBuf,
-    /// From the newest on.
+    /// Newest first.
     segments: Vec<u32>,
 }
 
@@ -27,7 +27,7 @@
         Scanner { shared, folder, segments }
     }
 
-    /// Scans all segments, or those until the store is closed.
+    /// Scans all segments, and stops early if the store is closed.
     pub(super) fn run(self) {
         let options = &self.shared.options;
         let expiry = self.shared.now() + options.recovered_retention;
@@ -38,25 +38,25 @@
             }
             match self.scan(number, expiry) {
                 Ok(scanned) if scanned.damaged > 0 || scanned.valid_length < scanned.length => {
-                    slog::warn!(options.log, "a file of texts was damaged or cut short";
+                    slog::warn!(options.log, "a segment of texts was damaged or truncated";
                         "segment" => number, "damaged" => scanned.damaged,
                         "cut" => scanned.length - scanned.valid_length);
                 }
                 Ok(_) => {}
-                // It stays as it is, for the next process may be able to read it.
+                // The file is kept: a later process may be able to read it.
                 Err(error) => {
-                    slog::crit!(options.log, "a file of texts can't be read or cut; its texts are absent";
+                    slog::crit!(options.log, "failed to scan a segment of texts; its texts are unavailable";
                         "path" => %segment::path(&self.folder, number).display(), "error" => %error);
                 }
             }
         }
     }
 
-    /// Reads a segment, cuts off a last write that was cut short, and makes known what is in it.
+    /// Scans a segment, removes an incomplete write at its end, and adds its texts to the index.
     ///
-    /// It is synced first: a process that was killed leaves writes that nobody has synced, and a text
-    /// that is found is acknowledged at its next put without a sync. Any segment may have such writes,
-    /// for one that was killed while it scanned may have begun later ones.
+    /// The file is synced before its texts are added: a killed process may leave unsynced writes, and a
+    /// put of an indexed text is acknowledged without a sync. This applies to every segment, not only to
+    /// the last one, as a process that is killed during its scan may have created later segments.
     fn scan(&self, number: u32, expiry: Time) -> io::Result<Scanned> {
         let path = segment::path(&self.folder, number);
         let file = File::options().read(true).write(true).open(path)?;
@@ -69,7 +69,7 @@
             file.set_len(scanned.valid_length)?;
         }
         file.sync_all()?;
-        // Backwards, as the segments are: of two records of a text the later one counts.
+        // Newest first, like the segments: the index keeps the first record of a text that it is given.
         found.reverse();
         while !found.is_empty() {
             let rest = found.split_off(found.len().min(FOUND_BATCH));
@@ -82,7 +82,7 @@
 }
 
 impl Drop for Scanner {
-    /// Ends the wait of those who ask for texts, also if the thread panicked.
+    /// Releases callers that wait for the scan, also if the thread panics.
     fn drop(&mut self) {
         self.shared.finish_scanning();
     }
--- a/crates/gypsumglade/src/texts/segment.rs
+++ b/crates/gypsumglade/src/texts/segment.rs
@@ -1,4 +1,4 @@
-//! Segment files: their names, and what a scan finds in them.
+//! Names, records and recovery scans of segment files.
 
 use std::collections::BTreeMap;
 use std::fs::{self, File};
@@ -13,7 +13,7 @@
 use super::index::RecordLocation;
 use super::record::{self, HEADER_BYTES, Header, MAGIC};
 
-/// Bytes that a scan reads at one time, whatever a file or a record holds.
+/// Bytes that a scan reads at a time.
 const READ_BYTES: usize = 64 * 1024;
 const PREFIX: &str = "texts-";
 
@@ -21,7 +21,7 @@
     folder.join(format!("{PREFIX}{number:010}"))
 }
 
-/// Returns the bytes of each segment file, by its number.
+/// Returns the length in bytes of each segment file, by its number.
 pub(super) fn lengths(folder: &Path) -> io::Result<BTreeMap<u32, u64>> {
     let mut lengths = BTreeMap::new();
     for entry in fs::read_dir(folder)? {
@@ -42,34 +42,34 @@
     Ok(Bytes::from(bytes))
 }
 
-/// Reads one text, if its record is whole and of this turn.
+/// Reads a text. Returns `None` if its record is damaged or belongs to another turn.
 pub(super) fn read(file: &File, location: RecordLocation, turn: &str) -> io::Result<Option<Text>> {
     let text = record::read(read_raw(file, location)?);
     Ok(text.filter(|text| text.turn == turn))
 }
 
-/// What a scan found in a file.
+/// Result of the scan of a file.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Scanned {
-    /// End of the last whole record.
+    /// Offset of the end of the last valid record.
     pub(super) valid_length: u64,
-    /// Bytes of the file.
+    /// Length of the file, in bytes.
     pub(super) length: u64,
-    /// Damaged places before the last whole record.
+    /// Damaged ranges before the last valid record.
     pub(super) damaged: u64,
 }
 
-/// A file that is scanned, piece by piece.
+/// A file that is scanned in chunks.
 struct Scan<'a> {
     file: &'a File,
     length: u64,
     chunk: Vec<u8>,
 }
 
-/// Finds the whole records of a file, and gives each one's turn, offset and length to `found`.
+/// Finds the valid records of a file, and passes the turn, offset and length of each to `found`.
 ///
-/// Damage in the middle is stepped over. It need not be the disk's fault: after a power loss each of
-/// the unsynced writes may be there, missing or torn. None of those was acknowledged.
+/// Damaged ranges are skipped. They don't imply a faulty disk: after a power loss each of the unsynced
+/// writes, none of which was acknowledged, may be present, missing or incomplete.
 pub(super) fn scan(
     file: &File,
     mut found: impl FnMut(CompactString, u64, u64),
@@ -77,7 +77,7 @@
     let length = file.metadata()?.len();
     let mut scan = Scan { file, length, chunk: vec![0; READ_BYTES] };
     let mut scanned = Scanned { length, ..Scanned::default() };
-    // Damage counts only once a whole record follows; at the end it is a write that was cut short.
+    // Counted as damage only if a valid record follows; at the end it is an incomplete write.
     let mut skipped = 0;
     let mut at = 0;
     while at < length {
@@ -101,7 +101,7 @@
 }
 
 impl Scan<'_> {
-    /// Reads the header at `at`, if it is whole and its record ends within the file.
+    /// Reads the header at `at`. Returns `None` if it is damaged or its record exceeds the file.
     fn header(&self, at: u64) -> io::Result<Option<Header>> {
         let mut bytes = [0; HEADER_BYTES];
         if at + HEADER_BYTES as u64 > self.length {
@@ -112,7 +112,7 @@
         Ok(header.filter(|header| at + header.length() as u64 <= self.length))
     }
 
-    /// Returns the turn of the record at `at`, if its parts fit their checksum.
+    /// Returns the turn of the record at `at`, or `None` if the record is damaged.
     fn check_record(&mut self, at: u64, header: &Header) -> io::Result<Option<CompactString>> {
         let mut checksum = crc32fast::Hasher::new();
         let mut turn = None;
@@ -131,7 +131,7 @@
         Ok(turn.flatten().filter(|_| checksum.finalize() == header.checksum))
     }
 
-    /// Returns the offset of the next whole header from `at` on, or the end of the file.
+    /// Returns the offset of the next valid header at or after `at`, or the end of the file.
     fn find_header(&mut self, mut at: u64) -> io::Result<u64> {
         while at + HEADER_BYTES as u64 <= self.length {
             let count = (self.length - at).min(READ_BYTES as u64) as usize;
@@ -144,7 +144,7 @@
                     return Ok(candidate);
                 }
             }
-            // A mark may lie across the border of two pieces.
+            // The magic may span two chunks.
             at += (count - (MAGIC.len() - 1)) as u64;
         }
         Ok(self.length)
--- a/crates/gypsumglade/src/texts/shared.rs
+++ b/crates/gypsumglade/src/texts/shared.rs
@@ -1,4 +1,4 @@
-//! What callers, the writer and the reader share: the index, and the queue of what is to be written.
+//! State that callers and the threads share: the index and the write queue.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::sync::{Condvar, Mutex, MutexGuard};
@@ -13,56 +13,55 @@
 use super::{PutError, TextOptions, TextStatus};
 use crate::clock::Clock;
 
-/// Bytes at most that wait for the disk, or are being written. One put may have more if it is alone: it could
-/// never be taken else.
+/// Maximum bytes that are queued or being written. A longer put is accepted while the queue is empty.
 pub(super) const MAX_QUEUE_BYTES: u64 = 8 * 1024 * 1024;
-/// Bytes of one put at most, for a place in a file has 32 bits.
+/// Maximum bytes of one put; keeps the offsets in a segment within 32 bits.
 const MAX_PUT_BYTES: u64 = 1024 * 1024 * 1024;
-/// Bytes after which one sync takes no further texts: some 10 ms of a slow disk's time.
+/// Maximum bytes of texts in one sync; bounds its duration on a slow disk.
 pub(super) const MAX_BATCH_BYTES: u64 = 1024 * 1024;
-/// Live bytes that one sync moves out of a segment.
+/// Maximum live bytes that one sync moves out of a sparse segment.
 const MAX_MOVE_BYTES: u64 = 256 * 1024;
 
-/// Texts that wait for the disk.
+/// Texts of one call that are queued or being written.
 #[derive(Debug)]
 pub(super) struct Put {
     number: PutId,
     pub(super) texts: Vec<Text>,
     bytes: u64,
     padding: u64,
-    /// When they are due.
+    /// When the retention of these texts ends.
     pub(super) expiry: Time,
 }
 
-/// Names a put until it is answered.
+/// Identifies a put until it is answered.
 type PutId = u64;
 
-/// Answers one who waits for a put.
+/// Channel to a caller that waits for a put.
 type Waiter = oneshot::Sender<Result<(), PutError>>;
 
-/// A live text that is to be moved to the current segment.
+/// A live text to be moved to the current segment, with its old location.
 pub(super) type Move = (CompactString, RecordLocation);
 
-/// What the writer does next.
+/// Next task of the writer.
 pub(super) enum Work {
-    /// Deletes a segment's file.
+    /// Delete the file of a segment.
     Delete(u32),
-    /// Writes and syncs texts.
+    /// Write and sync new texts and moved ones.
     Write { puts: Vec<Put>, moves: Vec<Move> },
 }
 
-/// What a sync made stable.
+/// Records that are written with one sync.
 #[derive(Debug, Default)]
 pub(super) struct SyncedBatch {
     pub(super) segment: u32,
     pub(super) bytes: u64,
     pub(super) texts: Vec<(CompactString, RecordLocation, Time)>,
-    /// Texts with their old and new places.
+    /// Moved texts with their old and new locations.
     pub(super) moved: Vec<(CompactString, RecordLocation, RecordLocation)>,
 }
 
 impl SyncedBatch {
-    /// Says where the records are, that were placed from zero on until now.
+    /// Turns locations within the batch into locations in a segment, where the batch begins at `start`.
     pub(super) fn assign_segment(&mut self, segment: u32, start: u64) {
         let texts = self.texts.iter_mut().map(|(_, location, _)| location);
         for location in texts.chain(self.moved.iter_mut().map(|(_, _, to)| to)) {
@@ -77,14 +76,14 @@
 struct State {
     index: Index,
     queue: VecDeque<Put>,
-    /// Texts of the queue, and of what is being written, with the puts that they are in.
+    /// Texts that are queued or being written, with the put that contains each of them.
     pending: HashMap<CompactString, PutId>,
-    /// Those who wait for each of these puts: its caller, and callers who put one of its texts again.
+    /// Callers that wait for each put: its own, and others that put one of its texts again.
     waiters: HashMap<PutId, Vec<Waiter>>,
     next: PutId,
-    /// Bytes of the queue, and of what is being written.
+    /// Bytes that are queued or being written.
     queued: u64,
-    /// What these count against the limit of the disk beyond their bytes.
+    /// Bytes that these count against the disk limit in addition to their length.
     padding: u64,
     failed: bool,
     closed: bool,
@@ -92,7 +91,7 @@
     syncs: u64,
 }
 
-/// The state behind all handles.
+/// State shared by all handles and threads of a store.
 #[derive(Debug)]
 pub(super) struct Shared {
     pub(super) options: TextOptions,
@@ -100,7 +99,7 @@
     state: Mutex<State>,
     /// Wakes the writer.
     work: Condvar,
-    /// Whether segments are still to be scanned; told anew whenever one was.
+    /// Whether segments remain to be scanned. Sent again after each scanned segment.
     scanning: watch::Sender<bool>,
 }
 
@@ -115,18 +114,18 @@
         self.clock.now()
     }
 
-    /// Waits until all of the texts are found, the scan is over or it takes too long.
+    /// Waits until all of the texts are indexed, the scan has ended or the timeout has passed.
     pub(super) async fn wait_for_scan(&self, turns: &[String]) {
         let mut scanning = self.scanning.subscribe();
         let found = || turns.iter().all(|turn| self.location(turn).is_some());
         if *scanning.borrow_and_update() && !found() {
             let ended = scanning.wait_for(|scanning| !scanning || found());
-            // What is not found in time counts as absent.
+            // After the timeout a text that is not indexed yet counts as absent.
             let _ = tokio::time::timeout(self.options.scan_timeout, ended).await;
         }
     }
 
-    /// Makes known what a scan found.
+    /// Adds texts that a scan found to the index.
     pub(super) fn insert_scanned(&self, found: Vec<(CompactString, RecordLocation)>, expiry: Time) {
         let mut state = self.state();
         for (turn, location) in found {
@@ -134,7 +133,7 @@
         }
     }
 
-    /// Notes that a segment was scanned, and what is in it is known.
+    /// Marks a segment as scanned, after all its texts were added.
     pub(super) fn finish_scan(&self, segment: u32, scanned: &Scanned) {
         let mut state = self.state();
         state.index.finish_scan(segment, scanned.valid_length);
@@ -144,7 +143,7 @@
         self.scanning.send_replace(true);
     }
 
-    /// Notes that no segment will be scanned any more.
+    /// Ends the scan, and releases all callers that wait for it.
     pub(super) fn finish_scanning(&self) {
         self.scanning.send_replace(false);
     }
@@ -153,10 +152,10 @@
         self.state().closed
     }
 
-    /// Puts texts into the queue, and returns what is to be waited for until all of them are on the disk.
+    /// Queues texts, and returns a receiver for each put that the caller must wait for.
     ///
-    /// One that is queued already, or being written, isn't queued again: a slow disk has callers ask
-    /// again, and the queue would be full of what it holds.
+    /// Texts that are already queued or being written are not queued again: callers repeat their puts
+    /// when the disk is slow, and the duplicates would fill the queue.
     pub(super) fn enqueue(
         &self,
         mut texts: Vec<Text>,
@@ -200,14 +199,14 @@
         Ok(others.into_iter().map(|number| state.wait_for(number)).collect())
     }
 
-    /// Waits for what is to be done. Returns nothing once the store is closed and all is written.
+    /// Waits for the next task. Returns `None` once the store is closed and the queue is empty.
     pub(super) fn next_work(&self, current: Option<u32>) -> Option<Work> {
         let batch = MAX_BATCH_BYTES.min(self.options.segment_bytes());
         let mut state = self.state();
         loop {
             let idle = state.queue.is_empty();
             let reclaim = state.index.reclaim(current, idle);
-            // Deletes come first: a queue that is never empty would have the disk fill up.
+            // Deletes come first: under constant load the disk would fill up otherwise.
             if let Some(Reclaim::Delete(segment)) = reclaim {
                 return Some(Work::Delete(segment));
             }
@@ -227,7 +226,7 @@
         }
     }
 
-    /// Takes what is on the disk already out of `puts`: a scan may have found it while they waited.
+    /// Removes texts that are already on the disk: a scan may have found them since they were queued.
     pub(super) fn retain_unsaved(&self, puts: &mut [Put]) {
         let mut state = self.state();
         for texts in puts.iter_mut().map(|put| &mut put.texts) {
@@ -241,7 +240,7 @@
         }
     }
 
-    /// Makes known what is stable, and then answers the puts.
+    /// Adds synced texts to the index, and then answers the callers of the puts.
     pub(super) fn publish(&self, synced: SyncedBatch, puts: Vec<Put>) {
         let mut state = self.state();
         if synced.bytes > 0 {
@@ -261,7 +260,7 @@
         let waiters: Vec<Waiter> = waiters.flatten().collect();
         drop(state);
         for waiter in waiters {
-            // A caller that has gone needs no answer.
+            // The caller may have stopped waiting.
             let _ = waiter.send(Ok(()));
         }
     }
@@ -290,7 +289,7 @@
         self.state().index.remove_segment(segment);
     }
 
-    /// Forgets a text whose record can't be read, and counts it, unless it was moved meanwhile.
+    /// Drops and counts a text whose record is damaged, unless it was moved in the meantime.
     pub(super) fn drop_damaged(&self, turn: &str, location: RecordLocation) {
         let mut state = self.state();
         if state.index.location(turn) == Some(location) {
@@ -298,13 +297,13 @@
             state.index.remove(turn);
             drop(state);
             self.work.notify_one();
-            slog::error!(self.options.log, "a text on the disk is damaged and was dropped";
+            slog::error!(self.options.log, "dropped a damaged text";
                 "turn" => turn, "segment" => location.segment, "offset" => location.offset);
         }
     }
 
-    /// Refuses all puts until [`Shared::recover`], also those that wait: dropping them answers their
-    /// callers.
+    /// Refuses puts until [`Shared::recover`]. Dropping the queued ones tells their callers that they
+    /// failed.
     pub(super) fn fail(&self) {
         let mut state = self.state();
         state.failed = true;
@@ -315,12 +314,12 @@
         state.waiters.clear();
     }
 
-    /// Takes puts again.
+    /// Accepts puts again.
     pub(super) fn recover(&self) {
         self.state().failed = false;
     }
 
-    /// Waits until a disk that failed may be tried again. Returns false once the store is closed.
+    /// Waits until the failed disk may be retried. Returns `false` once the store is closed.
     pub(super) fn wait_for_retry(&self) -> bool {
         let pause = self.options.retry_delay;
         let waiting = self.work.wait_timeout_while(self.state(), pause, |state| !state.closed);
@@ -328,14 +327,14 @@
         !state.closed
     }
 
-    /// Has the writer end once all is written.
+    /// Closes the store; the writer ends once the queue is empty.
     pub(super) fn close(&self) {
         self.state().closed = true;
         self.work.notify_one();
     }
 
     pub(super) fn status(&self) -> TextStatus {
-        // Read first: who waits for it looks at the state meanwhile, see `wait_for_scan`.
+        // Read before locking the state: `wait_for_scan` locks the state while it borrows this value.
         let scanning = *self.scanning.borrow();
         let state = self.state();
         TextStatus {
@@ -350,8 +349,8 @@
         }
     }
 
-    /// Returns the bytes that puts may fill. What is left of the limit is for the live texts of one
-    /// segment, of `longest_segment` bytes at most, so that space can be had back on a full disk too.
+    /// Returns the bytes available to puts. The rest of the limit is reserved for moving the live texts
+    /// of one sparse segment of up to `longest` bytes, so that space can be reclaimed on a full disk.
     fn put_capacity(&self, longest: u64) -> u64 {
         let reserve = longest.max(self.options.segment_bytes()) / SPARSE_DIVISOR;
         self.options.limits.disk_bytes.saturating_sub(reserve)
@@ -363,14 +362,14 @@
 }
 
 impl State {
-    /// Has one more wait for a put that is queued or being written.
+    /// Registers a caller that waits for a put.
     fn wait_for(&mut self, number: PutId) -> oneshot::Receiver<Result<(), PutError>> {
         let (waiter, waiting) = oneshot::channel();
         self.waiters.entry(number).or_default().push(waiter);
         waiting
     }
 
-    /// Takes puts of up to `limit` bytes together, and at least one.
+    /// Takes puts from the queue, up to `limit` bytes in total but at least one.
     fn take_puts(&mut self, limit: u64) -> Vec<Put> {
         let mut taken = 0;
         let fitting = self.queue.iter().take_while(|put| {
--- a/crates/gypsumglade/src/texts/writer.rs
+++ b/crates/gypsumglade/src/texts/writer.rs
@@ -1,4 +1,4 @@
-//! The thread that writes: one write and one sync for all texts at hand.
+//! The thread that writes texts, with one sync for each batch, and reclaims disk space.
 
 use std::fs::{self, File};
 use std::io::{self, ErrorKind, Write};
@@ -12,25 +12,25 @@
 use super::segment;
 use super::shared::{MAX_BATCH_BYTES, Move, Put, Shared, SyncedBatch, Work};
 
-/// Bytes that a disk which failed must take before puts are taken again: a block.
+/// Bytes that are written to a failed disk to check whether it accepts writes again.
 const PROBE_BYTES: usize = 4 * 1024;
 
-/// The segment that is written to.
+/// An open segment.
 struct Current {
     number: u32,
     file: File,
-    /// Bytes that are synced; the next record goes there.
+    /// Synced bytes; the next record begins here.
     length: u64,
 }
 
-/// Writes texts, and gets space back from those that were dropped.
+/// Writes texts, and reclaims the space of dropped ones.
 pub(super) struct Writer {
     shared: Arc<Shared>,
     folder: PathBuf,
-    /// Opened by the first write. It is always a new file: an earlier process in this address space may
-    /// still hold the last one.
+    /// The segment that is written to, created by the first write. Existing files are never appended to:
+    /// an earlier store of this process may still have the last one open.
     current: Option<Current>,
-    /// The segment whose last write failed, until that is cut off.
+    /// The segment whose last write failed, until that write is removed.
     unsynced: Option<Current>,
     /// Number of the next segment.
     next_segment: u32,
@@ -42,7 +42,7 @@
         Writer { shared, folder, current: None, unsynced: None, next_segment, buffer: Vec::new() }
     }
 
-    /// Writes until the store is closed.
+    /// Runs until the store is closed.
     pub(super) fn run(mut self) {
         while let Some(work) = self.shared.next_work(self.current.as_ref().map(|c| c.number)) {
             let done = match work {
@@ -52,7 +52,7 @@
             if let Err(error) = done {
                 self.shared.fail();
                 slog::crit!(self.shared.options.log,
-                    "texts can't be written and are refused; make room or replace the disk";
+                    "failed to write texts, puts are refused; free disk space or replace the disk";
                     "folder" => %self.folder.display(), "error" => %error);
                 if !self.recover() {
                     return;
@@ -61,17 +61,17 @@
         }
     }
 
-    /// Tries until the disk takes writes again. Returns false if the store is closed before.
+    /// Retries until the disk accepts writes again. Returns `false` if the store is closed first.
     ///
-    /// Puts are refused meanwhile: their callers go to another store at once, and would wait here.
+    /// Puts are refused in the meantime, so that their callers turn to another store at once.
     fn recover(&mut self) -> bool {
         self.unsynced = self.current.take();
-        // A process that is ended during the pause must not leave what the failed sync did.
+        // The process may end during the pause; the next one must not find the unsynced records.
         let _ = self.discard_unsynced();
         while self.shared.wait_for_retry() {
             if self.probe_new_segment().is_ok() {
                 self.shared.recover();
-                slog::warn!(self.shared.options.log, "texts can be written again";
+                slog::warn!(self.shared.options.log, "the disk accepts writes again, puts are accepted";
                     "folder" => %self.folder.display());
                 return true;
             }
@@ -80,9 +80,9 @@
         false
     }
 
-    /// Begins a new segment on a disk that failed, once a write to it could be synced.
+    /// Creates a segment on a failed disk, and checks that a write to it can be synced.
     ///
-    /// Nothing goes to the old one any more: what a failed sync left of it is not known.
+    /// The old segment is not used again, as its content after a failed sync is not known.
     fn probe_new_segment(&mut self) -> io::Result<()> {
         self.discard_unsynced()?;
         self.buffer.clear();
@@ -90,7 +90,7 @@
         let current = self.create_segment()?;
         let probed = self.append_to(&current.file).and_then(|()| current.file.set_len(0));
         if let Err(error) = probed {
-            // An empty file, or one of zeros, is no harm; a new one for each try would be.
+            // Otherwise each attempt would leave a file behind.
             let _ = fs::remove_file(segment::path(&self.folder, current.number));
             return Err(error);
         }
@@ -98,10 +98,10 @@
         Ok(())
     }
 
-    /// Deletes a segment none of whose texts is live.
+    /// Deletes a segment without live texts.
     ///
-    /// The folder isn't synced. A file that comes back after a power loss brings texts that are found at
-    /// open, are due soon after like all others, and are dropped again.
+    /// The folder isn't synced: if the file reappears after a power loss, its texts expire like all
+    /// recovered ones and are dropped again.
     fn delete(&mut self, number: u32) -> io::Result<()> {
         self.current.take_if(|current| current.number == number);
         match fs::remove_file(segment::path(&self.folder, number)) {
@@ -131,7 +131,7 @@
         Ok(())
     }
 
-    /// Adds a record to the buffer, and returns its place there.
+    /// Appends a record to the buffer, and returns its location relative to the buffer.
     fn push(&mut self, text: &Text) -> RecordLocation {
         let offset = self.buffer.len();
         record::push(&mut self.buffer, text);
@@ -139,8 +139,8 @@
         RecordLocation { segment: 0, offset: offset as u32, length: length as u32 }
     }
 
-    /// Adds live texts of an old segment. One that can't be read is dropped: it can't be had back here,
-    /// and its segment would stay for ever.
+    /// Appends live texts of an old segment to the buffer. Unreadable ones are dropped, as the segment
+    /// could never be deleted otherwise.
     fn push_moves(&mut self, moves: &[Move], synced: &mut SyncedBatch) -> io::Result<()> {
         let Some((_, first)) = moves.first() else { return Ok(()) };
         let file = File::open(segment::path(&self.folder, first.segment))?;
@@ -179,7 +179,7 @@
         file.sync_data()
     }
 
-    /// Returns the segment that `bytes` go to and its length; begins a new one if they don't fit.
+    /// Returns the segment to append `bytes` to and its length; creates a new one if they don't fit.
     fn open_segment(&mut self, bytes: u64) -> io::Result<(u32, u64)> {
         let limit = self.shared.options.segment_bytes();
         let fitting = self.current.as_ref().filter(|current| current.length + bytes <= limit);
@@ -192,10 +192,8 @@
         Ok((number, 0))
     }
 
-    /// Makes a new segment file.
-    ///
-    /// A file's data can be stable while its name isn't, and then a power loss takes the whole file. So
-    /// the folder is synced before anything in the new file is acknowledged.
+    /// Creates a segment file, and syncs the folder before anything in the file is acknowledged.
+    /// Otherwise a power loss could remove the name of the file although its data is synced.
     fn create_segment(&mut self) -> io::Result<Current> {
         let number = self.next_segment;
         self.next_segment += 1;
@@ -208,18 +206,18 @@
         Ok(Current { number, file, length: 0 })
     }
 
-    /// Cuts off what a failed sync may have left in memory only.
+    /// Truncates the segment whose sync failed, and syncs it.
     ///
-    /// The kernel may take pages for clean after a failed sync. The next process would read them, sync
-    /// them to no effect and acknowledge a text that is not on the disk. Until the cut is synced no
-    /// further put is taken, so the file is still the last one, which the next process syncs and cuts.
+    /// After a failed sync the kernel may mark the unwritten pages as clean. The next process would read
+    /// them, sync without effect and acknowledge a text that is not on the disk. No put is accepted until
+    /// this truncation is synced.
     fn discard_unsynced(&mut self) -> io::Result<()> {
         let Some(old) = &self.unsynced else { return Ok(()) };
         old.file.set_len(old.length)?;
         self.shared.options.faults.check_sync()?;
         old.file.sync_all()?;
         if old.length == 0 {
-            // The index knows of no text in it, and would never have it deleted.
+            // The index doesn't know this segment and would never delete it.
             fs::remove_file(segment::path(&self.folder, old.number))?;
         }
         self.unsynced = None;
@@ -228,7 +226,7 @@
 }
 
 impl Drop for Writer {
-    /// Answers whoever waits, also if the thread panicked: without a writer nobody else would.
+    /// Fails the waiting puts, also if the thread panics.
     fn drop(&mut self) {
         self.shared.fail();
     }
