--- a/crates/gypsumglade/src/replica/budget.rs
+++ b/crates/gypsumglade/src/replica/budget.rs
@@ -1,8 +1,8 @@
-//! A bound on bytes that wait.
+//! A limit on the bytes held in a queue.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Bytes that wait for somebody, up to a limit.
+/// Counts the bytes held in a queue, up to a limit.
 #[derive(Debug)]
 pub struct ByteBudget {
     limit: usize,
@@ -10,24 +10,24 @@
 }
 
 impl ByteBudget {
-    /// Starts with nothing that waits.
+    /// Creates a budget of `limit` bytes, all of them free.
     pub const fn new(limit: usize) -> ByteBudget {
         ByteBudget { limit, used: AtomicUsize::new(0) }
     }
 
-    /// Notes that `bytes` wait from now on, and tells whether there was room for them. What is longer
-    /// than the limit has room while nothing else waits, for it would never have any otherwise.
+    /// Takes `bytes` from the budget, or returns `false` if they don't fit. A single item above the limit
+    /// fits while nothing else is held, as it could never be accepted otherwise.
     pub fn try_acquire(&self, bytes: usize) -> bool {
         let fits = |used: usize| (used == 0 || used + bytes <= self.limit).then_some(used + bytes);
         self.used.fetch_update(Ordering::Relaxed, Ordering::Relaxed, fits).is_ok()
     }
 
-    /// Notes that `bytes` wait no more.
+    /// Returns `bytes` to the budget.
     pub fn release(&self, bytes: usize) {
         self.used.fetch_sub(bytes, Ordering::Relaxed);
     }
 
-    /// Returns the bytes that wait.
+    /// Returns the bytes in use.
     pub fn used(&self) -> usize {
         self.used.load(Ordering::Relaxed)
     }
--- a/crates/gypsumglade/src/replica/calls.rs
+++ b/crates/gypsumglade/src/replica/calls.rs
@@ -1,4 +1,4 @@
-//! What callers and other VMs ask of the replicas.
+//! Handles the commands of callers and the messages of other VMs.
 
 use bytes::Bytes;
 use gypsumglade_core::prelude::*;
@@ -31,7 +31,7 @@
         self.add_replica(group, Restored::new_group(Members::from_voters(members)));
     }
 
-    /// Starts a replica that isn't on disk yet.
+    /// Starts a replica that isn't on disk yet, and writes its initial state.
     fn add_replica(&mut self, group: GroupId, state: Restored) {
         let snapshot = Snapshot {
             position: state.snapshot,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Proposes what gathered since the last turn, in one write for each group.
+    /// Appends the commands queued since the last call, with one write for each group.
     pub(super) fn propose_pending(&mut self) {
         for id in std::mem::take(&mut self.proposing) {
             let Some(group) = self.groups.get_mut(&id) else {
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Steps a proposal or change, and notes who waits for it.
+    /// Steps the replica with a proposal or membership change, and registers the callers as waiters.
     fn append(&mut self, id: GroupId, input: Input, replies: Vec<Reply>) {
         let now = self.now();
         let Some(group) = self.groups.get_mut(&id) else {
@@ -139,7 +139,7 @@
             let id = GroupId(message.group);
             let leads = matches!(message.body, Some(Body::Append(_) | Body::Chunk(_)));
             if leads && !self.groups.contains_key(&id) {
-                // A leader was told to add this VM; the members come with its snapshot.
+                // The leader has added this VM to the group; the members arrive with its snapshot.
                 self.add_replica(id, Restored::default());
             }
             self.step(id, Input::Message { from, message });
@@ -157,7 +157,7 @@
         data: Bytes,
         reply: oneshot::Sender<()>,
     ) {
-        // A dropped reply ends the caller's wait.
+        // Dropping the reply ends the caller's wait.
         let mark = self.groups.get(&id).and_then(|group| group.new_snapshot_meta(index));
         let Some((position, members)) = mark.filter(|_| self.failed.is_none()) else {
             return;
@@ -237,7 +237,7 @@
     }
 }
 
-/// Tells the callers that nothing was appended.
+/// Answers callers whose entries were not appended.
 fn refuse(refusal: Refusal, replies: Vec<Reply>) {
     let hint = match refusal {
         Refusal::NotLeader { leader } => Some(leader),
--- a/crates/gypsumglade/src/replica/effects.rs
+++ b/crates/gypsumglade/src/replica/effects.rs
@@ -1,4 +1,4 @@
-//! Carries out what a replica decided.
+//! Carries out the effects that a replica returns.
 
 use gypsumglade_core::prelude::*;
 use gypsumglade_core::replication::{Effect, LogIndex, Position, Sequence, Write};
@@ -14,7 +14,7 @@
         for effect in effects.drain(..) {
             self.carry_out_one(id, effect);
         }
-        // Keeps the allocation for the next step.
+        // Reuses the allocation for the next step.
         self.effects = effects;
     }
 
@@ -40,7 +40,7 @@
                 self.answer_read(id, token, Err(ReadError::NotLeader { hint: leader }));
             }
             Effect::NewEpoch => self.links.next_epoch(),
-            // Taken by whoever stepped the proposal.
+            // Handled by `Engine::append`.
             Effect::Accepted { .. } | Effect::Refused(_) => {}
         }
     }
@@ -93,7 +93,7 @@
             return;
         };
         let limit = self.settings.replication.chunk_bytes;
-        // A snapshot that is still being written is asked for again at a later heartbeat.
+        // A snapshot that can't be read yet is requested again after a later heartbeat.
         let Ok((data, last)) = group.chunk_to_send(&self.storage, chunk.offset, limit) else {
             return;
         };
@@ -138,7 +138,7 @@
     fn answer_read(&mut self, id: GroupId, token: u64, result: Result<LogIndex, ReadError>) {
         let reply = self.groups.get_mut(&id).and_then(|group| group.reads.remove(&token));
         if let Some(reply) = reply {
-            // A reader that has gone needs no answer.
+            // The caller may have stopped waiting.
             let _ = reply.send(result);
         }
     }
--- a/crates/gypsumglade/src/replica/engine.rs
+++ b/crates/gypsumglade/src/replica/engine.rs
@@ -1,4 +1,4 @@
-//! The loop that steps every replica of a VM and carries out what they decide.
+//! The event loop that steps all replicas of a VM and carries out their effects.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -18,14 +18,14 @@
 use crate::clock::Clock;
 use crate::disk::{CompletedJob, Job, JobWrite, RestoredGroup};
 
-/// Commands taken before effects that wait for a batch go out.
+/// Maximum number of commands handled before batched proposals and messages are sent.
 const COMMANDS_PER_TURN: usize = 512;
 
-/// How often groups are asked whether a timer of theirs has run out. Waking for each timer alone
-/// would cost a look at all groups as often as there are groups.
+/// Interval at which the timers of all groups are checked. A wake-up for each timer would scan all
+/// groups each time.
 const TICK: Duration = Duration::from_millis(20);
 
-/// What the handle or the disk wants of the loop.
+/// A request of the [`super::Host`] handle, or a report of the disk threads.
 #[derive(Debug)]
 pub(super) enum Command {
     Create {
@@ -54,7 +54,7 @@
         group: GroupId,
         index: LogIndex,
         data: Bytes,
-        /// Sent to other VMs in the place of `data`.
+        /// Sent to other VMs instead of `data`.
         peer_data: Option<Bytes>,
         reply: oneshot::Sender<()>,
     },
@@ -73,7 +73,7 @@
         reply: oneshot::Sender<HostStatus>,
     },
     Completed(Vec<CompletedJob>),
-    /// These groups hold up the oldest file of the log.
+    /// The entries of these groups keep the oldest segment of the log from being removed.
     Compact(Vec<GroupId>),
     DiskFailed(CompactString),
     Stop {
@@ -81,7 +81,7 @@
     },
 }
 
-/// Runs the replicas until the last handle is gone or one of them says stop.
+/// Runs the replicas until the last handle is dropped or a stop is requested.
 pub(super) fn run(
     settings: HostSettings,
     outbound: mpsc::Sender<Outbound>,
@@ -108,7 +108,7 @@
     }
 }
 
-/// A snapshot that is being written, and who waits for it.
+/// A snapshot that is being written, with the caller that waits for it.
 #[derive(Debug)]
 pub(super) struct PendingSnapshot {
     pub(super) group: GroupId,
@@ -117,20 +117,20 @@
     pub(super) reply: oneshot::Sender<()>,
 }
 
-/// Every replica of one VM with its disk, its peers and its callers.
+/// All replicas of one VM, with their storage, messages and callers.
 pub(super) struct Engine {
     pub(super) settings: HostSettings,
     pub(super) seed: u64,
     pub(super) clock: Clock,
     pub(super) groups: BTreeMap<GroupId, Group>,
     pub(super) storage: Storage,
-    /// Pulses that stand in for idle groups' heartbeats.
+    /// Heartbeats between VMs, which replace those of idle groups.
     pub(super) links: Links,
-    /// When timers were last looked at.
+    /// When timers were last checked.
     pub(super) last_tick: Time,
-    /// Groups with proposals that wait for the end of the turn.
+    /// Groups with queued proposals.
     pub(super) proposing: Vec<GroupId>,
-    /// When the next pulses go out.
+    /// When the next heartbeats to other VMs are sent.
     pub(super) next_pulse: Time,
     pub(super) outbox: Outbox,
     pub(super) events: EventQueue,
@@ -139,12 +139,12 @@
     pub(super) snapshots: Vec<PendingSnapshot>,
     pub(super) transfers: Vec<(Time, oneshot::Sender<()>)>,
     pub(super) last_token: u64,
-    /// Bytes of commands that this thread hasn't taken.
+    /// Bytes of batches and proposals in the inbox.
     pub(super) inbox: Arc<ByteBudget>,
-    /// Commands that waited when the latest of them was taken.
+    /// Length of the inbox when it was last read.
     pub(super) queued_commands: usize,
     pub(super) effects: Vec<Effect>,
-    /// Writes to memory, which are done at once.
+    /// Completed writes to memory storage, not yet processed.
     pub(super) completed: VecDeque<CompletedJob>,
 }
 
@@ -163,7 +163,7 @@
             clock: Clock::start(),
             groups: BTreeMap::new(),
             storage,
-            // Far from the end of the range, for it is counted up.
+            // Halved, so that incrementing it can't overflow.
             links: Links::new(rand::random::<u64>() >> 1),
             last_tick: Time::ZERO,
             proposing: Vec::new(),
@@ -282,7 +282,7 @@
         }
         self.events.start(id, position.index);
         self.groups.insert(id, group);
-        // A group of one voter leads at its first tick.
+        // Forces a tick: a group with a single voter elects itself at its first tick.
         self.last_tick = Time::ZERO;
     }
 
@@ -307,7 +307,7 @@
         }
     }
 
-    /// Sends one pulse to each VM that shares a group with this one.
+    /// Sends a heartbeat to each VM that shares a group with this one.
     fn send_pulses(&mut self) {
         let now = self.now();
         if now < self.next_pulse {
@@ -328,21 +328,21 @@
         self.completed.extend(self.storage.submit(job));
     }
 
-    /// Takes the writes that memory did at once, after the effects of the step that asked.
+    /// Processes writes that memory storage completed at once, after the effects of the same step.
     pub(super) fn process_completed(&mut self) {
         while let Some(done) = self.completed.pop_front() {
             self.job_completed(done);
         }
     }
 
-    /// Takes the news that a write is on stable storage.
+    /// Processes a write that is synced.
     fn job_completed(&mut self, done: CompletedJob) {
         let id = done.group;
         let Some(group) = self.groups.get_mut(&id) else {
             return;
         };
         for written in done.entries {
-            // An entry that was replaced while it was being written is not the log's any more.
+            // The entry may have been replaced while it was being written.
             if group.replica.term_at(written.index) == Some(written.term) {
                 group.tail.set_location(written.index, written.location);
             }
@@ -378,7 +378,8 @@
         }
     }
 
-    /// Lets go of a group's oldest entries: they hold up the files of all groups.
+    /// Drops the entries of a group that its snapshot covers, and requests a new snapshot if others
+    /// remain, so that the oldest segment can be removed.
     fn compact_group(&mut self, id: GroupId) {
         let Some(group) = self.groups.get_mut(&id) else {
             return;
@@ -391,10 +392,10 @@
         self.submit(Job { group: id, sequence: None, write: JobWrite::Compact(base) });
     }
 
-    /// Stops answering. What was synced is kept; what wasn't was promised to nobody.
+    /// Stops serving all groups until the process is restarted. Only synced writes were acknowledged.
     ///
-    /// After a failed sync the kernel may have dropped the pages and marked them clean, so a
-    /// second sync that succeeds proves nothing: only a restart finds out what is on the disk.
+    /// After a failed sync the kernel may mark unwritten pages as clean, so a later successful sync proves
+    /// nothing. Only a restart, which reads the log, shows what is on the disk.
     pub(super) fn fail(&mut self, reason: CompactString) {
         if self.failed.is_some() {
             return;
--- a/crates/gypsumglade/src/replica/event.rs
+++ b/crates/gypsumglade/src/replica/event.rs
@@ -1,43 +1,43 @@
-//! What a host tells the owner of the state machines, and how its calls can fail.
+//! Events, errors and status of a replica host.
 
 use bytes::Bytes;
 use gypsumglade_core::prelude::*;
 use gypsumglade_core::replication::{LogIndex, Refusal, Status, Term};
 
-/// A batch of messages for another VM's host; losing one is harmless.
+/// A batch of messages for the host of another VM. Losing one is harmless: unanswered messages are sent
+/// again.
 #[derive(Clone, Debug)]
 pub struct Outbound {
-    /// The receiver.
+    /// The VM to send it to.
     pub to: VmId,
-    /// For [`crate::replica::Host::receive`] there.
+    /// Encoded messages, to be passed to [`crate::replica::Host::receive`] there.
     pub batch: Bytes,
-    /// Whether it is a piece of a snapshot: all else should overtake it.
+    /// Whether it is a chunk of a snapshot, which should not delay other batches.
     pub bulk: bool,
 }
 
-/// Something that the owner of a group's state machine must know. Events of one group arrive in
-/// the order of its log.
+/// An event for the owner of a group's state machine. Events of a group arrive in the order of its log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// This VM's replica leads, and all entries of earlier terms were delivered before this.
+    /// This VM's replica leads the group, and all committed entries of earlier terms are delivered.
     Leader {
         /// The group.
         group: GroupId,
         /// The term it leads in.
         term: Term,
     },
-    /// This VM's replica doesn't lead.
+    /// This VM's replica doesn't lead the group.
     Follower {
         /// The group.
         group: GroupId,
         /// The leader, if known.
         leader: Option<VmId>,
     },
-    /// A committed command, to be applied.
+    /// A committed command to be applied.
     Committed {
         /// The group.
         group: GroupId,
-        /// Its place in the log. Places of the log's own entries are left out.
+        /// Index in the log. Indexes of internal entries are skipped.
         index: LogIndex,
         /// The term it was proposed in.
         term: Term,
@@ -50,42 +50,42 @@
         group: GroupId,
         /// The last index it covers.
         index: LogIndex,
-        /// What [`crate::replica::Host::snapshot`] was given.
+        /// Data of a snapshot that was stored by [`crate::replica::Host::snapshot`] here or on another VM.
         data: Bytes,
     },
-    /// The log has grown long: give a snapshot when it suits.
+    /// The log has grown long, and the owner should take a snapshot.
     NeedSnapshot {
         /// The group.
         group: GroupId,
     },
     /// The disk failed. This VM's replicas answer nothing until the process is restarted.
     Failed {
-        /// What happened, and what to do.
+        /// Description of the failure, with advice on what to do.
         reason: CompactString,
     },
 }
 
-/// Why a proposal wasn't committed.
+/// Reason why a proposal is not known to be committed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProposeError {
-    /// Another VM leads the group; nothing was appended.
+    /// This VM doesn't lead the group; nothing was appended.
     #[error("this VM does not lead the group; ask the leader")]
     NotLeader {
         /// The leader, if known.
         hint: Option<VmId>,
     },
-    /// It is certainly not committed and never will be.
+    /// The proposal will never be committed, so it can safely be sent again.
     #[error("the proposal was dropped and will never be committed; it may be sent again")]
     Dropped,
-    /// It may or may not be committed.
+    /// The proposal may or may not be committed.
     #[error("the proposal may still be committed; look for it before sending it again")]
     Uncertain,
 }
 
-/// Why a read can't be served here.
+/// Reason why a read can't be served by this VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ReadError {
-    /// Another VM leads the group, or none.
+    /// Another VM leads the group, or none does.
     #[error("this VM does not lead the group; ask the leader")]
     NotLeader {
         /// The leader, if known.
@@ -93,45 +93,45 @@
     },
 }
 
-/// Why a membership change wasn't made.
+/// Reason why a membership change is not known to be made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ChangeError {
-    /// Nothing was appended.
+    /// The change was refused; nothing was appended.
     #[error(transparent)]
     Refused(#[from] Refusal),
-    /// It was appended, and its outcome is this.
+    /// The entry of the change failed like a proposal.
     #[error(transparent)]
     Proposal(#[from] ProposeError),
 }
 
-/// State of a host for the dump.
+/// Status of a host, for diagnostics.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct HostStatus {
     /// This VM.
     pub vm: VmId,
-    /// Why the host stopped answering, if it did.
+    /// Reason why the host stopped serving, if it did.
     pub failed: Option<CompactString>,
-    /// Its replicas, by group.
+    /// Status of each replica, ordered by group.
     pub groups: Vec<Status>,
-    /// What it holds in memory.
+    /// Memory usage of the host.
     pub held: MemoryUsage,
 }
 
-/// What a host holds in memory, by kind, so that one can tell which of them grows.
+/// Memory usage of a host, by kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemoryUsage {
-    /// Bytes of the logs' latest entries.
+    /// Bytes of cached log entries.
     pub cache: usize,
     /// Bytes of snapshots that are being written to disk.
     pub writing: usize,
-    /// Bytes of snapshots that are kept to be sent to others, or that have no file yet.
+    /// Bytes of snapshots that have no file yet, and of peer data kept for sending.
     pub sending: usize,
-    /// Bytes of snapshots of which pieces have arrived.
+    /// Bytes received of incomplete snapshots.
     pub arriving: usize,
-    /// Bytes of batches and proposals that the replicas haven't taken.
+    /// Bytes of batches and proposals in the inbox.
     pub inbox: usize,
-    /// Events that the owner hasn't taken.
+    /// Number of events not yet received by the owner.
     pub events: usize,
-    /// Commands that the replicas haven't taken.
+    /// Number of commands in the inbox.
     pub commands: usize,
 }
--- a/crates/gypsumglade/src/replica/group.rs
+++ b/crates/gypsumglade/src/replica/group.rs
@@ -1,4 +1,4 @@
-//! One group's replica with its entries, its callers and its snapshot.
+//! A group's replica with its entries, waiting callers and snapshot.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -14,13 +14,13 @@
 use super::tail::{EntrySource, Tail};
 use crate::disk::{RestoredGroup, Snapshot};
 
-/// How many times longer the log may grow while a snapshot is on its way to another VM.
+/// Factor by which the log limits are raised while a snapshot is being sent to another VM.
 const TRANSFER_LOG_FACTOR: u64 = 4;
 
-/// How many times longer than the last snapshot the log may grow before the next one.
+/// Length of the log, relative to the last snapshot, at which the next snapshot is requested.
 const SNAPSHOT_LOG_FACTOR: u64 = 2;
 
-/// Whom to tell what became of an appended entry.
+/// Channel to the caller that waits for the outcome of an entry.
 #[derive(Debug)]
 pub(super) enum Reply {
     Propose(oneshot::Sender<Result<LogIndex, ProposeError>>),
@@ -29,7 +29,7 @@
 
 impl Reply {
     pub(super) fn send(self, result: Result<LogIndex, ProposeError>) {
-        // A caller that has gone needs no answer.
+        // The caller may have stopped waiting.
         match self {
             Reply::Propose(reply) => drop(reply.send(result)),
             Reply::Change(reply) => drop(reply.send(result.map_err(ChangeError::Proposal))),
@@ -45,28 +45,28 @@
     pub(super) reply: Reply,
 }
 
-/// One group on this VM.
+/// State of one group on this VM.
 #[derive(Debug)]
 pub(super) struct Group {
     id: GroupId,
     pub(super) replica: Replica,
     pub(super) tail: Tail,
-    /// Commands gathered for the next step.
+    /// Commands queued for the next step.
     pub(super) proposals: Vec<(Bytes, Reply)>,
     pub(super) waiters: VecDeque<Waiter>,
     pub(super) reads: HashMap<u64, oneshot::Sender<Result<LogIndex, ReadError>>>,
-    /// When callers of a deposed leader stop waiting.
+    /// When callers that wait since this VM lost the leadership are told that the outcome is uncertain.
     pub(super) outcome_deadline: Option<Time>,
-    /// Pieces of an arriving snapshot.
+    /// Received part of an incoming snapshot.
     pub(super) incoming: Vec<u8>,
-    /// The snapshot, if it isn't in a file.
+    /// Data of the snapshot, if it isn't in a file.
     pub(super) snapshot: Bytes,
-    /// Length of the snapshot.
+    /// Length of the snapshot, in bytes.
     pub(super) length: u64,
-    /// What other VMs are sent in the place of the snapshot at an index. It is there before that
-    /// snapshot is, so all pieces of one that is sent are of the same.
+    /// Data that other VMs are sent instead of the snapshot at this index. Set before that snapshot is
+    /// written, so that all chunks of a snapshot that is sent have the same source.
     pub(super) peer_data: Option<(LogIndex, Bytes)>,
-    /// The commit index at which a snapshot was last asked for.
+    /// Commit index at which a snapshot was last requested.
     pub(super) requested_index: LogIndex,
 }
 
@@ -96,13 +96,13 @@
         }
     }
 
-    /// Returns when the group wants to be looked at.
+    /// Returns when the next timer of the group expires.
     pub(super) fn deadline(&self) -> Time {
         let outcome_deadline = self.outcome_deadline.unwrap_or(Time::MAX);
         self.replica.deadline().min(outcome_deadline)
     }
 
-    /// Reads one entry, from memory or from disk.
+    /// Reads an entry from memory or from disk.
     pub(super) fn entry(
         &self,
         storage: &mut Storage,
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Answers the callers whose entries are settled by a commit up to `index`.
+    /// Answers the callers whose entries are decided by a commit up to `index`.
     pub(super) fn resolve_waiters(&mut self, index: LogIndex) {
         while let Some(waiter) = self.next_waiter(index) {
             let stands = self.replica.term_at(waiter.index) == Some(waiter.term);
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Tells the callers up to `index` that nobody here can tell what became of their entries.
+    /// Answers the callers of entries up to `index` that the outcome is uncertain.
     pub(super) fn abandon_waiters(&mut self, index: LogIndex) {
         while let Some(waiter) = self.next_waiter(index) {
             waiter.reply.send(Err(ProposeError::Uncertain));
@@ -142,15 +142,15 @@
         due.then(|| self.waiters.pop_front()).flatten()
     }
 
-    /// Returns where a snapshot at `index` would stand, unless one does already. Writing its file
-    /// a second time could leave, after a crash, a file that its mark doesn't fit.
+    /// Returns the position and members of a new snapshot at `index`, or `None` if this or a newer one
+    /// exists. Overwriting its file could, after a crash, leave one that doesn't match its mark.
     pub(super) fn new_snapshot_meta(&self, index: LogIndex) -> Option<(Position, Members)> {
         let known = self.replica.snapshot().index;
         let there = index < known || (index == known && self.length > 0);
         self.replica.snapshot_meta(index).filter(|_| !there)
     }
 
-    /// Keeps a piece of an arriving snapshot.
+    /// Appends a chunk of an incoming snapshot; offset 0 starts a new one.
     pub(super) fn store_chunk(&mut self, offset: u64, data: &[u8]) {
         if offset == 0 {
             self.incoming.clear();
@@ -158,7 +158,7 @@
         self.incoming.extend_from_slice(data);
     }
 
-    /// Takes over a snapshot that arrived whole, and returns it.
+    /// Replaces log and snapshot by the received snapshot, and returns it for storage.
     pub(super) fn install(&mut self, position: Position, members: &Members) -> Snapshot {
         let data = Bytes::from(std::mem::take(&mut self.incoming));
         self.tail.reset(position.index);
@@ -168,7 +168,7 @@
         Snapshot { position, members: members.clone(), data, saved: 0, reset: true }
     }
 
-    /// Drops the log that the replica keeps no more. Returns up to where.
+    /// Drops the entries that the replica doesn't keep any more. Returns the index of the last one.
     pub(super) fn compact(&mut self) -> LogIndex {
         let base = self.replica.base();
         self.tail.compact(base);
@@ -176,13 +176,14 @@
         base
     }
 
-    /// Notes that the owner gave the snapshot that it was asked for. It stands before the index at
-    /// which it was asked, but the next one need not wait for that.
+    /// Marks the requested snapshot as received. It usually covers less than the index at which it was
+    /// requested, and the next request must not wait for that index.
     pub(super) fn clear_request(&mut self) {
         self.requested_index = self.replica.snapshot().index;
     }
 
-    /// Reads a piece of what other VMs are sent for the snapshot, and tells whether it is the last.
+    /// Reads a chunk of the data that other VMs are sent for the snapshot. Returns it with whether it is
+    /// the last one.
     pub(super) fn chunk_to_send(
         &self,
         storage: &Storage,
@@ -198,7 +199,7 @@
         Ok((peer_data.slice(start..end), end == peer_data.len()))
     }
 
-    /// Reads a piece of the snapshot, and tells whether it is the last.
+    /// Reads a chunk of the snapshot. Returns it with whether it is the last one.
     pub(super) fn snapshot_chunk(
         &self,
         storage: &Storage,
@@ -220,20 +221,20 @@
         Ok((data, last))
     }
 
-    /// Tells whether the owner should be asked for a snapshot, and notes that it was.
+    /// Returns whether to request a snapshot from the owner now, and records the request.
     pub(super) fn wants_snapshot(&mut self, settings: &HostSettings) -> bool {
         let entries = settings.snapshot_entries;
         let bytes = self.length.saturating_mul(SNAPSHOT_LOG_FACTOR).max(settings.snapshot_min);
         let bytes = bytes.min(settings.snapshot_bytes);
         let commit = self.replica.commit();
         let length = commit.0.saturating_sub(self.replica.snapshot().index.0);
-        // A new snapshot makes one that is on its way to another VM start over. Under constant
-        // load that VM would never get a whole one.
+        // A new snapshot restarts the transfer of the current one. Under constant load the receiver
+        // would never get a complete snapshot.
         let factor = if self.replica.is_sending_snapshot() { TRANSFER_LOG_FACTOR } else { 1 };
         let (entries, bytes) = (entries.saturating_mul(factor), bytes.saturating_mul(factor));
         let long = length >= entries || (length > 0 && self.tail.bytes() >= bytes);
-        // An owner that was asked is asked again only after a tenth of the limit, in case the
-        // first request was lost to it.
+        // A request without an answer is repeated after another tenth of the limit, in case the owner
+        // didn't handle it.
         let answered = self.requested_index <= self.replica.snapshot().index;
         let again =
             answered || commit.0.saturating_sub(self.requested_index.0) >= (entries / 10).max(1);
@@ -243,7 +244,7 @@
         long && again
     }
 
-    /// Tells whether other VMs could lead in this one's place.
+    /// Returns whether this VM leads a group that has other voters.
     pub(super) fn can_transfer(&self) -> bool {
         self.replica.role() == Role::Leader && !self.replica.is_only_voter()
     }
--- a/crates/gypsumglade/src/replica/host.rs
+++ b/crates/gypsumglade/src/replica/host.rs
@@ -1,4 +1,4 @@
-//! The handle to a VM's replicas.
+//! The handle to the replicas of a VM.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -15,13 +15,13 @@
 use super::settings::HostSettings;
 use crate::metrics::CommitSeconds;
 
-/// Bytes of batches and proposals that may wait for the replicas. They wait while the processor or the
-/// disk's thread stands still, and could fill all memory meanwhile.
+/// Maximum bytes of batches and proposals in the inbox of the replica thread. Bounds memory while that
+/// thread is stalled.
 const INBOX_BYTES: usize = 8 * 1024 * 1024;
-/// Events that wait for the owner before the host holds back more.
+/// Capacity of the event channel to the owner.
 const EVENT_BACKLOG: usize = 1024;
 
-/// A handle to the replicas of one VM; clones share them, and the last one dropped stops them.
+/// Handle to the replicas of one VM. Clones share them; dropping the last clone stops the replicas.
 #[derive(Clone, Debug)]
 pub struct Host {
     commands: mpsc::UnboundedSender<Command>,
@@ -30,7 +30,7 @@
 }
 
 impl Host {
-    /// Opens the data folder and goes on with its groups. Batches for other VMs go to `outbound`.
+    /// Opens the data folder and resumes its groups. Batches for other VMs are sent to `outbound`.
     pub async fn start(
         settings: HostSettings,
         outbound: mpsc::Sender<Outbound>,
@@ -49,10 +49,10 @@
         Ok((Host { commands, commits, inbox: waiting }, receiver))
     }
 
-    /// Creates a group's replica on this VM. Does nothing when it has one already.
+    /// Creates a group's replica on this VM, unless it exists.
     ///
-    /// Every member creates it with the same members; a replica that joins later is created by
-    /// its leader's first message instead.
+    /// Each initial member must call this with the same members. A replica that joins later is created by
+    /// the first message of its leader.
     pub async fn create(&self, group: GroupId, members: Vec<VmId>) -> anyhow::Result<()> {
         let created = self.ask(|reply| Command::Create { group, members, reply }).await;
         match created {
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Appends a command and resolves once a quorum has synced it.
+    /// Appends a command, and returns its index once it is committed, that is, synced by a quorum.
     pub async fn propose(&self, group: GroupId, data: Bytes) -> Result<LogIndex, ProposeError> {
         let started = Instant::now();
         let outcome = if self.inbox.try_acquire(data.len()) {
@@ -76,36 +76,38 @@
         outcome
     }
 
-    /// Returns the index that a read must see to miss nothing that was committed before it.
+    /// Returns the index that must be applied before a read, so that it sees all earlier commits.
     pub async fn read_barrier(&self, group: GroupId) -> Result<LogIndex, ReadError> {
         let reply = self.ask(|reply| Command::Read { group, reply }).await;
         reply.unwrap_or(Err(ReadError::NotLeader { hint: None }))
     }
 
-    /// Returns the term in which this VM's replica holds its group's lease at this moment, `None`
-    /// if it holds none. Ask after the work and before the answer, and compare the term: between
-    /// two terms of one leader another may have led.
+    /// Returns the term in which this VM's replica holds the leader lease of the group, or `None` if it
+    /// doesn't hold it.
+    ///
+    /// Call it after the work and before the answer, and compare the term with the one from before:
+    /// another VM may have led between two terms of the same leader.
     pub async fn lease_term(&self, group: GroupId) -> Option<Term> {
         self.ask(|reply| Command::Lease { group, reply }).await.flatten()
     }
 
-    /// Takes a batch that another VM's host gave out, or drops it while too much waits: its sender
-    /// repeats what isn't answered.
+    /// Queues a batch from the host of another VM. Drops it if the inbox is full; the sender repeats
+    /// messages that aren't answered.
     pub fn receive(&self, from: VmId, batch: Bytes) {
         if !self.inbox.try_acquire(batch.len()) {
             return;
         }
-        // A host that has ended needs no messages.
+        // The host may have stopped.
         let _ = self.commands.send(Command::Receive { from, batch });
     }
 
-    /// Takes a snapshot of a state machine that has applied all entries up to `index`. The log
-    /// before it is dropped once the snapshot is synced.
+    /// Stores a snapshot of a state machine that has applied all entries up to `index`. Entries that it
+    /// covers may be dropped once it is synced.
     pub async fn snapshot(&self, group: GroupId, index: LogIndex, data: Bytes) {
         self.ask(|reply| Command::Snapshot { group, index, data, peer_data: None, reply }).await;
     }
 
-    /// As [`Host::snapshot`], with something shorter that other VMs are sent in its place. Their
+    /// Stores a snapshot as [`Host::snapshot`] does, but sends `peer_data` to other VMs instead. Their
     /// owners must be able to do without the rest, or to fetch it.
     pub async fn snapshot_with_peer_data(
         &self,
@@ -124,19 +126,19 @@
         .await;
     }
 
-    /// Hands over the leadership of every group, and returns once it is handed over or no
-    /// other VM took it in time.
+    /// Transfers the leadership of every group to other VMs. Returns once all transfers are done or have
+    /// timed out.
     pub async fn transfer_all(&self) {
         self.ask(|reply| Command::TransferAll { reply }).await;
     }
 
-    /// Has a group's leadership handed over, if this VM has it and another is ready to take it.
+    /// Starts to transfer the leadership of a group, if this VM leads it and another voter is ready.
     pub fn transfer(&self, group: GroupId) {
-        // A host that has ended leads nothing.
+        // The host may have stopped.
         let _ = self.commands.send(Command::Transfer { group });
     }
 
-    /// Makes one membership change and resolves once it is committed.
+    /// Makes one membership change, and returns its index once it is committed.
     pub async fn change_members(
         &self,
         group: GroupId,
@@ -146,12 +148,12 @@
         reply.unwrap_or(Err(ChangeError::Proposal(ProposeError::Uncertain)))
     }
 
-    /// Returns the state of every replica.
+    /// Returns the status of the host and its replicas; the default if it has stopped.
     pub async fn status(&self) -> HostStatus {
         self.ask(|reply| Command::Status { reply }).await.unwrap_or_default()
     }
 
-    /// Stops every replica, and returns once the data folder is closed.
+    /// Stops all replicas, and returns once the data folder is closed.
     pub async fn stop(&self) {
         self.ask(|reply| Command::Stop { reply }).await;
     }
--- a/crates/gypsumglade/src/replica/mod.rs
+++ b/crates/gypsumglade/src/replica/mod.rs
@@ -1,7 +1,7 @@
-//! Drives replicated logs: disk, timers and messages round the core.
+//! Drives the replicas of a VM: disk, timers and messages around the replication core.
 //!
-//! A [`Host`] runs every replica of one VM on a thread of its own, so that load elsewhere in the
-//! process can't starve heartbeats. See docs/design/replication.md.
+//! A [`Host`] runs all replicas of one VM on a dedicated thread, so that load elsewhere in the
+//! process doesn't delay heartbeats. See docs/design/replication.md.
 
 mod budget;
 mod calls;
--- a/crates/gypsumglade/src/replica/outbox.rs
+++ b/crates/gypsumglade/src/replica/outbox.rs
@@ -1,4 +1,4 @@
-//! Messages on their way out, gathered into one batch for each peer VM.
+//! Batches outgoing messages for each peer VM.
 
 use std::collections::BTreeMap;
 
@@ -10,10 +10,10 @@
 
 use super::event::Outbound;
 
-/// Bytes after which a batch goes out without waiting for more.
+/// Length in bytes at which a batch is sent without waiting for [`Outbox::flush`].
 const BATCH_BYTES: usize = 128 * 1024;
 
-/// Gathers messages until [`Outbox::flush`].
+/// Collects messages until [`Outbox::flush`].
 #[derive(Debug)]
 pub(super) struct Outbox {
     sender: mpsc::Sender<Outbound>,
@@ -31,7 +31,7 @@
         Outbox { sender, batches: BTreeMap::new() }
     }
 
-    /// Sends a piece of a snapshot, apart from all that should overtake it.
+    /// Sends a chunk of a snapshot in a batch of its own, so that it doesn't delay other messages.
     pub(super) fn push_bulk(&mut self, to: VmId, message: wire::Message) {
         let batch = wire::Batch { messages: vec![message], pulse: None };
         send(&self.sender, Outbound { to, batch: batch.encode_to_vec().into(), bulk: true });
@@ -67,7 +67,7 @@
 }
 
 fn send(sender: &mpsc::Sender<Outbound>, outbound: Outbound) {
-    // A full queue means that the link is slow. Dropping is safe, for every message is repeated
-    // until it is answered, and waiting here would delay the heartbeats of all other links.
+    // If the queue is full, the batch is dropped: messages are repeated until they are answered, and
+    // waiting would delay the heartbeats to all other VMs.
     let _ = sender.try_send(outbound);
 }
--- a/crates/gypsumglade/src/replica/queue.rs
+++ b/crates/gypsumglade/src/replica/queue.rs
@@ -1,7 +1,7 @@
-//! Events on their way to the owner, in the order of each group's log.
+//! Queue of events for the owner, in the order of each group's log.
 //!
-//! Committed entries are read only when the owner has room for them. So a restart that replays
-//! a long log, or an owner that is slow, holds no more entries in memory than the channel does.
+//! Committed entries are read only when the channel to the owner has room. This bounds memory when a
+//! long log is replayed or the owner is slow.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -15,24 +15,24 @@
 use super::group::Group;
 use super::storage::Storage;
 
-/// Bytes of events that wait for the owner, beyond which no more are read.
+/// Bytes of events in the channel at which no further ones are read.
 const EVENT_BYTES: usize = 1024 * 1024;
 
-/// Something to deliver; commits are held as a range.
+/// An event to deliver, or a range of committed entries.
 #[derive(Debug)]
 enum Pending {
     Commit { group: GroupId, next: LogIndex, last: LogIndex },
     Event(Event),
 }
 
-/// Events that the owner has not taken yet.
+/// Events that the owner has not received yet.
 #[derive(Debug)]
 pub(super) struct EventQueue {
     sender: mpsc::Sender<Event>,
     pending: VecDeque<Pending>,
-    /// Bytes of each event that was put into the channel, as far back as the owner hasn't taken them.
+    /// Bytes of each event in the channel, oldest first.
     sent_bytes: VecDeque<usize>,
-    /// The last index of each group that was put in the queue.
+    /// Last committed index of each group that was queued.
     last_queued: BTreeMap<GroupId, LogIndex>,
 }
 
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Returns how many events the owner has not taken.
+    /// Returns the number of events that the owner has not received.
     pub(super) fn pending_events(&self) -> usize {
         let count = |pending: &Pending| match pending {
             Pending::Commit { next, last, .. } => (last.0 + 1).saturating_sub(next.0) as usize,
@@ -55,7 +55,7 @@
         self.undelivered() + self.pending.iter().map(count).sum::<usize>()
     }
 
-    /// Notes that a group's state machine starts after `index`; nothing is delivered for it.
+    /// Sets the index after which the delivery of a group's entries begins.
     pub(super) fn start(&mut self, group: GroupId, index: LogIndex) {
         self.drop_commits(group);
         self.last_queued.insert(group, index);
@@ -94,7 +94,7 @@
         self.pending.push_back(Pending::Event(Event::NeedSnapshot { group }));
     }
 
-    /// Drops what waits and tells the owner that the host answers no more.
+    /// Replaces all queued events by the event that the host has failed.
     pub(super) fn fail(&mut self, reason: CompactString) {
         self.pending.clear();
         self.pending.push_back(Pending::Event(Event::Failed { reason }));
@@ -102,19 +102,19 @@
 
     /// Resolves when there is something to deliver and room for it.
     pub(super) async fn writable(&self) {
-        // Without room for more bytes, as soon as the owner has taken one event more.
+        // If the byte limit is reached, waits until the owner has received one more event.
         let permits = if self.is_full() { self.sender.capacity() + 1 } else { 1 };
         if self.pending.is_empty() || self.sender.reserve_many(permits).await.is_err() {
             std::future::pending::<()>().await;
         }
     }
 
-    /// Returns how many events in the channel the owner hasn't taken.
+    /// Returns the number of events in the channel.
     fn undelivered(&self) -> usize {
         self.sender.max_capacity() - self.sender.capacity()
     }
 
-    /// Tells whether as many bytes as may wait for the owner do.
+    /// Returns whether the events in the channel reach the byte limit.
     fn is_full(&self) -> bool {
         let recent = self.sent_bytes.iter().rev().take(self.undelivered());
         recent.sum::<usize>() >= EVENT_BYTES
@@ -126,7 +126,7 @@
         self.sent_bytes.drain(..taken);
     }
 
-    /// Delivers as much as there is room for. Returns an entry's read error, if one failed.
+    /// Moves events to the channel until it is full. Fails if a committed entry can't be read.
     pub(super) fn deliver(
         &mut self,
         groups: &BTreeMap<GroupId, Group>,
@@ -161,7 +161,7 @@
         Ok(())
     }
 
-    /// Drops a group's commits that a snapshot overtook: their entries are gone from the log.
+    /// Drops a group's queued commits. A snapshot replaces them, and their entries may no longer exist.
     fn drop_commits(&mut self, group: GroupId) {
         self.pending.retain(
             |pending| !matches!(pending, Pending::Commit { group: of, .. } if *of == group),
@@ -169,7 +169,7 @@
     }
 }
 
-/// Returns the bytes of an event's data.
+/// Returns the length of an event's data, in bytes.
 fn data_length(event: &Event) -> usize {
     match event {
         Event::Committed { data, .. } | Event::Restore { data, .. } => data.len(),
@@ -180,7 +180,7 @@
     }
 }
 
-/// Reads a committed entry. Nothing for the log's own entries.
+/// Reads a committed entry. Returns `None` for internal entries of the log.
 fn committed(
     groups: &BTreeMap<GroupId, Group>,
     storage: &mut Storage,
--- a/crates/gypsumglade/src/replica/settings.rs
+++ b/crates/gypsumglade/src/replica/settings.rs
@@ -13,28 +13,29 @@
 pub struct HostSettings {
     /// This VM.
     pub vm: VmId,
-    /// The data folder; without one everything is held in memory, for tests.
+    /// The data folder. If not set, everything is kept in memory, for tests.
     pub folder: Option<PathBuf>,
     /// Timeouts and limits of each replica.
     pub replication: Settings,
-    /// Entries of a group after which its owner is asked for a snapshot.
+    /// Number of entries after which a group's owner is asked for a snapshot.
     pub snapshot_entries: u64,
-    /// Bytes of a group's entries after which its owner is asked for a snapshot, if its last one was
-    /// small. Else it is asked at twice that one's length: a snapshot costs as much as it is long.
+    /// Bytes of entries after which a group's owner is asked for a snapshot at the earliest. After a
+    /// large snapshot the next one is requested at twice its length, as the cost grows with the length.
     pub snapshot_min: u64,
-    /// Bytes of a group's entries after which its owner is asked for a snapshot at the latest.
+    /// Bytes of entries after which a group's owner is asked for a snapshot at the latest.
     pub snapshot_bytes: u64,
-    /// Bytes of a group's latest entries that stay in memory.
+    /// Bytes of each group's latest entries that are cached in memory.
     pub cache_bytes: usize,
-    /// Bytes after which the log goes on in a new file. A start reads one file at a time, whole.
+    /// Length in bytes after which the log continues in a new file. Each file is read into memory whole at
+    /// start.
     pub segment_bytes: u64,
-    /// How long a proposal waits for its outcome after its leader was deposed.
+    /// How long a proposal waits for its outcome after this VM lost the leadership.
     pub outcome_timeout: Duration,
-    /// Spreads election timeouts; drawn at random when not set.
+    /// Seed of the randomised election timeouts; random if not set.
     pub seed: Option<u64>,
-    /// Where the time from a proposal to its outcome is noted.
+    /// Metric for the time from a proposal to its outcome.
     pub commits: Option<CommitSeconds>,
-    /// Failures of the disk that a test wants to see.
+    /// Disk failures that a test injects.
     #[doc(hidden)]
     pub faults: Faults,
 }
--- a/crates/gypsumglade/src/replica/storage.rs
+++ b/crates/gypsumglade/src/replica/storage.rs
@@ -1,4 +1,4 @@
-//! Where a host's replicas write: a thread with the data folder, or nowhere.
+//! Storage of a host's replicas: threads that write the data folder, or memory only.
 
 use std::sync::mpsc::{self, RecvTimeoutError};
 
@@ -15,26 +15,26 @@
     self, CompletedJob, Disk, Job, JobWrite, Reader, RecordLocation, RestoredGroup, SnapshotWriter,
 };
 
-/// Jobs that one sync covers at most; a bound on how long the first of them waits.
+/// Bounds the number of jobs in one sync, and thus the delay of the first one.
 const JOBS_PER_SYNC: usize = 4096;
 
-/// How long the log is idle before it is sealed.
+/// Idle time after which the log is sealed.
 const SEAL_DELAY: Duration = Duration::from_secs(1);
 
-/// Where replicas write.
+/// Storage that replicas write to.
 #[derive(Debug)]
 pub(super) enum Storage {
-    /// Nowhere: every write counts as synced at once.
+    /// No storage: every write counts as synced at once.
     Memory,
-    /// To the data folder, through its thread.
+    /// The data folder, written by threads.
     Folder {
-        /// What is to be written to the log.
+        /// Jobs for the thread that writes the log.
         jobs: mpsc::Sender<Job>,
-        /// Snapshots whose files are to be written first.
+        /// Jobs for the thread that writes snapshot files.
         snapshots: mpsc::Sender<Job>,
-        /// Reads what it has written.
+        /// Reads synced entries and snapshots.
         reader: Reader,
-        /// The threads that write.
+        /// The threads, joined on close.
         threads: Vec<std::thread::JoinHandle<()>>,
     },
 }
@@ -65,7 +65,7 @@
         Ok((Storage::Folder { jobs, snapshots, reader, threads }, groups))
     }
 
-    /// Hands a write to the disk. Returns what is done already.
+    /// Submits a write. Returns its result if it is completed at once.
     pub(super) fn submit(&self, job: Job) -> Option<CompletedJob> {
         match self {
             Storage::Memory => Some(CompletedJob::for_memory(&job)),
@@ -73,7 +73,7 @@
                 let separate = matches!(&job.write, JobWrite::Snapshot(snapshot)
                     if !snapshot.reset && !snapshot.data.is_empty());
                 let queue = if separate { snapshots } else { jobs };
-                // A thread ends only after it has reported its failure.
+                // The send fails only if the thread has ended, and then it has reported a failure.
                 let _ = queue.send(job);
                 None
             }
@@ -82,7 +82,7 @@
 
     pub(super) fn read_entry(&mut self, location: RecordLocation) -> anyhow::Result<Entry> {
         match self {
-            Storage::Memory => anyhow::bail!("an entry is gone from memory"),
+            Storage::Memory => anyhow::bail!("the entry is no longer in memory"),
             Storage::Folder { reader, .. } => reader.entry(location),
         }
     }
@@ -95,17 +95,17 @@
         length: usize,
     ) -> anyhow::Result<Bytes> {
         match self {
-            Storage::Memory => anyhow::bail!("a snapshot is gone from memory"),
+            Storage::Memory => anyhow::bail!("the snapshot is no longer in memory"),
             Storage::Folder { reader, .. } => reader.snapshot(group, index, offset, length),
         }
     }
 
-    /// Waits until all is written and the folder is closed.
+    /// Waits until all submitted jobs are written and the folder is closed.
     pub(super) fn close(self) {
         if let Storage::Folder { jobs, snapshots, threads, .. } = self {
             drop((jobs, snapshots));
             for thread in threads {
-                // A thread that panicked has been seen on standard error.
+                // The panic of a thread was already printed to standard error.
                 let _ = thread.join();
             }
         }
@@ -119,8 +119,8 @@
     std::thread::Builder::new().name(name.to_owned()).spawn(run)
 }
 
-/// Writes the files of snapshots, and hands on their marks. On the log's own thread a large file
-/// would hold up the commits of all groups.
+/// Writes snapshot files, and passes the jobs on to the log for their marks. A separate thread, so that
+/// a large file doesn't delay the commits of all groups.
 fn save_snapshots(
     snapshot_writer: &SnapshotWriter,
     queue: &mpsc::Receiver<Job>,
@@ -132,7 +132,7 @@
             continue;
         };
         let Err(error) = snapshot_writer.save(job.group, snapshot) else {
-            // Without the log's thread the host has failed already.
+            // If the log thread has ended, the host has failed or is closing.
             let _ = marks.send(job);
             continue;
         };
@@ -143,8 +143,8 @@
     }
 }
 
-/// Writes jobs until there are none to come. While one sync runs, the next batch gathers, so a
-/// sync covers more groups the slower the disk is.
+/// Writes jobs to the log until the queue is closed. Jobs that arrive during a sync form the next
+/// batch, so batches grow when the disk is slow.
 fn write_jobs(
     mut disk: Disk,
     queue: &mpsc::Receiver<Job>,
@@ -152,7 +152,7 @@
 ) {
     let mut batch = Vec::new();
     let report = |command| {
-        // Without a loop nobody waits for the answer.
+        // If the engine has ended, nobody waits for the report.
         commands.upgrade().is_some_and(|commands| commands.send(command).is_ok())
     };
     loop {
@@ -180,6 +180,6 @@
             }
         }
     }
-    // What was acknowledged is stable already; a seal only guards it at rest.
+    // Acknowledged records are synced already, so a failure here is harmless.
     let _ = disk.seal();
 }
--- a/crates/gypsumglade/src/replica/tail.rs
+++ b/crates/gypsumglade/src/replica/tail.rs
@@ -1,4 +1,4 @@
-//! The latest entries of a group in memory, and where the others are on disk.
+//! Index of a group's log entries: the latest ones in memory, the others by their location on disk.
 
 use std::collections::VecDeque;
 
@@ -8,27 +8,27 @@
 
 use crate::disk::RecordLocation;
 
-/// Where the entries of one group can be read, from the snapshot on.
+/// The entries of one group that are kept after compaction.
 #[derive(Debug)]
 pub(super) struct Tail {
-    /// The entry after the snapshot.
+    /// Index of the first kept entry.
     first: u64,
-    /// Places of synced entries, from `first` on.
+    /// Locations of synced entries, from `first` on.
     locations: VecDeque<RecordLocation>,
-    /// The latest entries.
+    /// The latest entries, including all that aren't synced.
     cache: VecDeque<wire::Entry>,
-    /// Bytes of data in the cache.
+    /// Bytes of data in `cache`.
     cached: usize,
-    /// Bytes of data after the snapshot.
+    /// Approximate bytes of all kept entries.
     bytes: u64,
 }
 
-/// What a [`Tail`] knows of an entry.
+/// Source to read an entry from.
 #[derive(Debug)]
 pub(super) enum EntrySource {
     /// The entry itself.
     Cached(wire::Entry),
-    /// Where to read it.
+    /// Its location on disk.
     OnDisk(RecordLocation),
 }
 
@@ -38,7 +38,7 @@
         Tail { first: snapshot.0 + 1, locations, cache: VecDeque::new(), cached: 0, bytes }
     }
 
-    /// Adds entries; the first one's index replaces whatever stood there and after.
+    /// Adds entries, which replace all existing ones from the index of the first one on.
     pub(super) fn push(&mut self, entries: &[wire::Entry]) {
         if let Some(first) = entries.first() {
             self.truncate(first.index);
@@ -46,14 +46,14 @@
         for entry in entries {
             self.cached += entry.data.len();
             self.bytes += entry.data.len() as u64;
-            // The data of an entry that arrived is a slice of its frame, which may hold pieces of
-            // snapshots. Kept as it is, a few entries would keep megabytes.
+            // The data of a received entry is a slice of a network frame. Without the copy a small
+            // entry would keep a large frame in memory.
             let data = Bytes::copy_from_slice(&entry.data);
             self.cache.push_back(wire::Entry { data, ..entry.clone() });
         }
     }
 
-    /// Notes where an entry was written. The caller has checked that the entry still stands.
+    /// Records the location of a written entry. The caller must check that it wasn't replaced since.
     pub(super) fn set_location(&mut self, index: LogIndex, location: RecordLocation) {
         let Some(offset) = index.0.checked_sub(self.first) else {
             return;
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Drops entries from memory that are on disk, until `limit` bytes are left.
+    /// Evicts the oldest cached entries that are on disk, until at most `limit` bytes are cached.
     pub(super) fn evict(&mut self, limit: usize) {
         while self.cached > limit {
             let written = self.first + self.locations.len() as u64;
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Drops what a snapshot covers.
+    /// Drops all entries up to and including this index.
     pub(super) fn compact(&mut self, snapshot: LogIndex) {
         let first = snapshot.0 + 1;
         let covered = first.saturating_sub(self.first).min(self.locations.len() as u64);
@@ -90,7 +90,7 @@
         self.first = first;
     }
 
-    /// Drops everything, for a snapshot that replaces the log.
+    /// Drops all entries, for a snapshot that replaces the log.
     pub(super) fn reset(&mut self, snapshot: LogIndex) {
         *self = Tail::new(snapshot, VecDeque::new());
     }
@@ -106,12 +106,12 @@
         self.locations.get(offset).copied().map(EntrySource::OnDisk)
     }
 
-    /// Returns the bytes of the entries in memory.
+    /// Returns the bytes of cached entries.
     pub(super) fn cached(&self) -> usize {
         self.cached
     }
 
-    /// Returns the bytes of the entries after the snapshot, nearly.
+    /// Returns the approximate bytes of all kept entries.
     pub(super) fn bytes(&self) -> u64 {
         self.bytes
     }
