--- a/crates/gypsumglade/src/disk/writer.rs
+++ b/crates/gypsumglade/src/disk/writer.rs
@@ -105,9 +105,9 @@
             return Vec::new();
         }
         let oldest = self.segments[0];
-        let holds =
+        let blocks =
             |(&id, state): (&GroupId, &GroupState)| state.has_entries_in(oldest).then_some(id);
-        self.groups.iter().filter_map(holds).collect()
+        self.groups.iter().filter_map(blocks).collect()
     }
 
     /// Appends an empty frame, unless the last frame is empty.
@@ -199,8 +199,8 @@
     ) -> anyhow::Result<Option<String>> {
         let index = snapshot.position.index;
         let length = snapshot.length();
-        let known = self.groups.get(&group).map_or(0, |state| state.mark.index);
-        if !snapshot.reset && index.0 < known {
+        let current = self.groups.get(&group).map_or(0, |state| state.mark.index);
+        if !snapshot.reset && index.0 < current {
             // A newer snapshot arrived from the leader while this file was being written.
             return Ok((length > 0).then(|| snapshot::name(group, index)));
         }
--- a/crates/gypsumglade/src/replica/calls.rs
+++ b/crates/gypsumglade/src/replica/calls.rs
@@ -137,8 +137,8 @@
         }
         for message in batch.messages {
             let id = GroupId(message.group);
-            let leads = matches!(message.body, Some(Body::Append(_) | Body::Chunk(_)));
-            if leads && !self.groups.contains_key(&id) {
+            let from_leader = matches!(message.body, Some(Body::Append(_) | Body::Chunk(_)));
+            if from_leader && !self.groups.contains_key(&id) {
                 // The leader has added this VM to the group; the members arrive with its snapshot.
                 self.add_replica(id, Restored::default());
             }
@@ -194,9 +194,9 @@
             return;
         }
         let now = self.now();
-        let leads = self.failed.is_none() && self.groups.values().any(Group::can_transfer);
+        let transferring = self.failed.is_none() && self.groups.values().any(Group::can_transfer);
         for (until, reply) in std::mem::take(&mut self.transfers) {
-            if leads && now < until {
+            if transferring && now < until {
                 self.transfers.push((until, reply));
             } else {
                 let _ = reply.send(());
--- a/crates/gypsumglade/src/replica/engine.rs
+++ b/crates/gypsumglade/src/replica/engine.rs
@@ -372,8 +372,8 @@
             group.clear_request();
             self.submit(Job { group: id, sequence: None, write: JobWrite::Compact(base) });
         }
-        let taken = |waiting: &mut PendingSnapshot| waiting.group == id && waiting.index <= index;
-        for waiting in self.snapshots.extract_if(.., taken) {
+        let covered = |waiting: &mut PendingSnapshot| waiting.group == id && waiting.index <= index;
+        for waiting in self.snapshots.extract_if(.., covered) {
             let _ = waiting.reply.send(());
         }
     }
--- a/crates/gypsumglade/src/replica/group.rs
+++ b/crates/gypsumglade/src/replica/group.rs
@@ -118,8 +118,8 @@
     /// Answers the callers whose entries are decided by a commit up to `index`.
     pub(super) fn resolve_waiters(&mut self, index: LogIndex) {
         while let Some(waiter) = self.next_waiter(index) {
-            let stands = self.replica.term_at(waiter.index) == Some(waiter.term);
-            let result = if stands { Ok(waiter.index) } else { Err(ProposeError::Dropped) };
+            let kept = self.replica.term_at(waiter.index) == Some(waiter.term);
+            let result = if kept { Ok(waiter.index) } else { Err(ProposeError::Dropped) };
             waiter.reply.send(result);
         }
         if self.waiters.is_empty() {
@@ -145,9 +145,9 @@
     /// Returns the position and members of a new snapshot at `index`, or `None` if this or a newer one
     /// exists. Overwriting its file could, after a crash, leave one that doesn't match its mark.
     pub(super) fn new_snapshot_meta(&self, index: LogIndex) -> Option<(Position, Members)> {
-        let known = self.replica.snapshot().index;
-        let there = index < known || (index == known && self.length > 0);
-        self.replica.snapshot_meta(index).filter(|_| !there)
+        let current = self.replica.snapshot().index;
+        let exists = index < current || (index == current && self.length > 0);
+        self.replica.snapshot_meta(index).filter(|_| !exists)
     }
 
     /// Appends a chunk of an incoming snapshot; offset 0 starts a new one.
--- a/crates/gypsumglade/src/replica/storage.rs
+++ b/crates/gypsumglade/src/replica/storage.rs
@@ -57,10 +57,12 @@
         let (reader, snapshot_writer) = (disk.reader(), disk.snapshot_writer());
         let (jobs, queue) = mpsc::channel();
         let (snapshots, files) = mpsc::channel();
-        let (report, marks) = (commands.clone(), jobs.clone());
+        let (snapshot_reports, marks) = (commands.clone(), jobs.clone());
         let threads = vec![
             spawn("disk", move || write_jobs(disk, &queue, &commands))?,
-            spawn("snapshots", move || save_snapshots(&snapshot_writer, &files, &marks, &report))?,
+            spawn("snapshots", move || {
+                save_snapshots(&snapshot_writer, &files, &marks, &snapshot_reports)
+            })?,
         ];
         Ok((Storage::Folder { jobs, snapshots, reader, threads }, groups))
     }
--- a/crates/gypsumglade/src/texts/shared.rs
+++ b/crates/gypsumglade/src/texts/shared.rs
@@ -25,7 +25,7 @@
 /// Texts of one call that are queued or being written.
 #[derive(Debug)]
 pub(super) struct Put {
-    number: PutId,
+    id: PutId,
     pub(super) texts: Vec<Text>,
     bytes: u64,
     padding: u64,
@@ -80,7 +80,7 @@
     pending: HashMap<CompactString, PutId>,
     /// Callers that wait for each put: its own, and others that put one of its texts again.
     waiters: HashMap<PutId, Vec<Waiter>>,
-    next: PutId,
+    next_id: PutId,
     /// Bytes that are queued or being written.
     queued: u64,
     /// Bytes that these count against the disk limit in addition to their length.
@@ -165,16 +165,16 @@
         if state.failed || state.closed {
             return Err(PutError::Failed);
         }
-        let mut others = HashSet::new();
+        let mut waiting_for = HashSet::new();
         let mut seen: HashSet<CompactString> = HashSet::new();
         texts.retain(|text| {
             let pending = state.pending.get(text.turn.as_str());
-            others.extend(pending);
+            waiting_for.extend(pending);
             let known = pending.is_some() || state.index.location(&text.turn).is_some();
             !known && seen.insert(text.turn.as_str().into())
         });
         if texts.is_empty() {
-            return Ok(others.into_iter().map(|number| state.wait_for(number)).collect());
+            return Ok(waiting_for.into_iter().map(|id| state.wait_for(id)).collect());
         }
         let lengths = || texts.iter().map(|text| record::length(text) as u64);
         let bytes: u64 = lengths().sum();
@@ -187,16 +187,16 @@
         if !names_valid || queue_full || bytes > MAX_PUT_BYTES || disk > capacity {
             return Err(PutError::Full);
         }
-        let number = state.next;
-        state.next += 1;
+        let id = state.next_id;
+        state.next_id += 1;
         state.queued = queued;
         let padding = padding - std::mem::replace(&mut state.padding, padding);
-        state.pending.extend(seen.into_iter().map(|turn| (turn, number)));
+        state.pending.extend(seen.into_iter().map(|turn| (turn, id)));
         let expiry = self.clock.now() + retention;
-        state.queue.push_back(Put { number, texts, bytes, padding, expiry });
+        state.queue.push_back(Put { id, texts, bytes, padding, expiry });
         self.work.notify_one();
-        others.insert(number);
-        Ok(others.into_iter().map(|number| state.wait_for(number)).collect())
+        waiting_for.insert(id);
+        Ok(waiting_for.into_iter().map(|id| state.wait_for(id)).collect())
     }
 
     /// Waits for the next task. Returns `None` once the store is closed and the queue is empty.
@@ -256,7 +256,7 @@
         }
         state.queued -= puts.iter().map(|put| put.bytes).sum::<u64>();
         state.padding -= puts.iter().map(|put| put.padding).sum::<u64>();
-        let waiters = puts.iter().filter_map(|put| state.waiters.remove(&put.number));
+        let waiters = puts.iter().filter_map(|put| state.waiters.remove(&put.id));
         let waiters: Vec<Waiter> = waiters.flatten().collect();
         drop(state);
         for waiter in waiters {
@@ -363,9 +363,9 @@
 
 impl State {
     /// Registers a caller that waits for a put.
-    fn wait_for(&mut self, number: PutId) -> oneshot::Receiver<Result<(), PutError>> {
+    fn wait_for(&mut self, id: PutId) -> oneshot::Receiver<Result<(), PutError>> {
         let (waiter, waiting) = oneshot::channel();
-        self.waiters.entry(number).or_default().push(waiter);
+        self.waiters.entry(id).or_default().push(waiter);
         waiting
     }
 
