--- a/crates/gypsumglade/src/disk/reader.rs
+++ b/crates/gypsumglade/src/disk/reader.rs
@@ -1,4 +1,4 @@
-//! Reads single entries and pieces of snapshots while the log is being written.
+//! Reads single entries and chunks of snapshots while the log is being written.
 
 use std::collections::HashMap;
 use std::fs::File;
@@ -15,12 +15,12 @@
 use super::folder::segment_path;
 use super::frame::read_record;
 use super::snapshot;
-use super::types::Place;
+use super::types::RecordLocation;
 
-/// Segment files held open at most.
+/// Maximum number of segment files kept open.
 const OPEN_FILES: usize = 16;
 
-/// Reads what the disk has made stable.
+/// Reads synced entries and snapshots.
 #[derive(Debug)]
 pub struct Reader {
     folder: PathBuf,
@@ -32,24 +32,24 @@
         Reader { folder, files: HashMap::new() }
     }
 
-    /// Reads the entry at `place`, and checks it.
-    pub fn entry(&mut self, place: Place) -> anyhow::Result<Entry> {
-        let path = segment_path(&self.folder, place.segment);
-        let mut bytes = vec![0; place.length as usize];
-        let file = self.open(place.segment)?;
-        file.read_exact_at(&mut bytes, u64::from(place.offset))
-            .with_context(|| format!("{} can't be read at {}", path.display(), place.offset))?;
+    /// Reads the entry at `location`, and verifies its checksum.
+    pub fn entry(&mut self, location: RecordLocation) -> anyhow::Result<Entry> {
+        let path = segment_path(&self.folder, location.segment);
+        let mut bytes = vec![0; location.length as usize];
+        let file = self.open(location.segment)?;
+        file.read_exact_at(&mut bytes, u64::from(location.offset))
+            .with_context(|| format!("{} can't be read at {}", path.display(), location.offset))?;
         match read_record(&bytes).and_then(|(record, _)| record.body) {
             Some(Body::Entry(entry)) => Ok(entry),
             _ => bail!(
                 "{} is damaged at offset {}; check the disk, then replace this VM's replica",
                 path.display(),
-                place.offset
+                location.offset
             ),
         }
     }
 
-    /// Reads a piece of a group's snapshot.
+    /// Reads `length` bytes at `offset` of a group's snapshot.
     pub fn snapshot(
         &self,
         group: GroupId,
--- a/crates/gypsumglade/src/disk/writer.rs
+++ b/crates/gypsumglade/src/disk/writer.rs
@@ -1,4 +1,4 @@
-//! Writes the log: one frame and one sync for all jobs at hand.
+//! Writes the log, with one frame and one sync for each batch of jobs.
 
 use std::collections::BTreeMap;
 use std::fs::{self, File};
@@ -15,102 +15,105 @@
 use super::frame::FrameWriter;
 use super::reader::Reader;
 use super::replay::{Replay, ReplayedGroup, replay};
-use super::snapshot::{self, Saver, WRITE_ADVICE};
-use super::types::{Done, Job, JobWrite, Options, Place, RestoredGroup, Snapshot, Written};
+use super::snapshot::{self, SnapshotWriter, WRITE_ADVICE};
+use super::types::{
+    CompletedJob, Job, JobWrite, Options, RecordLocation, RestoredGroup, Snapshot, WrittenEntry,
+};
 
-/// Segment files above which the groups that hold up the oldest one are named.
-const KEPT_SEGMENTS: usize = 4;
+/// Number of segment files above which groups are asked to compact their logs.
+const MAX_KEPT_SEGMENTS: usize = 4;
 
 /// The open data folder of one VM.
 #[derive(Debug)]
 pub struct Disk {
     folder: PathBuf,
     options: Options,
-    /// Held for as long as the folder is used.
+    /// Locks the folder until it is dropped.
     _lock: File,
     file: File,
-    /// Numbers of the segment files; the last one is written to.
+    /// Numbers of the segment files in order; the last one is written to.
     segments: Vec<u32>,
-    /// Where the next frame goes.
+    /// Offset of the next frame in the last segment.
     offset: u64,
-    /// Sequence of the last frame.
+    /// Sequence number of the last frame.
     sequence: u64,
-    /// Whether a file was begun since the holders of the oldest were last named.
+    /// Whether a segment was created since [`Disk::blocking_groups`] was last called.
     rotated: bool,
     /// Whether the last frame is empty.
     sealed: bool,
-    groups: BTreeMap<GroupId, Live>,
+    groups: BTreeMap<GroupId, GroupState>,
 }
 
-/// What a new segment repeats of a group, so that older ones can go.
+/// State of a group that each new segment repeats, so that older segments can be removed.
 #[derive(Debug, Default)]
-struct Live {
+struct GroupState {
     ballot: Ballot,
     mark: wire::SnapshotMark,
-    /// Entries up to here are read no more. Follows the mark: a reader may still be at work on
-    /// an entry when the snapshot that covers it is stable.
-    forgotten: LogIndex,
-    /// The highest index written in each segment.
+    /// Entries up to this index are not read any more. Updated after the mark: covered entries may
+    /// still be read when the snapshot is synced.
+    compacted: LogIndex,
+    /// Highest index written to each segment.
     written: BTreeMap<u32, LogIndex>,
 }
 
 impl Disk {
-    /// Opens a folder, and creates it if need be. Refuses one that is damaged, locked, of another
-    /// format or of another VM, and cuts off a last write that a crash cut short.
+    /// Opens a data folder, creating it if necessary, and removes an incomplete write at the end of the
+    /// log. Fails if the folder is damaged, locked, of another format version or owned by another VM.
     pub fn open(folder: &Path, options: Options) -> anyhow::Result<(Disk, Vec<RestoredGroup>)> {
         fs::create_dir_all(folder)?;
         let lock = lock(folder)?;
         check_format(folder, options.vm)?;
         let replay = replay(folder)?;
-        refuse_damage(&replay)?;
+        check_findings(&replay)?;
         let groups: Vec<_> = replay.groups.iter().map(|(&id, g)| g.restored(id)).collect();
         let kept: Vec<_> = replay
             .groups
             .iter()
             .filter(|(_, group)| group.length > 0)
-            .map(|(&id, group)| snapshot::name(id, group.mark.index))
+            .map(|(&id, group)| snapshot::name(id, group.snapshot.index))
             .collect();
-        snapshot::remove_others(folder, &kept)?;
+        snapshot::remove_unreferenced(folder, &kept)?;
         let disk = Disk::resume(folder, options, lock, replay)?;
         Ok((disk, groups))
     }
 
-    /// Returns a reader of what this disk writes.
+    /// Returns a reader for what this disk has synced.
     pub fn reader(&self) -> Reader {
         Reader::new(self.folder.clone())
     }
 
-    /// Returns a writer of snapshot files that works beside this one.
-    pub fn saver(&self) -> Saver {
-        Saver::new(self.folder.clone(), self.options.faults.clone())
+    /// Returns a writer of snapshot files that can be used concurrently with this disk.
+    pub fn snapshot_writer(&self) -> SnapshotWriter {
+        SnapshotWriter::new(self.folder.clone(), self.options.faults.clone())
     }
 
-    /// Writes all jobs and returns once they are stable. After an error nothing may be written
-    /// any more: it isn't known what the disk holds.
-    pub fn write(&mut self, jobs: &mut Vec<Job>) -> anyhow::Result<Vec<Done>> {
+    /// Writes all jobs, and returns once they are synced. After an error the disk must not be used any
+    /// more, as its content is not known.
+    pub fn write(&mut self, jobs: &mut Vec<Job>) -> anyhow::Result<Vec<CompletedJob>> {
         self.write_frame(jobs).with_context(|| {
             format!("the data folder {} can't be written; {WRITE_ADVICE}", self.folder.display())
         })
     }
 
-    /// Returns the groups whose entries hold up the oldest file, once for each new file.
+    /// Returns the groups whose entries keep the oldest segment from being removed. Returns them once for
+    /// each new segment, and only if there are many segments.
     ///
-    /// A group that is seldom written keeps its few entries for long. Without a snapshot of it
-    /// the files of all groups since would stay, and fill the disk.
-    pub fn holders(&mut self) -> Vec<GroupId> {
-        if !std::mem::take(&mut self.rotated) || self.segments.len() <= KEPT_SEGMENTS {
+    /// A group that is seldom written doesn't take snapshots on its own, and would keep all segments
+    /// since its last entries on the disk.
+    pub fn blocking_groups(&mut self) -> Vec<GroupId> {
+        if !std::mem::take(&mut self.rotated) || self.segments.len() <= MAX_KEPT_SEGMENTS {
             return Vec::new();
         }
         let oldest = self.segments[0];
-        let holds = |(&id, live): (&GroupId, &Live)| live.needs(oldest).then_some(id);
-        self.groups.iter().filter_map(holds).collect()
+        let blocks =
+            |(&id, state): (&GroupId, &GroupState)| state.has_entries_in(oldest).then_some(id);
+        self.groups.iter().filter_map(blocks).collect()
     }
 
-    /// Ends a busy time with an empty frame.
+    /// Appends an empty frame, unless the last frame is empty.
     ///
-    /// Damage to the last frame can't be told from a write that was cut short, and is cut off.
-    /// After a seal the last frame holds nothing, so what was acknowledged is never cut off
-    /// because a bit flipped at rest.
+    /// A damaged last frame can't be distinguished from an incomplete write and is removed at the next
+    /// start. With an empty frame at the end, damage to an idle log never removes acknowledged records.
     pub fn seal(&mut self) -> anyhow::Result<()> {
         if self.sealed {
             return Ok(());
@@ -120,7 +123,7 @@
         Ok(())
     }
 
-    fn write_frame(&mut self, jobs: &mut Vec<Job>) -> anyhow::Result<Vec<Done>> {
+    fn write_frame(&mut self, jobs: &mut Vec<Job>) -> anyhow::Result<Vec<CompletedJob>> {
         if self.offset >= self.options.segment_bytes {
             self.begin_segment()?;
         }
@@ -136,7 +139,7 @@
         for name in stale {
             fs::remove_file(self.folder.join(name))?;
         }
-        self.drop_segments()?;
+        self.remove_unused_segments()?;
         Ok(done)
     }
 
@@ -145,8 +148,8 @@
         frame: &mut FrameWriter,
         job: Job,
         stale: &mut Vec<String>,
-    ) -> anyhow::Result<Done> {
-        let mut done = Done::of_memory(&job);
+    ) -> anyhow::Result<CompletedJob> {
+        let mut done = CompletedJob::for_memory(&job);
         match job.write {
             JobWrite::Ballot(ballot) => {
                 self.groups.entry(job.group).or_default().ballot = ballot;
@@ -157,9 +160,9 @@
                     done.entries.push(self.push_entry(frame, job.group, entry));
                 }
             }
-            JobWrite::Forget(index) => {
-                let live = self.groups.entry(job.group).or_default();
-                live.forgotten = live.forgotten.max(index);
+            JobWrite::Compact(index) => {
+                let state = self.groups.entry(job.group).or_default();
+                state.compacted = state.compacted.max(index);
             }
             JobWrite::Snapshot(snapshot) => {
                 stale.extend(self.push_snapshot(frame, job.group, &snapshot)?);
@@ -173,21 +176,21 @@
         frame: &mut FrameWriter,
         group: GroupId,
         entry: wire::Entry,
-    ) -> Written {
+    ) -> WrittenEntry {
         let (index, term) = (LogIndex(entry.index), Term(entry.term));
-        let segment = self.segment();
-        let live = self.groups.entry(group).or_default();
-        let written = live.written.entry(segment).or_default();
+        let segment = self.current_segment();
+        let state = self.groups.entry(group).or_default();
+        let written = state.written.entry(segment).or_default();
         *written = index.max(*written);
         let record = wire::Record { group: group.0, body: Some(Body::Entry(entry)) };
         let (offset, length) = frame.push(&record);
         let offset = self.offset as usize + offset;
-        let place = Place { segment, offset: offset as u32, length: length as u32 };
-        Written { index, term, place }
+        let location = RecordLocation { segment, offset: offset as u32, length: length as u32 };
+        WrittenEntry { index, term, location }
     }
 
-    /// Writes a snapshot's file and then its mark: a mark never names a file that isn't there.
-    /// Returns the file that the mark makes useless.
+    /// Writes the file of a snapshot before its mark, so that a mark never refers to a missing file.
+    /// Returns the name of the file that is not needed any more, if any.
     fn push_snapshot(
         &mut self,
         frame: &mut FrameWriter,
@@ -196,9 +199,9 @@
     ) -> anyhow::Result<Option<String>> {
         let index = snapshot.position.index;
         let length = snapshot.length();
-        let known = self.groups.get(&group).map_or(0, |live| live.mark.index);
-        if !snapshot.reset && index.0 < known {
-            // A leader's snapshot overtook this one while its file was written.
+        let current = self.groups.get(&group).map_or(0, |state| state.mark.index);
+        if !snapshot.reset && index.0 < current {
+            // A newer snapshot arrived from the leader while this file was being written.
             return Ok((length > 0).then(|| snapshot::name(group, index)));
         }
         if !snapshot.data.is_empty() {
@@ -212,11 +215,11 @@
             length,
             reset: snapshot.reset,
         };
-        let live = self.groups.entry(group).or_default();
-        let old = std::mem::replace(&mut live.mark, mark.clone());
+        let state = self.groups.entry(group).or_default();
+        let old = std::mem::replace(&mut state.mark, mark.clone());
         if snapshot.reset {
-            live.written.clear();
-            live.forgotten = index;
+            state.written.clear();
+            state.compacted = index;
         }
         frame.push(&mark_record(group, mark));
         let replaced = old.length > 0 && old.index != index.0;
@@ -226,9 +229,9 @@
     fn append_frame(&mut self, frame: FrameWriter) -> anyhow::Result<()> {
         self.sealed = frame.is_empty();
         let bytes = frame.finish(self.sequence + 1);
-        let room = self.options.faults.room(bytes.len());
-        self.file.write_all(&bytes[..room])?;
-        if room < bytes.len() {
+        let writable = self.options.faults.allow_write(bytes.len());
+        self.file.write_all(&bytes[..writable])?;
+        if writable < bytes.len() {
             bail!(std::io::Error::from(std::io::ErrorKind::StorageFull));
         }
         self.options.faults.check_sync()?;
@@ -238,7 +241,7 @@
         Ok(())
     }
 
-    /// Goes on in a new file that starts with the ballots and marks of all groups.
+    /// Creates a segment that begins with the ballots and snapshot marks of all groups.
     fn begin_segment(&mut self) -> anyhow::Result<()> {
         let number = self.segments.last().map_or(1, |last| last + 1);
         let path = segment_path(&self.folder, number);
@@ -247,22 +250,22 @@
         self.rotated = true;
         self.offset = 0;
         let mut frame = FrameWriter::new();
-        for (&group, live) in &self.groups {
-            let mark = wire::SnapshotMark { reset: false, ..live.mark.clone() };
+        for (&group, state) in &self.groups {
+            let mark = wire::SnapshotMark { reset: false, ..state.mark.clone() };
             frame.push(&mark_record(group, mark));
-            frame.push(&ballot_record(group, live.ballot));
+            frame.push(&ballot_record(group, state.ballot));
         }
         self.append_frame(frame)?;
         sync_folder(&self.folder)?;
         Ok(())
     }
 
-    /// Removes the oldest files while no group has an entry in them after its snapshot.
-    fn drop_segments(&mut self) -> anyhow::Result<()> {
+    /// Removes the oldest segments that hold no entry that is still needed.
+    fn remove_unused_segments(&mut self) -> anyhow::Result<()> {
         while self.segments.len() > 1 {
             let oldest = self.segments[0];
-            let live = self.groups.values().any(|group| group.needs(oldest));
-            if live {
+            let in_use = self.groups.values().any(|group| group.has_entries_in(oldest));
+            if in_use {
                 return Ok(());
             }
             fs::remove_file(segment_path(&self.folder, oldest))?;
@@ -274,14 +277,14 @@
         Ok(())
     }
 
-    fn segment(&self) -> u32 {
+    fn current_segment(&self) -> u32 {
         self.segments.last().copied().unwrap_or_default()
     }
 
-    /// Goes on at the end of the log, after cutting a torn last frame.
+    /// Opens the last segment for appending, and removes an incomplete frame at its end.
     fn resume(folder: &Path, options: Options, lock: File, replay: Replay) -> anyhow::Result<Disk> {
         let mut segments: Vec<u32> = replay.segments.iter().map(|s| s.number).collect();
-        let whole = replay.segments.last().map_or(0, |segment| segment.whole);
+        let valid_bytes = replay.segments.last().map_or(0, |segment| segment.valid_bytes);
         let fresh = segments.is_empty();
         let number = segments.last().copied().unwrap_or(1);
         if fresh {
@@ -289,17 +292,17 @@
         }
         let path = segment_path(folder, number);
         let file = File::options().create(true).append(true).open(path)?;
-        file.set_len(whole)?;
+        file.set_len(valid_bytes)?;
         file.sync_all()?;
         sync_folder(folder)?;
-        let groups = replay.groups.into_iter().map(|(id, group)| (id, Live::of(group)));
+        let groups = replay.groups.into_iter().map(|(id, group)| (id, GroupState::of(group)));
         Ok(Disk {
             folder: folder.to_path_buf(),
             options,
             _lock: lock,
             file,
             segments,
-            offset: whole,
+            offset: valid_bytes,
             sequence: replay.sequence,
             rotated: false,
             sealed: fresh,
@@ -308,26 +311,26 @@
     }
 }
 
-impl Live {
-    fn of(group: ReplayedGroup) -> Live {
+impl GroupState {
+    fn of(group: ReplayedGroup) -> GroupState {
         let mark = wire::SnapshotMark {
-            index: group.mark.index.0,
-            term: group.mark.term.0,
+            index: group.snapshot.index.0,
+            term: group.snapshot.term.0,
             members: Some(group.members.to_wire()),
             length: group.length,
             reset: false,
         };
-        let forgotten = group.mark.index;
-        Live { ballot: group.ballot, mark, forgotten, written: group.written }
+        let compacted = group.snapshot.index;
+        GroupState { ballot: group.ballot, mark, compacted, written: group.written }
     }
 
-    fn needs(&self, segment: u32) -> bool {
-        self.written.get(&segment).is_some_and(|last| *last > self.forgotten)
+    fn has_entries_in(&self, segment: u32) -> bool {
+        self.written.get(&segment).is_some_and(|last| *last > self.compacted)
     }
 }
 
-/// Refuses a folder with findings, and names them all.
-fn refuse_damage(replay: &Replay) -> anyhow::Result<()> {
+/// Fails with a list of all findings, if there are any.
+fn check_findings(replay: &Replay) -> anyhow::Result<()> {
     if replay.findings.is_empty() {
         return Ok(());
     }
--- a/crates/gypsumglade/src/replica/group.rs
+++ b/crates/gypsumglade/src/replica/group.rs
@@ -1,4 +1,4 @@
-//! One group's replica with its entries, its callers and its snapshot.
+//! A group's replica with its entries, waiting callers and snapshot.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -11,16 +11,16 @@
 use super::event::{ChangeError, ProposeError, ReadError};
 use super::settings::HostSettings;
 use super::storage::Storage;
-use super::tail::{Found, Tail};
+use super::tail::{EntrySource, Tail};
 use crate::disk::{RestoredGroup, Snapshot};
 
-/// How many times longer the log may grow while a snapshot is on its way to another VM.
-const SENDING_FACTOR: u64 = 4;
+/// Factor by which the log limits are raised while a snapshot is being sent to another VM.
+const TRANSFER_LOG_FACTOR: u64 = 4;
 
-/// How many times longer than the last snapshot the log may grow before the next one.
-const LOG_FACTOR: u64 = 2;
+/// Length of the log, relative to the last snapshot, at which the next snapshot is requested.
+const SNAPSHOT_LOG_FACTOR: u64 = 2;
 
-/// Whom to tell what became of an appended entry.
+/// Channel to the caller that waits for the outcome of an entry.
 #[derive(Debug)]
 pub(super) enum Reply {
     Propose(oneshot::Sender<Result<LogIndex, ProposeError>>),
@@ -29,10 +29,10 @@
 
 impl Reply {
     pub(super) fn send(self, result: Result<LogIndex, ProposeError>) {
-        // A caller that has gone needs no answer.
+        // The caller may have stopped waiting.
         match self {
             Reply::Propose(reply) => drop(reply.send(result)),
-            Reply::Change(reply) => drop(reply.send(result.map_err(ChangeError::Lost))),
+            Reply::Change(reply) => drop(reply.send(result.map_err(ChangeError::Proposal))),
         }
     }
 }
@@ -45,29 +45,29 @@
     pub(super) reply: Reply,
 }
 
-/// One group on this VM.
+/// State of one group on this VM.
 #[derive(Debug)]
 pub(super) struct Group {
     id: GroupId,
     pub(super) replica: Replica,
     pub(super) tail: Tail,
-    /// Commands gathered for the next step.
+    /// Commands queued for the next step.
     pub(super) proposals: Vec<(Bytes, Reply)>,
     pub(super) waiters: VecDeque<Waiter>,
     pub(super) reads: HashMap<u64, oneshot::Sender<Result<LogIndex, ReadError>>>,
-    /// When callers of a deposed leader stop waiting.
-    pub(super) settle: Option<Time>,
-    /// Pieces of an arriving snapshot.
+    /// When callers that wait since this VM lost the leadership are told that the outcome is uncertain.
+    pub(super) outcome_deadline: Option<Time>,
+    /// Received part of an incoming snapshot.
     pub(super) incoming: Vec<u8>,
-    /// The snapshot, if it isn't in a file.
+    /// Data of the snapshot, if it isn't in a file.
     pub(super) snapshot: Bytes,
-    /// Length of the snapshot.
+    /// Length of the snapshot, in bytes.
     pub(super) length: u64,
-    /// What other VMs are sent in the place of the snapshot at an index. It is there before that
-    /// snapshot is, so all pieces of one that is sent are of the same.
-    pub(super) sent: Option<(LogIndex, Bytes)>,
-    /// The commit index at which a snapshot was last asked for.
-    pub(super) asked: LogIndex,
+    /// Data that other VMs are sent instead of the snapshot at this index. Set before that snapshot is
+    /// written, so that all chunks of a snapshot that is sent have the same source.
+    pub(super) peer_data: Option<(LogIndex, Bytes)>,
+    /// Commit index at which a snapshot was last requested.
+    pub(super) requested_index: LogIndex,
 }
 
 impl Group {
@@ -83,57 +83,57 @@
         Group {
             id: restored.group,
             replica,
-            tail: Tail::new(start, restored.places),
+            tail: Tail::new(start, restored.locations),
             proposals: Vec::new(),
             waiters: VecDeque::new(),
             reads: HashMap::new(),
-            settle: None,
+            outcome_deadline: None,
             incoming: Vec::new(),
             snapshot: Bytes::new(),
-            sent: None,
+            peer_data: None,
             length: restored.length,
-            asked: start,
+            requested_index: start,
         }
     }
 
-    /// Returns when the group wants to be looked at.
+    /// Returns when the next timer of the group expires.
     pub(super) fn deadline(&self) -> Time {
-        let settle = self.settle.unwrap_or(Time::MAX);
-        self.replica.deadline().min(settle)
+        let outcome_deadline = self.outcome_deadline.unwrap_or(Time::MAX);
+        self.replica.deadline().min(outcome_deadline)
     }
 
-    /// Reads one entry, from memory or from disk.
+    /// Reads an entry from memory or from disk.
     pub(super) fn entry(
         &self,
         storage: &mut Storage,
         index: LogIndex,
     ) -> anyhow::Result<wire::Entry> {
         match self.tail.find(index) {
-            Some(Found::Cached(entry)) => Ok(entry),
-            Some(Found::OnDisk(place)) => storage.read_entry(place),
+            Some(EntrySource::Cached(entry)) => Ok(entry),
+            Some(EntrySource::OnDisk(location)) => storage.read_entry(location),
             None => anyhow::bail!("entry {index} is not in the log"),
         }
     }
 
-    /// Answers the callers whose entries are settled by a commit up to `index`.
-    pub(super) fn settle_waiters(&mut self, index: LogIndex) {
+    /// Answers the callers whose entries are decided by a commit up to `index`.
+    pub(super) fn resolve_waiters(&mut self, index: LogIndex) {
         while let Some(waiter) = self.next_waiter(index) {
-            let stands = self.replica.term_at(waiter.index) == Some(waiter.term);
-            let result = if stands { Ok(waiter.index) } else { Err(ProposeError::Dropped) };
+            let kept = self.replica.term_at(waiter.index) == Some(waiter.term);
+            let result = if kept { Ok(waiter.index) } else { Err(ProposeError::Dropped) };
             waiter.reply.send(result);
         }
         if self.waiters.is_empty() {
-            self.settle = None;
+            self.outcome_deadline = None;
         }
     }
 
-    /// Tells the callers up to `index` that nobody here can tell what became of their entries.
-    pub(super) fn give_up(&mut self, index: LogIndex) {
+    /// Answers the callers of entries up to `index` that the outcome is uncertain.
+    pub(super) fn abandon_waiters(&mut self, index: LogIndex) {
         while let Some(waiter) = self.next_waiter(index) {
             waiter.reply.send(Err(ProposeError::Uncertain));
         }
         if self.waiters.is_empty() {
-            self.settle = None;
+            self.outcome_deadline = None;
         }
     }
 
@@ -142,15 +142,15 @@
         due.then(|| self.waiters.pop_front()).flatten()
     }
 
-    /// Returns where a snapshot at `index` would stand, unless one does already. Writing its file
-    /// a second time could leave, after a crash, a file that its mark doesn't fit.
-    pub(super) fn new_mark(&self, index: LogIndex) -> Option<(Position, Members)> {
-        let known = self.replica.snapshot().index;
-        let there = index < known || (index == known && self.length > 0);
-        self.replica.snapshot_meta(index).filter(|_| !there)
+    /// Returns the position and members of a new snapshot at `index`, or `None` if this or a newer one
+    /// exists. Overwriting its file could, after a crash, leave one that doesn't match its mark.
+    pub(super) fn new_snapshot_meta(&self, index: LogIndex) -> Option<(Position, Members)> {
+        let current = self.replica.snapshot().index;
+        let exists = index < current || (index == current && self.length > 0);
+        self.replica.snapshot_meta(index).filter(|_| !exists)
     }
 
-    /// Keeps a piece of an arriving snapshot.
+    /// Appends a chunk of an incoming snapshot; offset 0 starts a new one.
     pub(super) fn store_chunk(&mut self, offset: u64, data: &[u8]) {
         if offset == 0 {
             self.incoming.clear();
@@ -158,48 +158,49 @@
         self.incoming.extend_from_slice(data);
     }
 
-    /// Takes over a snapshot that arrived whole, and returns it.
+    /// Replaces log and snapshot by the received snapshot, and returns it for storage.
     pub(super) fn install(&mut self, position: Position, members: &Members) -> Snapshot {
         let data = Bytes::from(std::mem::take(&mut self.incoming));
         self.tail.reset(position.index);
-        self.asked = position.index;
+        self.requested_index = position.index;
         self.snapshot = data.clone();
         self.length = data.len() as u64;
         Snapshot { position, members: members.clone(), data, saved: 0, reset: true }
     }
 
-    /// Drops the log that the replica keeps no more. Returns up to where.
+    /// Drops the entries that the replica doesn't keep any more. Returns the index of the last one.
     pub(super) fn compact(&mut self) -> LogIndex {
         let base = self.replica.base();
         self.tail.compact(base);
-        self.asked = self.asked.max(self.replica.snapshot().index);
+        self.requested_index = self.requested_index.max(self.replica.snapshot().index);
         base
     }
 
-    /// Notes that the owner gave the snapshot that it was asked for. It stands before the index at
-    /// which it was asked, but the next one need not wait for that.
-    pub(super) fn note_snapshot(&mut self) {
-        self.asked = self.replica.snapshot().index;
+    /// Marks the requested snapshot as received. It usually covers less than the index at which it was
+    /// requested, and the next request must not wait for that index.
+    pub(super) fn clear_request(&mut self) {
+        self.requested_index = self.replica.snapshot().index;
     }
 
-    /// Reads a piece of what other VMs are sent for the snapshot, and tells whether it is the last.
-    pub(super) fn piece_to_send(
+    /// Reads a chunk of the data that other VMs are sent for the snapshot. Returns it with whether it is
+    /// the last one.
+    pub(super) fn chunk_to_send(
         &self,
         storage: &Storage,
         offset: u64,
         limit: usize,
     ) -> anyhow::Result<(Bytes, bool)> {
         let index = self.replica.snapshot().index;
-        let Some((_, sent)) = self.sent.as_ref().filter(|(at, _)| *at == index) else {
-            return self.piece(storage, offset, limit);
+        let Some((_, peer_data)) = self.peer_data.as_ref().filter(|(at, _)| *at == index) else {
+            return self.snapshot_chunk(storage, offset, limit);
         };
-        let start = usize::try_from(offset)?.min(sent.len());
-        let end = (start + limit).min(sent.len());
-        Ok((sent.slice(start..end), end == sent.len()))
+        let start = usize::try_from(offset)?.min(peer_data.len());
+        let end = (start + limit).min(peer_data.len());
+        Ok((peer_data.slice(start..end), end == peer_data.len()))
     }
 
-    /// Reads a piece of the snapshot, and tells whether it is the last.
-    pub(super) fn piece(
+    /// Reads a chunk of the snapshot. Returns it with whether it is the last one.
+    pub(super) fn snapshot_chunk(
         &self,
         storage: &Storage,
         offset: u64,
@@ -220,30 +221,31 @@
         Ok((data, last))
     }
 
-    /// Tells whether the owner should be asked for a snapshot, and notes that it was.
+    /// Returns whether to request a snapshot from the owner now, and records the request.
     pub(super) fn wants_snapshot(&mut self, settings: &HostSettings) -> bool {
         let entries = settings.snapshot_entries;
-        let bytes = self.length.saturating_mul(LOG_FACTOR).max(settings.snapshot_least);
+        let bytes = self.length.saturating_mul(SNAPSHOT_LOG_FACTOR).max(settings.snapshot_min);
         let bytes = bytes.min(settings.snapshot_bytes);
         let commit = self.replica.commit();
         let length = commit.0.saturating_sub(self.replica.snapshot().index.0);
-        // A new snapshot makes one that is on its way to another VM start over. Under constant
-        // load that VM would never get a whole one.
-        let patience = if self.replica.is_sending_snapshot() { SENDING_FACTOR } else { 1 };
-        let (entries, bytes) = (entries.saturating_mul(patience), bytes.saturating_mul(patience));
+        // A new snapshot restarts the transfer of the current one. Under constant load the receiver
+        // would never get a complete snapshot.
+        let factor = if self.replica.is_sending_snapshot() { TRANSFER_LOG_FACTOR } else { 1 };
+        let (entries, bytes) = (entries.saturating_mul(factor), bytes.saturating_mul(factor));
         let long = length >= entries || (length > 0 && self.tail.bytes() >= bytes);
-        // An owner that was asked is asked again only after a tenth of the limit, in case the
-        // first request was lost to it.
-        let answered = self.asked <= self.replica.snapshot().index;
-        let again = answered || commit.0.saturating_sub(self.asked.0) >= (entries / 10).max(1);
+        // A request without an answer is repeated after another tenth of the limit, in case the owner
+        // didn't handle it.
+        let answered = self.requested_index <= self.replica.snapshot().index;
+        let again =
+            answered || commit.0.saturating_sub(self.requested_index.0) >= (entries / 10).max(1);
         if long && again {
-            self.asked = commit;
+            self.requested_index = commit;
         }
         long && again
     }
 
-    /// Tells whether other VMs could lead in this one's place.
-    pub(super) fn leads_others(&self) -> bool {
+    /// Returns whether this VM leads a group that has other voters.
+    pub(super) fn can_transfer(&self) -> bool {
         self.replica.role() == Role::Leader && !self.replica.is_only_voter()
     }
 }
--- a/crates/gypsumglade/src/replica/mod.rs
+++ b/crates/gypsumglade/src/replica/mod.rs
@@ -1,7 +1,7 @@
-//! Drives replicated logs: disk, timers and messages round the core.
+//! Drives the replicas of a VM: disk, timers and messages around the replication core.
 //!
-//! A [`Host`] runs every replica of one VM on a thread of its own, so that load elsewhere in the
-//! process can't starve heartbeats. See docs/design/replication.md.
+//! A [`Host`] runs all replicas of one VM on a dedicated thread, so that load elsewhere in the
+//! process doesn't delay heartbeats. See docs/design/replication.md.
 
 mod budget;
 mod calls;
@@ -17,6 +17,6 @@
 mod tail;
 
 pub use budget::ByteBudget;
-pub use event::{ChangeError, Event, Held, HostStatus, Outbound, ProposeError, ReadError};
+pub use event::{ChangeError, Event, HostStatus, MemoryUsage, Outbound, ProposeError, ReadError};
 pub use host::Host;
 pub use settings::HostSettings;
--- a/crates/gypsumglade/src/replica/queue.rs
+++ b/crates/gypsumglade/src/replica/queue.rs
@@ -1,7 +1,7 @@
-//! Events on their way to the owner, in the order of each group's log.
+//! Queue of events for the owner, in the order of each group's log.
 //!
-//! Committed entries are read only when the owner has room for them. So a restart that replays
-//! a long log, or an owner that is slow, holds no more entries in memory than the channel does.
+//! Committed entries are read only when the channel to the owner has room. This bounds memory when a
+//! long log is replayed or the owner is slow.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -15,25 +15,25 @@
 use super::group::Group;
 use super::storage::Storage;
 
-/// Bytes of events that wait for the owner, beyond which no more are read.
+/// Bytes of events in the channel at which no further ones are read.
 const EVENT_BYTES: usize = 1024 * 1024;
 
-/// Something to deliver; commits are held as a range.
+/// An event to deliver, or a range of committed entries.
 #[derive(Debug)]
 enum Pending {
     Commit { group: GroupId, next: LogIndex, last: LogIndex },
     Event(Event),
 }
 
-/// Events that the owner has not taken yet.
+/// Events that the owner has not received yet.
 #[derive(Debug)]
 pub(super) struct EventQueue {
     sender: mpsc::Sender<Event>,
     pending: VecDeque<Pending>,
-    /// Bytes of each event that was put into the channel, as far back as the owner hasn't taken them.
-    sent: VecDeque<usize>,
-    /// The last index of each group that was put in the queue.
-    queued: BTreeMap<GroupId, LogIndex>,
+    /// Bytes of each event in the channel, oldest first.
+    sent_bytes: VecDeque<usize>,
+    /// Last committed index of each group that was queued.
+    last_queued: BTreeMap<GroupId, LogIndex>,
 }
 
 impl EventQueue {
@@ -41,33 +41,33 @@
         EventQueue {
             sender,
             pending: VecDeque::new(),
-            sent: VecDeque::new(),
-            queued: BTreeMap::new(),
+            sent_bytes: VecDeque::new(),
+            last_queued: BTreeMap::new(),
         }
     }
 
-    /// Returns how many events the owner has not taken.
-    pub(super) fn waiting(&self) -> usize {
-        let waiting = |pending: &Pending| match pending {
+    /// Returns the number of events that the owner has not received.
+    pub(super) fn pending_events(&self) -> usize {
+        let count = |pending: &Pending| match pending {
             Pending::Commit { next, last, .. } => (last.0 + 1).saturating_sub(next.0) as usize,
             Pending::Event(_) => 1,
         };
-        self.untaken() + self.pending.iter().map(waiting).sum::<usize>()
+        self.undelivered() + self.pending.iter().map(count).sum::<usize>()
     }
 
-    /// Notes that a group's state machine starts after `index`; nothing is delivered for it.
+    /// Sets the index after which the delivery of a group's entries begins.
     pub(super) fn start(&mut self, group: GroupId, index: LogIndex) {
-        self.forget(group);
-        self.queued.insert(group, index);
+        self.drop_commits(group);
+        self.last_queued.insert(group, index);
     }
 
     pub(super) fn commit(&mut self, group: GroupId, last: LogIndex) {
-        let queued = self.queued.entry(group).or_default();
-        if last <= *queued {
+        let last_queued = self.last_queued.entry(group).or_default();
+        if last <= *last_queued {
             return;
         }
-        let next = queued.next();
-        *queued = last;
+        let next = last_queued.next();
+        *last_queued = last;
         if let Some(Pending::Commit { group: same, last: end, .. }) = self.pending.back_mut()
             && *same == group
         {
@@ -94,7 +94,7 @@
         self.pending.push_back(Pending::Event(Event::NeedSnapshot { group }));
     }
 
-    /// Drops what waits and tells the owner that the host answers no more.
+    /// Replaces all queued events by the event that the host has failed.
     pub(super) fn fail(&mut self, reason: CompactString) {
         self.pending.clear();
         self.pending.push_back(Pending::Event(Event::Failed { reason }));
@@ -102,31 +102,31 @@
 
     /// Resolves when there is something to deliver and room for it.
     pub(super) async fn writable(&self) {
-        // Without room for more bytes, as soon as the owner has taken one event more.
+        // If the byte limit is reached, waits until the owner has received one more event.
         let permits = if self.is_full() { self.sender.capacity() + 1 } else { 1 };
         if self.pending.is_empty() || self.sender.reserve_many(permits).await.is_err() {
             std::future::pending::<()>().await;
         }
     }
 
-    /// Returns how many events in the channel the owner hasn't taken.
-    fn untaken(&self) -> usize {
+    /// Returns the number of events in the channel.
+    fn undelivered(&self) -> usize {
         self.sender.max_capacity() - self.sender.capacity()
     }
 
-    /// Tells whether as many bytes as may wait for the owner do.
+    /// Returns whether the events in the channel reach the byte limit.
     fn is_full(&self) -> bool {
-        let untaken = self.sent.iter().rev().take(self.untaken());
-        untaken.sum::<usize>() >= EVENT_BYTES
+        let recent = self.sent_bytes.iter().rev().take(self.undelivered());
+        recent.sum::<usize>() >= EVENT_BYTES
     }
 
-    fn note_sent(&mut self, bytes: usize) {
-        self.sent.push_back(bytes);
-        let taken = self.sent.len().saturating_sub(self.untaken());
-        self.sent.drain(..taken);
+    fn record_sent(&mut self, bytes: usize) {
+        self.sent_bytes.push_back(bytes);
+        let taken = self.sent_bytes.len().saturating_sub(self.undelivered());
+        self.sent_bytes.drain(..taken);
     }
 
-    /// Delivers as much as there is room for. Returns an entry's read error, if one failed.
+    /// Moves events to the channel until it is full. Fails if a committed entry can't be read.
     pub(super) fn deliver(
         &mut self,
         groups: &BTreeMap<GroupId, Group>,
@@ -153,24 +153,24 @@
                 },
             };
             if let Some(event) = event {
-                let bytes = length(&event);
+                let bytes = data_length(&event);
                 permit.send(event);
-                self.note_sent(bytes);
+                self.record_sent(bytes);
             }
         }
         Ok(())
     }
 
-    /// Drops a group's commits that a snapshot overtook: their entries are gone from the log.
-    fn forget(&mut self, group: GroupId) {
+    /// Drops a group's queued commits. A snapshot replaces them, and their entries may no longer exist.
+    fn drop_commits(&mut self, group: GroupId) {
         self.pending.retain(
             |pending| !matches!(pending, Pending::Commit { group: of, .. } if *of == group),
         );
     }
 }
 
-/// Returns the bytes of an event's data.
-fn length(event: &Event) -> usize {
+/// Returns the length of an event's data, in bytes.
+fn data_length(event: &Event) -> usize {
     match event {
         Event::Committed { data, .. } | Event::Restore { data, .. } => data.len(),
         Event::Leader { .. }
@@ -180,7 +180,7 @@
     }
 }
 
-/// Reads a committed entry. Nothing for the log's own entries.
+/// Reads a committed entry. Returns `None` for internal entries of the log.
 fn committed(
     groups: &BTreeMap<GroupId, Group>,
     storage: &mut Storage,
--- a/crates/gypsumglade/src/replica/tail.rs
+++ b/crates/gypsumglade/src/replica/tail.rs
@@ -1,4 +1,4 @@
-//! The latest entries of a group in memory, and where the others are on disk.
+//! Index of a group's log entries: the latest ones in memory, the others by their location on disk.
 
 use std::collections::VecDeque;
 
@@ -6,39 +6,39 @@
 use gypsumglade_core::replication::LogIndex;
 use gypsumglade_core::wire::replication as wire;
 
-use crate::disk::Place;
+use crate::disk::RecordLocation;
 
-/// Where the entries of one group can be read, from the snapshot on.
+/// The entries of one group that are kept after compaction.
 #[derive(Debug)]
 pub(super) struct Tail {
-    /// The entry after the snapshot.
+    /// Index of the first kept entry.
     first: u64,
-    /// Places of synced entries, from `first` on.
-    places: VecDeque<Place>,
-    /// The latest entries.
+    /// Locations of synced entries, from `first` on.
+    locations: VecDeque<RecordLocation>,
+    /// The latest entries, including all that aren't synced.
     cache: VecDeque<wire::Entry>,
-    /// Bytes of data in the cache.
+    /// Bytes of data in `cache`.
     cached: usize,
-    /// Bytes of data after the snapshot.
+    /// Approximate bytes of all kept entries.
     bytes: u64,
 }
 
-/// What a [`Tail`] knows of an entry.
+/// Source to read an entry from.
 #[derive(Debug)]
-pub(super) enum Found {
+pub(super) enum EntrySource {
     /// The entry itself.
     Cached(wire::Entry),
-    /// Where to read it.
-    OnDisk(Place),
+    /// Its location on disk.
+    OnDisk(RecordLocation),
 }
 
 impl Tail {
-    pub(super) fn new(snapshot: LogIndex, places: VecDeque<Place>) -> Tail {
-        let bytes = places.iter().map(|place| u64::from(place.length)).sum();
-        Tail { first: snapshot.0 + 1, places, cache: VecDeque::new(), cached: 0, bytes }
+    pub(super) fn new(snapshot: LogIndex, locations: VecDeque<RecordLocation>) -> Tail {
+        let bytes = locations.iter().map(|location| u64::from(location.length)).sum();
+        Tail { first: snapshot.0 + 1, locations, cache: VecDeque::new(), cached: 0, bytes }
     }
 
-    /// Adds entries; the first one's index replaces whatever stood there and after.
+    /// Adds entries, which replace all existing ones from the index of the first one on.
     pub(super) fn push(&mut self, entries: &[wire::Entry]) {
         if let Some(first) = entries.first() {
             self.truncate(first.index);
@@ -46,30 +46,30 @@
         for entry in entries {
             self.cached += entry.data.len();
             self.bytes += entry.data.len() as u64;
-            // The data of an entry that arrived is a slice of its frame, which may hold pieces of
-            // snapshots. Kept as it is, a few entries would keep megabytes.
+            // The data of a received entry is a slice of a network frame. Without the copy a small
+            // entry would keep a large frame in memory.
             let data = Bytes::copy_from_slice(&entry.data);
             self.cache.push_back(wire::Entry { data, ..entry.clone() });
         }
     }
 
-    /// Notes where an entry was written. The caller has checked that the entry still stands.
-    pub(super) fn note_place(&mut self, index: LogIndex, place: Place) {
-        let Some(slot) = index.0.checked_sub(self.first) else {
+    /// Records the location of a written entry. The caller must check that it wasn't replaced since.
+    pub(super) fn set_location(&mut self, index: LogIndex, location: RecordLocation) {
+        let Some(offset) = index.0.checked_sub(self.first) else {
             return;
         };
-        let slot = slot as usize;
-        if slot < self.places.len() {
-            self.places[slot] = place;
-        } else if slot == self.places.len() {
-            self.places.push_back(place);
+        let offset = offset as usize;
+        if offset < self.locations.len() {
+            self.locations[offset] = location;
+        } else if offset == self.locations.len() {
+            self.locations.push_back(location);
         }
     }
 
-    /// Drops entries from memory that are on disk, until `limit` bytes are left.
+    /// Evicts the oldest cached entries that are on disk, until at most `limit` bytes are cached.
     pub(super) fn evict(&mut self, limit: usize) {
         while self.cached > limit {
-            let written = self.first + self.places.len() as u64;
+            let written = self.first + self.locations.len() as u64;
             if self.cache.front().is_none_or(|entry| entry.index >= written) {
                 return;
             }
@@ -77,12 +77,12 @@
         }
     }
 
-    /// Drops what a snapshot covers.
+    /// Drops all entries up to and including this index.
     pub(super) fn compact(&mut self, snapshot: LogIndex) {
         let first = snapshot.0 + 1;
-        let covered = first.saturating_sub(self.first).min(self.places.len() as u64);
-        for place in self.places.drain(..covered as usize) {
-            self.bytes = self.bytes.saturating_sub(u64::from(place.length));
+        let covered = first.saturating_sub(self.first).min(self.locations.len() as u64);
+        for location in self.locations.drain(..covered as usize) {
+            self.bytes = self.bytes.saturating_sub(u64::from(location.length));
         }
         while self.cache.front().is_some_and(|entry| entry.index < first) {
             self.pop_cached();
@@ -90,28 +90,28 @@
         self.first = first;
     }
 
-    /// Drops everything, for a snapshot that replaces the log.
+    /// Drops all entries, for a snapshot that replaces the log.
     pub(super) fn reset(&mut self, snapshot: LogIndex) {
         *self = Tail::new(snapshot, VecDeque::new());
     }
 
-    pub(super) fn find(&self, index: LogIndex) -> Option<Found> {
+    pub(super) fn find(&self, index: LogIndex) -> Option<EntrySource> {
         if let Some(front) = self.cache.front()
             && index.0 >= front.index
         {
-            let slot = (index.0 - front.index) as usize;
-            return self.cache.get(slot).cloned().map(Found::Cached);
+            let offset = (index.0 - front.index) as usize;
+            return self.cache.get(offset).cloned().map(EntrySource::Cached);
         }
-        let slot = index.0.checked_sub(self.first)? as usize;
-        self.places.get(slot).copied().map(Found::OnDisk)
+        let offset = index.0.checked_sub(self.first)? as usize;
+        self.locations.get(offset).copied().map(EntrySource::OnDisk)
     }
 
-    /// Returns the bytes of the entries in memory.
+    /// Returns the bytes of cached entries.
     pub(super) fn cached(&self) -> usize {
         self.cached
     }
 
-    /// Returns the bytes of the entries after the snapshot, nearly.
+    /// Returns the approximate bytes of all kept entries.
     pub(super) fn bytes(&self) -> u64 {
         self.bytes
     }
@@ -123,7 +123,7 @@
             }
         }
         let keep = first.saturating_sub(self.first) as usize;
-        self.places.truncate(keep);
+        self.locations.truncate(keep);
     }
 
     fn pop_cached(&mut self) {
--- a/crates/gypsumglade/src/texts/shared.rs
+++ b/crates/gypsumglade/src/texts/shared.rs
@@ -1,4 +1,4 @@
-//! What callers, the writer and the reader share: the index, and the queue of what is to be written.
+//! State that callers and the threads share: the index and the write queue.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::sync::{Condvar, Mutex, MutexGuard};
@@ -7,66 +7,66 @@
 use gypsumglade_core::wire::turn::Text;
 use tokio::sync::{oneshot, watch};
 
-use super::index::{self, Index, Place, Reclaim, SPARSE_PARTS};
+use super::index::{self, Index, Reclaim, RecordLocation, SPARSE_DIVISOR};
 use super::record;
 use super::segment::Scanned;
 use super::{PutError, TextOptions, TextStatus};
 use crate::clock::Clock;
 
-/// Bytes at most that wait for the disk, or are being written. One put may have more if it is alone: it could
-/// never be taken else.
-pub(super) const QUEUE_BYTES: u64 = 8 * 1024 * 1024;
-/// Bytes of one put at most, for a place in a file has 32 bits.
-const PUT_BYTES: u64 = 1024 * 1024 * 1024;
-/// Bytes after which one sync takes no further texts: some 10 ms of a slow disk's time.
-pub(super) const BATCH_BYTES: u64 = 1024 * 1024;
-/// Live bytes that one sync moves out of a segment.
-const MOVE_BYTES: u64 = 256 * 1024;
-
-/// Texts that wait for the disk.
+/// Maximum bytes that are queued or being written. A longer put is accepted while the queue is empty.
+pub(super) const MAX_QUEUE_BYTES: u64 = 8 * 1024 * 1024;
+/// Maximum bytes of one put; keeps the offsets in a segment within 32 bits.
+const MAX_PUT_BYTES: u64 = 1024 * 1024 * 1024;
+/// Maximum bytes of texts in one sync; bounds its duration on a slow disk.
+pub(super) const MAX_BATCH_BYTES: u64 = 1024 * 1024;
+/// Maximum live bytes that one sync moves out of a sparse segment.
+const MAX_MOVE_BYTES: u64 = 256 * 1024;
+
+/// Texts of one call that are queued or being written.
 #[derive(Debug)]
 pub(super) struct Put {
-    number: PutNumber,
+    id: PutId,
     pub(super) texts: Vec<Text>,
     bytes: u64,
     padding: u64,
-    /// When they are due.
-    pub(super) due: Time,
+    /// When the retention of these texts ends.
+    pub(super) expiry: Time,
 }
 
-/// Names a put until it is answered.
-type PutNumber = u64;
+/// Identifies a put until it is answered.
+type PutId = u64;
 
-/// Answers one who waits for a put.
+/// Channel to a caller that waits for a put.
 type Waiter = oneshot::Sender<Result<(), PutError>>;
 
-/// A live text that is to be moved to the current segment.
-pub(super) type Move = (CompactString, Place);
+/// A live text to be moved to the current segment, with its old location.
+pub(super) type Move = (CompactString, RecordLocation);
 
-/// What the writer does next.
+/// Next task of the writer.
 pub(super) enum Work {
-    /// Deletes a segment's file.
+    /// Delete the file of a segment.
     Delete(u32),
-    /// Writes and syncs texts.
+    /// Write and sync new texts and moved ones.
     Write { puts: Vec<Put>, moves: Vec<Move> },
 }
 
-/// What a sync made stable.
+/// Records that are written with one sync.
 #[derive(Debug, Default)]
-pub(super) struct Stable {
+pub(super) struct SyncedBatch {
     pub(super) segment: u32,
     pub(super) bytes: u64,
-    pub(super) texts: Vec<(CompactString, Place, Time)>,
-    /// Texts with their old and new places.
-    pub(super) moved: Vec<(CompactString, Place, Place)>,
+    pub(super) texts: Vec<(CompactString, RecordLocation, Time)>,
+    /// Moved texts with their old and new locations.
+    pub(super) moved: Vec<(CompactString, RecordLocation, RecordLocation)>,
 }
 
-impl Stable {
-    /// Says where the records are, that were placed from zero on until now.
-    pub(super) fn settle(&mut self, segment: u32, start: u64) {
-        let texts = self.texts.iter_mut().map(|(_, place, _)| place);
-        for place in texts.chain(self.moved.iter_mut().map(|(_, _, to)| to)) {
-            *place = Place { segment, offset: place.offset + start as u32, ..*place };
+impl SyncedBatch {
+    /// Turns locations within the batch into locations in a segment, where the batch begins at `start`.
+    pub(super) fn assign_segment(&mut self, segment: u32, start: u64) {
+        let texts = self.texts.iter_mut().map(|(_, location, _)| location);
+        for location in texts.chain(self.moved.iter_mut().map(|(_, _, to)| to)) {
+            *location =
+                RecordLocation { segment, offset: location.offset + start as u32, ..*location };
         }
         self.segment = segment;
     }
@@ -76,14 +76,14 @@
 struct State {
     index: Index,
     queue: VecDeque<Put>,
-    /// Texts of the queue, and of what is being written, with the puts that they are in.
-    pending: HashMap<CompactString, PutNumber>,
-    /// Those who wait for each of these puts: its caller, and callers who put one of its texts again.
-    waiters: HashMap<PutNumber, Vec<Waiter>>,
-    next: PutNumber,
-    /// Bytes of the queue, and of what is being written.
+    /// Texts that are queued or being written, with the put that contains each of them.
+    pending: HashMap<CompactString, PutId>,
+    /// Callers that wait for each put: its own, and others that put one of its texts again.
+    waiters: HashMap<PutId, Vec<Waiter>>,
+    next_id: PutId,
+    /// Bytes that are queued or being written.
     queued: u64,
-    /// What these count against the limit of the disk beyond their bytes.
+    /// Bytes that these count against the disk limit in addition to their length.
     padding: u64,
     failed: bool,
     closed: bool,
@@ -91,7 +91,7 @@
     syncs: u64,
 }
 
-/// The state behind all handles.
+/// State shared by all handles and threads of a store.
 #[derive(Debug)]
 pub(super) struct Shared {
     pub(super) options: TextOptions,
@@ -99,7 +99,7 @@
     state: Mutex<State>,
     /// Wakes the writer.
     work: Condvar,
-    /// Whether segments are still to be scanned; told anew whenever one was.
+    /// Whether segments remain to be scanned. Sent again after each scanned segment.
     scanning: watch::Sender<bool>,
 }
 
@@ -114,37 +114,37 @@
         self.clock.now()
     }
 
-    /// Waits until all of the texts are found, the scan is over or it takes too long.
-    pub(super) async fn wait_found(&self, turns: &[String]) {
+    /// Waits until all of the texts are indexed, the scan has ended or the timeout has passed.
+    pub(super) async fn wait_for_scan(&self, turns: &[String]) {
         let mut scanning = self.scanning.subscribe();
-        let found = || turns.iter().all(|turn| self.place(turn).is_some());
+        let found = || turns.iter().all(|turn| self.location(turn).is_some());
         if *scanning.borrow_and_update() && !found() {
             let ended = scanning.wait_for(|scanning| !scanning || found());
-            // What is not found in time counts as absent.
-            let _ = tokio::time::timeout(self.options.scan_patience, ended).await;
+            // After the timeout a text that is not indexed yet counts as absent.
+            let _ = tokio::time::timeout(self.options.scan_timeout, ended).await;
         }
     }
 
-    /// Makes known what a scan found.
-    pub(super) fn insert_found(&self, found: Vec<(CompactString, Place)>, due: Time) {
+    /// Adds texts that a scan found to the index.
+    pub(super) fn insert_scanned(&self, found: Vec<(CompactString, RecordLocation)>, expiry: Time) {
         let mut state = self.state();
-        for (turn, place) in found {
-            state.index.insert_found(turn, place, due);
+        for (turn, location) in found {
+            state.index.insert_scanned(turn, location, expiry);
         }
     }
 
-    /// Notes that a segment was scanned, and what is in it is known.
-    pub(super) fn end_scan(&self, segment: u32, scanned: &Scanned) {
+    /// Marks a segment as scanned, after all its texts were added.
+    pub(super) fn finish_scan(&self, segment: u32, scanned: &Scanned) {
         let mut state = self.state();
-        state.index.end_scan(segment, scanned.whole);
+        state.index.finish_scan(segment, scanned.valid_length);
         state.damaged += scanned.damaged;
         drop(state);
         self.work.notify_one();
         self.scanning.send_replace(true);
     }
 
-    /// Notes that no segment will be scanned any more.
-    pub(super) fn end_scans(&self) {
+    /// Ends the scan, and releases all callers that wait for it.
+    pub(super) fn finish_scanning(&self) {
         self.scanning.send_replace(false);
     }
 
@@ -152,10 +152,10 @@
         self.state().closed
     }
 
-    /// Puts texts into the queue, and returns what is to be waited for until all of them are on the disk.
+    /// Queues texts, and returns a receiver for each put that the caller must wait for.
     ///
-    /// One that is queued already, or being written, isn't queued again: a slow disk has callers ask
-    /// again, and the queue would be full of what it holds.
+    /// Texts that are already queued or being written are not queued again: callers repeat their puts
+    /// when the disk is slow, and the duplicates would fill the queue.
     pub(super) fn enqueue(
         &self,
         mut texts: Vec<Text>,
@@ -165,54 +165,54 @@
         if state.failed || state.closed {
             return Err(PutError::Failed);
         }
-        let mut others = HashSet::new();
+        let mut waiting_for = HashSet::new();
         let mut seen: HashSet<CompactString> = HashSet::new();
         texts.retain(|text| {
             let pending = state.pending.get(text.turn.as_str());
-            others.extend(pending);
-            let known = pending.is_some() || state.index.place(&text.turn).is_some();
+            waiting_for.extend(pending);
+            let known = pending.is_some() || state.index.location(&text.turn).is_some();
             !known && seen.insert(text.turn.as_str().into())
         });
         if texts.is_empty() {
-            return Ok(others.into_iter().map(|number| state.wait_for(number)).collect());
+            return Ok(waiting_for.into_iter().map(|id| state.wait_for(id)).collect());
         }
         let lengths = || texts.iter().map(|text| record::length(text) as u64);
         let bytes: u64 = lengths().sum();
         let padding: u64 = state.padding + lengths().map(index::padding).sum::<u64>();
         let queued = state.queued.saturating_add(bytes);
         let disk = state.index.charged_bytes().saturating_add(queued).saturating_add(padding);
-        let room = self.put_room(state.index.longest().max(bytes));
-        let named = texts.iter().all(record::is_nameable);
-        let crowded = state.queued > 0 && queued > QUEUE_BYTES;
-        if !named || crowded || bytes > PUT_BYTES || disk > room {
+        let capacity = self.put_capacity(state.index.longest_segment().max(bytes));
+        let names_valid = texts.iter().all(record::has_valid_name);
+        let queue_full = state.queued > 0 && queued > MAX_QUEUE_BYTES;
+        if !names_valid || queue_full || bytes > MAX_PUT_BYTES || disk > capacity {
             return Err(PutError::Full);
         }
-        let number = state.next;
-        state.next += 1;
+        let id = state.next_id;
+        state.next_id += 1;
         state.queued = queued;
         let padding = padding - std::mem::replace(&mut state.padding, padding);
-        state.pending.extend(seen.into_iter().map(|turn| (turn, number)));
-        let due = self.clock.now() + retention;
-        state.queue.push_back(Put { number, texts, bytes, padding, due });
+        state.pending.extend(seen.into_iter().map(|turn| (turn, id)));
+        let expiry = self.clock.now() + retention;
+        state.queue.push_back(Put { id, texts, bytes, padding, expiry });
         self.work.notify_one();
-        others.insert(number);
-        Ok(others.into_iter().map(|number| state.wait_for(number)).collect())
+        waiting_for.insert(id);
+        Ok(waiting_for.into_iter().map(|id| state.wait_for(id)).collect())
     }
 
-    /// Waits for what is to be done. Returns nothing once the store is closed and all is written.
+    /// Waits for the next task. Returns `None` once the store is closed and the queue is empty.
     pub(super) fn next_work(&self, current: Option<u32>) -> Option<Work> {
-        let batch = BATCH_BYTES.min(self.options.segment_bytes());
+        let batch = MAX_BATCH_BYTES.min(self.options.segment_bytes());
         let mut state = self.state();
         loop {
             let idle = state.queue.is_empty();
             let reclaim = state.index.reclaim(current, idle);
-            // Deletes come first: a queue that is never empty would have the disk fill up.
+            // Deletes come first: under constant load the disk would fill up otherwise.
             if let Some(Reclaim::Delete(segment)) = reclaim {
                 return Some(Work::Delete(segment));
             }
             let moves = match reclaim {
                 Some(Reclaim::Compact(segment)) if !state.closed => {
-                    state.index.live_in(segment, MOVE_BYTES)
+                    state.index.live_texts(segment, MAX_MOVE_BYTES)
                 }
                 _ => Vec::new(),
             };
@@ -226,12 +226,12 @@
         }
     }
 
-    /// Takes what is on the disk already out of `puts`: a scan may have found it while they waited.
-    pub(super) fn retain_new(&self, puts: &mut [Put]) {
+    /// Removes texts that are already on the disk: a scan may have found them since they were queued.
+    pub(super) fn retain_unsaved(&self, puts: &mut [Put]) {
         let mut state = self.state();
         for texts in puts.iter_mut().map(|put| &mut put.texts) {
             texts.retain(|text| {
-                let new = state.index.place(&text.turn).is_none();
+                let new = state.index.location(&text.turn).is_none();
                 if !new {
                     state.pending.remove(text.turn.as_str());
                 }
@@ -240,43 +240,43 @@
         }
     }
 
-    /// Makes known what is stable, and then answers the puts.
-    pub(super) fn publish(&self, stable: Stable, puts: Vec<Put>) {
+    /// Adds synced texts to the index, and then answers the callers of the puts.
+    pub(super) fn publish(&self, synced: SyncedBatch, puts: Vec<Put>) {
         let mut state = self.state();
-        if stable.bytes > 0 {
-            state.index.grow(stable.segment, stable.bytes);
+        if synced.bytes > 0 {
+            state.index.grow(synced.segment, synced.bytes);
             state.syncs += 1;
         }
-        for (turn, place, due) in stable.texts {
+        for (turn, location, expiry) in synced.texts {
             state.pending.remove(&turn);
-            state.index.insert(turn, place, due);
+            state.index.insert(turn, location, expiry);
         }
-        for (turn, from, to) in stable.moved {
+        for (turn, from, to) in synced.moved {
             state.index.relocate(&turn, from, to);
         }
         state.queued -= puts.iter().map(|put| put.bytes).sum::<u64>();
         state.padding -= puts.iter().map(|put| put.padding).sum::<u64>();
-        let waiters = puts.iter().filter_map(|put| state.waiters.remove(&put.number));
+        let waiters = puts.iter().filter_map(|put| state.waiters.remove(&put.id));
         let waiters: Vec<Waiter> = waiters.flatten().collect();
         drop(state);
         for waiter in waiters {
-            // A caller that has gone needs no answer.
+            // The caller may have stopped waiting.
             let _ = waiter.send(Ok(()));
         }
     }
 
-    pub(super) fn place(&self, turn: &str) -> Option<Place> {
-        self.state().index.place(turn)
+    pub(super) fn location(&self, turn: &str) -> Option<RecordLocation> {
+        self.state().index.location(turn)
     }
 
-    pub(super) fn take_due(&self, most: usize) -> Vec<CompactString> {
+    pub(super) fn take_expired(&self, limit: usize) -> Vec<CompactString> {
         let now = self.clock.now();
-        self.state().index.take_due(now, now + self.options.due_pause, most)
+        self.state().index.take_expired(now, now + self.options.recheck_interval, limit)
     }
 
     pub(super) fn extend(&self, turn: &str, left: Duration) {
-        let due = self.clock.now() + left;
-        self.state().index.extend(turn, due);
+        let expiry = self.clock.now() + left;
+        self.state().index.extend(turn, expiry);
     }
 
     pub(super) fn remove(&self, turn: &str) {
@@ -289,21 +289,21 @@
         self.state().index.remove_segment(segment);
     }
 
-    /// Forgets a text whose record can't be read, and counts it, unless it was moved meanwhile.
-    pub(super) fn note_damaged(&self, turn: &str, place: Place) {
+    /// Drops and counts a text whose record is damaged, unless it was moved in the meantime.
+    pub(super) fn drop_damaged(&self, turn: &str, location: RecordLocation) {
         let mut state = self.state();
-        if state.index.place(turn) == Some(place) {
+        if state.index.location(turn) == Some(location) {
             state.damaged += 1;
             state.index.remove(turn);
             drop(state);
             self.work.notify_one();
-            slog::error!(self.options.log, "a text on the disk is damaged and was dropped";
-                "turn" => turn, "segment" => place.segment, "offset" => place.offset);
+            slog::error!(self.options.log, "dropped a damaged text";
+                "turn" => turn, "segment" => location.segment, "offset" => location.offset);
         }
     }
 
-    /// Refuses all puts until [`Shared::recover`], also those that wait: dropping them answers their
-    /// callers.
+    /// Refuses puts until [`Shared::recover`]. Dropping the queued ones tells their callers that they
+    /// failed.
     pub(super) fn fail(&self) {
         let mut state = self.state();
         state.failed = true;
@@ -314,27 +314,27 @@
         state.waiters.clear();
     }
 
-    /// Takes puts again.
+    /// Accepts puts again.
     pub(super) fn recover(&self) {
         self.state().failed = false;
     }
 
-    /// Waits until a disk that failed may be tried again. Returns false once the store is closed.
-    pub(super) fn wait_retry(&self) -> bool {
-        let pause = self.options.retry_pause;
+    /// Waits until the failed disk may be retried. Returns `false` once the store is closed.
+    pub(super) fn wait_for_retry(&self) -> bool {
+        let pause = self.options.retry_delay;
         let waiting = self.work.wait_timeout_while(self.state(), pause, |state| !state.closed);
         let (state, _) = waiting.expect("no panic while held");
         !state.closed
     }
 
-    /// Has the writer end once all is written.
+    /// Closes the store; the writer ends once the queue is empty.
     pub(super) fn close(&self) {
         self.state().closed = true;
         self.work.notify_one();
     }
 
     pub(super) fn status(&self) -> TextStatus {
-        // Read first: who waits for it looks at the state meanwhile, see `wait_found`.
+        // Read before locking the state: `wait_for_scan` locks the state while it borrows this value.
         let scanning = *self.scanning.borrow();
         let state = self.state();
         TextStatus {
@@ -349,10 +349,10 @@
         }
     }
 
-    /// Returns the bytes that puts may fill. What is left of the limit is for the live texts of one
-    /// segment, of `longest` bytes at most, so that space can be had back on a full disk too.
-    fn put_room(&self, longest: u64) -> u64 {
-        let reserve = longest.max(self.options.segment_bytes()) / SPARSE_PARTS;
+    /// Returns the bytes available to puts. The rest of the limit is reserved for moving the live texts
+    /// of one sparse segment of up to `longest` bytes, so that space can be reclaimed on a full disk.
+    fn put_capacity(&self, longest: u64) -> u64 {
+        let reserve = longest.max(self.options.segment_bytes()) / SPARSE_DIVISOR;
         self.options.limits.disk_bytes.saturating_sub(reserve)
     }
 
@@ -362,19 +362,19 @@
 }
 
 impl State {
-    /// Has one more wait for a put that is queued or being written.
-    fn wait_for(&mut self, number: PutNumber) -> oneshot::Receiver<Result<(), PutError>> {
+    /// Registers a caller that waits for a put.
+    fn wait_for(&mut self, id: PutId) -> oneshot::Receiver<Result<(), PutError>> {
         let (waiter, waiting) = oneshot::channel();
-        self.waiters.entry(number).or_default().push(waiter);
+        self.waiters.entry(id).or_default().push(waiter);
         waiting
     }
 
-    /// Takes puts of up to `most` bytes together, and at least one.
-    fn take_puts(&mut self, most: u64) -> Vec<Put> {
+    /// Takes puts from the queue, up to `limit` bytes in total but at least one.
+    fn take_puts(&mut self, limit: u64) -> Vec<Put> {
         let mut taken = 0;
         let fitting = self.queue.iter().take_while(|put| {
             taken += put.bytes;
-            taken <= most
+            taken <= limit
         });
         let count = fitting.count().max(1).min(self.queue.len());
         self.queue.drain(..count).collect()
