--- a/crates/gypsumglade/src/admin.rs
+++ b/crates/gypsumglade/src/admin.rs
@@ -19,7 +19,7 @@
 use prost::Message as _;
 use serde_json::{Value, json};
 
-use crate::control_client::{ControlGroupClient, OPERATOR};
+use crate::control_client::{ControlGroupClient, OPERATOR_LIMITS};
 use crate::directory::Directory;
 use crate::entry::state::EntryState;
 use crate::rpc::PeerClients;
@@ -70,7 +70,7 @@
     /// Asks the control group; `None` when no leader answered.
     pub async fn ask(&self, request: &ControlRequest) -> Option<ControlReply> {
         let (directory, peers) = (Arc::clone(&self.directory), self.peers.clone());
-        ControlGroupClient::new(directory, peers, OPERATOR).ask(request).await
+        ControlGroupClient::new(directory, peers, OPERATOR_LIMITS).ask(request).await
     }
 }
 
@@ -134,7 +134,7 @@
 }
 
 async fn store_metrics(State(state): State<Arc<StoreState>>) -> Response {
-    let gauges = store::page(&state).await;
+    let gauges = store::metrics_page(&state).await;
     page(state.context.metrics.page().and_then(|own| Ok(own + &gauges?)))
 }
 
--- a/crates/gypsumglade/src/discovery.rs
+++ b/crates/gypsumglade/src/discovery.rs
@@ -23,17 +23,17 @@
 use crate::settings::{DiscoverySettings, Settings};
 
 /// Pause between two rounds of introductions: a newcomer is known to all within two rounds.
-const PAUSE: Duration = Duration::from_millis(500);
+const HELLO_INTERVAL: Duration = Duration::from_millis(500);
 /// Pause while no store is known yet.
-const FIRST_PAUSE: Duration = Duration::from_millis(150);
+const BOOTSTRAP_INTERVAL: Duration = Duration::from_millis(150);
 /// Longest wait for an answer.
-const TIMEOUT: Duration = Duration::from_millis(800);
+const HELLO_TIMEOUT: Duration = Duration::from_millis(800);
 /// Known stores that are asked in each round. News spread in a logarithm of rounds, and the cost
 /// of a round does not grow with the number of stores.
-const ASKED: usize = 2;
+const FANOUT: usize = 2;
 
 /// Age up to which counts what the leaders of groups told.
-const LED_AGE: Duration = Duration::from_secs(5);
+const LEADER_REPORT_MAX_AGE: Duration = Duration::from_secs(5);
 
 /// The process that introduces itself.
 #[derive(Clone, Copy, Debug)]
@@ -48,17 +48,17 @@
 
 /// The stores that a process was told of last.
 #[derive(Clone, Debug, Default)]
-struct Told {
+struct KnownStores {
     digest: u64,
     stores: Vec<VmId>,
 }
 
 /// What a process knows of the others.
 pub struct Discovery {
-    me: Node,
+    own: Node,
     seeds: RwLock<Vec<SocketAddr>>,
     roster: Mutex<Roster>,
-    told: Mutex<Told>,
+    known: Mutex<KnownStores>,
     /// Number of the latest introduction.
     sequence: AtomicU64,
     /// Groups that this process leads.
@@ -92,14 +92,14 @@
             led: Vec::new(),
         };
         let seeds = RwLock::new(discovery.peers(process.address.port()));
-        let (roster, told) = (Mutex::default(), Mutex::default());
+        let (roster, known) = (Mutex::default(), Mutex::default());
         let sequence = AtomicU64::new(0);
         let led = Mutex::default();
-        let found = Discovery {
-            me: node,
+        let discovery = Discovery {
+            own: node,
             seeds,
             roster,
-            told,
+            known,
             sequence,
             led,
             retiring: Mutex::default(),
@@ -107,13 +107,13 @@
             peers,
             clock,
         };
-        found.hear(Vec::new());
-        Some(Arc::new(found))
+        discovery.observe(Vec::new());
+        Some(Arc::new(discovery))
     }
 
     /// Takes in a process that introduced itself, and returns the stores to tell it of.
-    pub fn welcome(&self, hello: Hello) -> Nodes {
-        self.hear(hello.node.into_iter().collect());
+    pub fn handle_hello(&self, hello: Hello) -> Nodes {
+        self.observe(hello.node.into_iter().collect());
         self.roster().nodes(self.clock.now(), hello.known)
     }
 
@@ -133,18 +133,18 @@
     }
 
     /// Returns the stores heard of within `age`.
-    pub fn stores_heard(&self, age: Duration) -> Vec<StoreInfo> {
+    pub fn recent_stores(&self, age: Duration) -> Vec<StoreInfo> {
         let now = self.now();
         let retiring = self.retiring();
         let roster = self.roster();
-        let heard = roster.stores().filter(|(_, at)| now.since(*at) < age);
-        let heard = heard.map(|(node, _)| StoreInfo {
+        let recent = roster.stores().filter(|(_, at)| now.since(*at) < age);
+        let recent = recent.map(|(node, _)| StoreInfo {
             vm: VmId(node.vm),
             domain: node.domain.to_compact_string(),
             region: node.region.to_compact_string(),
             retiring: retiring.contains(&VmId(node.vm)),
         });
-        heard.collect()
+        recent.collect()
     }
 
     /// Returns the stores that are to be emptied, as far as this process was told.
@@ -152,29 +152,29 @@
     /// Few processes are members of the control group, which knows; the others learn it from its leader's
     /// introductions.
     pub fn retiring(&self) -> BTreeSet<VmId> {
-        let told = self.retiring.lock().expect("no panic while held").clone();
-        let led = self.roster().led_groups(self.now(), LED_AGE);
+        let own = self.retiring.lock().expect("no panic while held").clone();
+        let led = self.roster().led_groups(self.now(), LEADER_REPORT_MAX_AGE);
         let led = led.into_iter().flat_map(|led| led.retiring);
-        told.into_iter().chain(led).map(VmId).collect()
+        own.into_iter().chain(led).map(VmId).collect()
     }
 
     /// Takes other seeds, from settings that changed.
     pub fn set_seeds(&self, settings: &DiscoverySettings) {
-        let Ok(own) = self.me.peers.parse::<SocketAddr>() else { return };
+        let Ok(own) = self.own.peers.parse::<SocketAddr>() else { return };
         *self.seeds.write().expect("no panic while held") = settings.peers(own.port());
     }
 
     /// Introduces this process until `stop`.
     pub async fn run(self: Arc<Self>, stop: CancellationToken) {
         while !stop.is_cancelled() {
-            self.hear(Vec::new());
+            self.observe(Vec::new());
             for address in self.targets() {
                 // Each on its own: a round must not wait for a process that is gone.
-                let asking = Arc::clone(&self);
-                tokio::spawn(async move { asking.introduce(address).await });
+                let discovery = Arc::clone(&self);
+                tokio::spawn(async move { discovery.send_hello(address).await });
             }
-            let alone = self.directory.stores().keys().all(|vm| vm.0 == self.me.vm);
-            let pause = if alone { FIRST_PAUSE } else { PAUSE };
+            let alone = self.directory.stores().keys().all(|vm| vm.0 == self.own.vm);
+            let pause = if alone { BOOTSTRAP_INTERVAL } else { HELLO_INTERVAL };
             tokio::select! {
                 () = stop.cancelled() => {}
                 () = tokio::time::sleep(pause) => {}
@@ -187,10 +187,10 @@
     /// Seeds go on being asked: after a long partition they may be the only way back to processes
     /// that all moved meanwhile. A process that knows nobody asks every seed.
     fn targets(&self) -> Vec<SocketAddr> {
-        let own = self.me.peers.parse().ok();
+        let own = self.own.peers.parse().ok();
         let stores = self.directory.stores();
         let known = stores.into_values().filter(|address| Some(*address) != own);
-        let mut targets = known.sample(&mut rand::rng(), ASKED);
+        let mut targets = known.sample(&mut rand::rng(), FANOUT);
         let seeds = self.seeds.read().expect("no panic while held").clone();
         let seeds = seeds.into_iter().filter(|address| Some(*address) != own);
         if targets.is_empty() {
@@ -203,54 +203,54 @@
         targets
     }
 
-    async fn introduce(&self, address: SocketAddr) {
-        let told = self.told();
-        let hello = Hello { node: Some(self.myself()), known: told.digest };
-        let asking = self.peers.ask::<Hello, Nodes>(address, Method::Hello, &hello, TIMEOUT);
+    async fn send_hello(&self, address: SocketAddr) {
+        let known = self.known_stores();
+        let hello = Hello { node: Some(self.own_node()), known: known.digest };
+        let request = self.peers.ask::<Hello, Nodes>(address, Method::Hello, &hello, HELLO_TIMEOUT);
         // Who does not answer is asked again in a later round.
-        let Ok(nodes) = asking.await else { return };
+        let Ok(nodes) = request.await else { return };
         self.retiring.lock().expect("no panic while held").clone_from(&nodes.retiring);
         if nodes.same {
-            return self.roster().confirm(self.clock.now(), &told.stores);
+            return self.roster().confirm(self.clock.now(), &known.stores);
         }
-        self.note_told(&nodes.nodes);
-        self.hear(nodes.nodes);
+        self.record_known(&nodes.nodes);
+        self.observe(nodes.nodes);
     }
 
     /// Returns the stores that this process was told of last and still remembers. A store wants all of
     /// them each time: it repairs groups by how long each has been silent.
-    fn told(&self) -> Told {
-        if self.me.role() == Role::Store {
-            return Told::default();
+    fn known_stores(&self) -> KnownStores {
+        if self.own.role() == Role::Store {
+            return KnownStores::default();
         }
-        let told = self.told.lock().expect("no panic while held").clone();
-        if self.roster().contains_all(&told.stores) { told } else { Told::default() }
+        let known = self.known.lock().expect("no panic while held").clone();
+        if self.roster().contains_all(&known.stores) { known } else { KnownStores::default() }
     }
 
-    fn note_told(&self, nodes: &[Node]) {
+    fn record_known(&self, nodes: &[Node]) {
         let stores = nodes.iter().map(|node| VmId(node.vm)).collect();
-        let told = Told { digest: digest(nodes), stores };
-        *self.told.lock().expect("no panic while held") = told;
+        let known = KnownStores { digest: digest(nodes), stores };
+        *self.known.lock().expect("no panic while held") = known;
     }
 
     /// Returns the process's own introduction of this moment.
     ///
     /// The time of day numbers it, so that a restarted process goes on where it was. A clock that
     /// is set back silences a process until it has caught up; `sequence` keeps within one life.
-    fn myself(&self) -> Node {
+    fn own_node(&self) -> Node {
         let wall = Clock::wall_millis();
         let before = self.sequence.fetch_max(wall, Ordering::Relaxed);
         let led = self.led.lock().expect("no panic while held").clone();
-        Node { sequence: before.max(wall), led, ..self.me.clone() }
+        Node { sequence: before.max(wall), led, ..self.own.clone() }
     }
 
-    fn hear(&self, nodes: Vec<Node>) {
+    fn observe(&self, nodes: Vec<Node>) {
         let now = self.clock.now();
         let mut roster = self.roster();
-        for node in nodes.into_iter().filter(|node| node.vm != self.me.vm) {
+        for node in nodes.into_iter().filter(|node| node.vm != self.own.vm) {
             roster.observe(now, node);
         }
-        roster.observe(now, self.myself());
+        roster.observe(now, self.own_node());
         roster.expire(now);
         let stores = roster.stores().filter_map(|(node, _)| {
             let address = node.peers.parse().ok()?;
@@ -272,6 +272,6 @@
 }
 
 /// Draws an identity that no process has had.
-pub fn fresh_identity() -> VmId {
+pub fn random_identity() -> VmId {
     VmId(rand::random_range(1..=u32::MAX))
 }
--- a/crates/gypsumglade/src/entry/config.rs
+++ b/crates/gypsumglade/src/entry/config.rs
@@ -164,7 +164,7 @@
         }
         Err(_) => {
             if let Some(vm) = store {
-                leaders.lost(vm, Instant::now());
+                leaders.mark_unresponsive(vm, Instant::now());
             }
             view.relay().request_failed(request.ask);
         }
--- a/crates/gypsumglade/src/entry/peer_calls.rs
+++ b/crates/gypsumglade/src/entry/peer_calls.rs
@@ -10,7 +10,7 @@
 
 use super::announce::{self, AnnouncementBody};
 use super::state::EntryState;
-use crate::members::MemberNews;
+use crate::members::MemberUpdate;
 use crate::rpc::{Method, decode, encode, invalid_payload};
 
 /// Answer to a call that has nothing to tell.
@@ -43,8 +43,8 @@
     })?;
     module.register_method(Method::Members.name(), |parameters, state, _| {
         let known: u64 = parameters.one().unwrap_or_default();
-        let news = MemberNews::since(known, state.members());
-        serde_json::to_string(&news).map_err(|error| invalid_payload(&error.into()))
+        let update = MemberUpdate::since(known, state.members());
+        serde_json::to_string(&update).map_err(|error| invalid_payload(&error.into()))
     })?;
     module.register_method(Method::Cancel.name(), |parameters, state, _| {
         let dispatch: CompactString = parameters.one()?;
--- a/crates/gypsumglade/src/gateway/endpoint_sync.rs
+++ b/crates/gypsumglade/src/gateway/endpoint_sync.rs
@@ -79,7 +79,7 @@
                 None
             }
             Err(_) => {
-                leader.lost(vm, Instant::now());
+                leader.mark_unresponsive(vm, Instant::now());
                 None
             }
         }
--- a/crates/gypsumglade/src/gateway/serve.rs
+++ b/crates/gypsumglade/src/gateway/serve.rs
@@ -30,7 +30,7 @@
 use super::{endpoint_sync, ingress};
 use crate::clock::Clock;
 use crate::directory::Directory;
-use crate::discovery::{Discovery, Process, fresh_identity};
+use crate::discovery::{Discovery, Process, random_identity};
 use crate::entry::config::{self, ConfigView, Renewal, operator_keys};
 use crate::entry::listener_options;
 use crate::listener::Listener;
@@ -140,7 +140,7 @@
     log: slog::Logger,
 ) -> anyhow::Result<(GatewayState, Option<Arc<Discovery>>)> {
     let clock = Clock::start();
-    let vm = fresh_identity();
+    let vm = random_identity();
     let directory = Arc::new(Directory::new(&settings));
     let peers = PeerClients::new(settings.tokens.peers.clone(), tls::peers(&settings.tls)?);
     let keys = operator_keys(&settings.operators);
--- a/crates/gypsumglade/src/gateway/text_client.rs
+++ b/crates/gypsumglade/src/gateway/text_client.rs
@@ -228,7 +228,7 @@
     /// Returns the stores that discovery has recently seen or, without discovery, those in the settings.
     fn known_stores(&self) -> Vec<StoreInfo> {
         if let Some(discovery) = &self.discovery {
-            return discovery.stores_heard(STALE_AFTER);
+            return discovery.recent_stores(STALE_AFTER);
         }
         let stores = self.directory.stores().into_keys().map(|vm| StoreInfo {
             vm,
--- a/crates/gypsumglade/src/leader_client.rs
+++ b/crates/gypsumglade/src/leader_client.rs
@@ -1,7 +1,7 @@
 //! Asks the leader of a group that every store has a replica of, across redirects and losses.
 
 use std::sync::{Arc, Mutex, MutexGuard};
-use std::time::Instant as Now;
+use std::time::Instant as StdInstant;
 
 use gypsumglade_core::prelude::*;
 use prost::Message;
@@ -13,22 +13,22 @@
 
 /// How long a client goes on asking.
 #[derive(Clone, Copy, Debug)]
-pub struct Patience {
+pub struct RetryLimits {
     /// Longest wait for one store's answer.
-    pub call: Duration,
+    pub per_call: Duration,
     /// Time after which no further store is asked.
-    pub whole: Duration,
+    pub total: Duration,
     /// Pause before another store is asked, so that an election isn't waited out in a spin.
     pub pause: Duration,
 }
 
 /// What a store's reply says of who leads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum ReplyKind {
     /// The store leads, and this is its answer.
-    Leads,
+    Answer,
     /// Another one does, if the store knows which.
-    Redirects(VmId),
+    Redirect(VmId),
     /// It can't be told whether the question took effect.
     Uncertain,
 }
@@ -54,49 +54,49 @@
     pub async fn ask<Q, A>(
         &self,
         question: &Q,
-        patience: Patience,
-        verdict: impl Fn(&A) -> Verdict,
+        limits: RetryLimits,
+        classify: impl Fn(&A) -> ReplyKind,
     ) -> Option<A>
     where
         Q: Message,
         A: Message + Default,
     {
-        let until = Instant::now() + patience.whole;
+        let deadline = Instant::now() + limits.total;
         loop {
-            let left = until.saturating_duration_since(Instant::now());
-            let answer = self.ask_one(question, left.min(patience.call), &verdict).await;
+            let left = deadline.saturating_duration_since(Instant::now());
+            let answer = self.ask_once(question, left.min(limits.per_call), &classify).await;
             if answer.is_some() {
                 return answer;
             }
-            if Instant::now() + patience.pause >= until {
+            if Instant::now() + limits.pause >= deadline {
                 return None;
             }
-            tokio::time::sleep(patience.pause).await;
+            tokio::time::sleep(limits.pause).await;
         }
     }
 
     /// Asks the store that is believed to lead, and notes what its reply says of the leader.
-    async fn ask_one<Q, A>(
+    async fn ask_once<Q, A>(
         &self,
         question: &Q,
         timeout: Duration,
-        verdict: impl Fn(&A) -> Verdict,
+        classify: impl Fn(&A) -> ReplyKind,
     ) -> Option<A>
     where
         Q: Message,
         A: Message + Default,
     {
-        let (vm, address) = self.leader().target(&self.directory, Now::now())?;
+        let (vm, address) = self.leader().target(&self.directory, StdInstant::now())?;
         let reply = self.peers.ask::<Q, A>(address, self.method, question, timeout).await.ok();
         let mut leader = self.leader();
-        match reply.as_ref().map(verdict) {
-            Some(Verdict::Leads) => {
+        match reply.as_ref().map(classify) {
+            Some(ReplyKind::Answer) => {
                 leader.confirm(vm);
                 return reply;
             }
-            Some(Verdict::Redirects(other)) => leader.redirect(Some(vm), Some(other)),
-            Some(Verdict::Uncertain) => leader.forget(),
-            None => leader.lost(vm, Now::now()),
+            Some(ReplyKind::Redirect(other)) => leader.redirect(Some(vm), Some(other)),
+            Some(ReplyKind::Uncertain) => leader.clear(),
+            None => leader.mark_unresponsive(vm, StdInstant::now()),
         }
         None
     }
--- a/crates/gypsumglade/src/members.rs
+++ b/crates/gypsumglade/src/members.rs
@@ -15,21 +15,21 @@
 pub struct EntryDigest {
     /// Drawn anew by each life of the process: a change means that the VM restarted, and that
     /// whatever the earlier life held is held by nobody.
-    pub life: u32,
+    pub boot_id: u32,
     /// Its listener for calls between VMs.
     pub peers: SocketAddr,
 }
 
 /// Bytes of a digest with a version 4 address.
-const SHORT_DIGEST: usize = 10;
+const IPV4_DIGEST_BYTES: usize = 10;
 /// Bytes of a digest with a version 6 address.
-const LONG_DIGEST: usize = 22;
+const IPV6_DIGEST_BYTES: usize = 22;
 
 impl EntryDigest {
     /// Returns the digest's bytes.
     pub fn to_bytes(self) -> Bytes {
-        let mut bytes = BytesMut::with_capacity(LONG_DIGEST);
-        bytes.put_u32(self.life);
+        let mut bytes = BytesMut::with_capacity(IPV6_DIGEST_BYTES);
+        bytes.put_u32(self.boot_id);
         bytes.put_u16(self.peers.port());
         match self.peers.ip() {
             IpAddr::V4(ip) => bytes.put_slice(&ip.octets()),
@@ -41,16 +41,16 @@
     /// Reads a digest back; `None` for bytes of another form.
     pub fn from_bytes(mut bytes: &[u8]) -> Option<EntryDigest> {
         let length = bytes.len();
-        if length != SHORT_DIGEST && length != LONG_DIGEST {
+        if length != IPV4_DIGEST_BYTES && length != IPV6_DIGEST_BYTES {
             return None;
         }
-        let life = bytes.get_u32();
+        let boot_id = bytes.get_u32();
         let port = bytes.get_u16();
         let ip = match length {
-            SHORT_DIGEST => IpAddr::V4(Ipv4Addr::from_bits(bytes.get_u32())),
+            IPV4_DIGEST_BYTES => IpAddr::V4(Ipv4Addr::from_bits(bytes.get_u32())),
             _ => IpAddr::V6(Ipv6Addr::from_bits(bytes.get_u128())),
         };
-        Some(EntryDigest { life, peers: SocketAddr::new(ip, port) })
+        Some(EntryDigest { boot_id, peers: SocketAddr::new(ip, port) })
     }
 }
 
@@ -77,7 +77,7 @@
             vm: member.vm,
             region: member.region,
             up: member.is_up(),
-            life: digest.life,
+            life: digest.boot_id,
             peers: digest.peers,
         })
     }
@@ -91,19 +91,19 @@
 /// The members, told only to an asker that does not know them: at 390 VMs the list is 36 KB, and
 /// it seldom changes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct MemberNews {
+pub struct MemberUpdate {
     /// Digest of the list.
     pub digest: u64,
     /// The list, absent if the asker named its digest.
     pub members: Option<Vec<EntryMember>>,
 }
 
-impl MemberNews {
+impl MemberUpdate {
     /// Returns what an asker has to learn that knows the list of digest `known`.
-    pub fn since(known: u64, members: Vec<EntryMember>) -> MemberNews {
+    pub fn since(known: u64, members: Vec<EntryMember>) -> MemberUpdate {
         let text = serde_json::to_vec(&members).unwrap_or_default();
         let digest = xxh3_64(&text);
-        MemberNews { digest, members: (digest != known).then_some(members) }
+        MemberUpdate { digest, members: (digest != known).then_some(members) }
     }
 }
 
--- a/crates/gypsumglade/src/store/context.rs
+++ b/crates/gypsumglade/src/store/context.rs
@@ -46,7 +46,7 @@
     /// Entry VMs that are down by now, for a replica that begins to lead.
     pub(super) dead: Mutex<BTreeSet<VmId>>,
     /// Groups of which a snapshot is on its way to the disk.
-    pub(super) writing: Mutex<BTreeSet<GroupId>>,
+    pub(super) snapshotting: Mutex<BTreeSet<GroupId>>,
 }
 
 /// What became of an order to free an engine's memory.
@@ -108,10 +108,10 @@
     }
 
     /// Tells every group of every store what is known of a request that crashes endpoints.
-    pub fn spread_score(self: &Arc<Self>, score: Score) {
+    pub fn broadcast_score(self: &Arc<Self>, score: Score) {
         let context = Arc::clone(self);
         tokio::spawn(async move {
-            context.take_score(score.clone()).await;
+            context.record_score(score.clone()).await;
             for (vm, address) in context.directory.stores() {
                 if vm == context.vm {
                     continue;
@@ -127,7 +127,7 @@
     }
 
     /// Feeds a score to this store's groups; each leader makes it durable in its own.
-    pub async fn take_score(&self, score: Score) {
+    pub async fn record_score(&self, score: Score) {
         self.feed_all(|| GroupInput::Scores(vec![score.clone()])).await;
     }
 
@@ -151,7 +151,7 @@
     /// Notes that a group takes a snapshot, and tells whether it should. While one is on its way to the
     /// disk, a second would only take memory.
     pub(super) fn begin_snapshot(&self, group: GroupId) -> bool {
-        self.writing.lock().expect("no panic while held").insert(group)
+        self.snapshotting.lock().expect("no panic while held").insert(group)
     }
 
     /// Has a snapshot written that [`StoreContext::begin_snapshot`] allowed, and doesn't wait for it:
@@ -160,7 +160,7 @@
         let context = Arc::clone(self);
         tokio::spawn(async move {
             context.host.snapshot(group, index, data).await;
-            context.writing.lock().expect("no panic while held").remove(&group);
+            context.snapshotting.lock().expect("no panic while held").remove(&group);
         });
     }
 
--- a/crates/gypsumglade/src/store/control_group.rs
+++ b/crates/gypsumglade/src/store/control_group.rs
@@ -24,11 +24,11 @@
 use prost::Message as _;
 use tokio::sync::{mpsc, watch};
 
-use super::answers::Answers;
 use super::context::StoreContext;
+use super::pending_answers::PendingAnswers;
 use super::program_group::GroupInput;
 use crate::replica::{Event, ProposeError};
-use endpoints::Heard;
+use endpoints::LastAnnounced;
 
 /// The control group's state on one store, and its leases while it leads.
 pub struct ControlGroup {
@@ -37,29 +37,29 @@
     lease: LeaseSettings,
     state: Mutex<ControlState>,
     /// Number of the last change to the endpoints.
-    changes: watch::Sender<u64>,
+    endpoint_changes: watch::Sender<u64>,
     /// Number of the revision that this store has applied.
-    revisions: watch::Sender<u64>,
+    applied_revision: watch::Sender<u64>,
 }
 
 struct ControlState {
     control: Control,
-    answers: Answers<Answer>,
+    answers: PendingAnswers<Answer>,
     role: Role,
-    heard: Heard,
+    last_announced: LastAnnounced,
     /// Renewals of the order lease, from this leader's first asker on.
-    orders: Option<OrderGrants>,
+    order_grants: Option<OrderGrants>,
 }
 
 /// Longest wait of a reader for a follower to apply what the leader has committed: several
 /// heartbeats.
-const APPLY_WAIT: Duration = Duration::from_millis(600);
+const APPLY_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Longest wait of an order's answer for the VMs to have its revision: a renewal's interval, and some
 /// time for the answer to get there. Operators count answers from a second on.
-const SPREAD_WAIT: Duration = Duration::from_millis(500);
+const IN_FORCE_TIMEOUT: Duration = Duration::from_millis(500);
 /// Pause between two looks at which VMs have it.
-const SPREAD_PAUSE: Duration = Duration::from_millis(20);
+const IN_FORCE_POLL: Duration = Duration::from_millis(20);
 
 enum Role {
     Leader { term: Term, grants: Box<ConfigGrants> },
@@ -75,25 +75,25 @@
     ) -> Arc<ControlGroup> {
         let state = ControlState {
             control: Control::new(),
-            answers: Answers::default(),
+            answers: PendingAnswers::default(),
             role: Role::Follower(None),
-            heard: Heard::default(),
-            orders: None,
+            last_announced: LastAnnounced::default(),
+            order_grants: None,
         };
-        let (changes, revisions) = (watch::Sender::new(0), watch::Sender::new(0));
+        let (endpoint_changes, applied_revision) = (watch::Sender::new(0), watch::Sender::new(0));
         let state = Mutex::new(state);
-        Arc::new(ControlGroup { context, keys, lease, state, changes, revisions })
+        Arc::new(ControlGroup { context, keys, lease, state, endpoint_changes, applied_revision })
     }
 
     /// Applies the log's news until the process ends.
     pub async fn run(self: Arc<Self>, mut events: mpsc::Receiver<Event>) {
         while let Some(event) = events.recv().await {
             match event {
-                Event::Leader { term, .. } => self.lead(term),
+                Event::Leader { term, .. } => self.become_leader(term),
                 Event::Follower { leader, .. } => self.state().role = Role::Follower(leader),
-                Event::Committed { index, data, .. } => self.committed(index, &data).await,
+                Event::Committed { index, data, .. } => self.apply_committed(index, &data).await,
                 Event::Restore { index, data, .. } => self.restore(index, &data).await,
-                Event::NeedSnapshot { .. } => self.snapshot(),
+                Event::NeedSnapshot { .. } => self.take_snapshot(),
                 Event::Failed { .. } => {}
             }
         }
@@ -103,9 +103,9 @@
     pub async fn ask(&self, request: ControlRequest) -> ControlReply {
         let body = match request.body {
             Some(RequestBody::Command(command)) => match command.body {
-                Some(CommandBody::TakeOrders(take)) => self.take_orders(take).await,
+                Some(CommandBody::TakeOrders(take)) => self.take_order_lease(take).await,
                 Some(CommandBody::Register(register)) => self.register(register).await,
-                Some(CommandBody::Deregister(gone)) => self.deregister(gone).await,
+                Some(CommandBody::Deregister(deregister)) => self.deregister(deregister).await,
                 _ => self.command(command).await,
             },
             Some(RequestBody::Status(query)) => self.status(&query).await,
@@ -121,7 +121,7 @@
     /// it back, would otherwise grant next to another leader, and a bundle could be called in
     /// force while a VM still acts on the one before.
     pub async fn renew(&self, request: &ConfirmRequest) -> ConfirmReply {
-        let (reply, term) = self.renewal(request);
+        let (reply, term) = self.work_out_renewal(request);
         let grants = matches!(reply.body, Some(ConfirmBody::Grant(_)));
         if grants && self.context.host.lease_term(GroupId::CONTROL).await != term {
             return unavailable(request, None);
@@ -146,7 +146,7 @@
     }
 
     /// Works an answer out, with the term that it holds in.
-    fn renewal(&self, request: &ConfirmRequest) -> (ConfirmReply, Option<Term>) {
+    fn work_out_renewal(&self, request: &ConfirmRequest) -> (ConfirmReply, Option<Term>) {
         let now = self.context.clock.now();
         let mut state = self.state();
         let ControlState { control, role, .. } = &mut *state;
@@ -155,19 +155,19 @@
                 let length = self.lease.length();
                 (serve(control.history(), grants, length, request, now), Some(*term))
             }
-            Role::Follower(leader) => (told(control, request, *leader), None),
+            Role::Follower(leader) => (follower_reply(control, request, *leader), None),
         }
     }
 
     async fn command(&self, command: Command) -> ReplyBody {
-        if let Some(body) = self.refusal(&command) {
+        if let Some(body) = self.reject_early(&command) {
             return body;
         }
         let data = Bytes::from(command.encode_to_vec());
         match self.context.host.propose(GroupId::CONTROL, data).await {
             Ok(index) => match self.answer_at(index).await {
                 Some(answer) => {
-                    self.spread(&answer).await;
+                    self.await_in_force(&answer).await;
                     ReplyBody::Answer(answer)
                 }
                 None => ReplyBody::Uncertain(Uncertain {}),
@@ -182,17 +182,17 @@
     /// Once an order is acknowledged, its revision must be in force within seconds. If this store died
     /// right after that, VMs would have to wait for another leader, and followers may not even know
     /// that the revision is committed.
-    async fn spread(&self, answer: &Answer) {
+    async fn await_in_force(&self, answer: &Answer) {
         let Some(AnswerBody::Accepted(accepted)) = &answer.body else { return };
         let revision = RevisionNumber(accepted.revision);
-        let until = self.context.clock.now() + SPREAD_WAIT;
-        while self.is_awaited(revision) && self.context.clock.now() < until {
-            tokio::time::sleep(SPREAD_PAUSE).await;
+        let deadline = self.context.clock.now() + IN_FORCE_TIMEOUT;
+        while self.is_pending(revision) && self.context.clock.now() < deadline {
+            tokio::time::sleep(IN_FORCE_POLL).await;
         }
     }
 
     /// Tells whether a VM with a lease of this leader may still act on an older revision.
-    fn is_awaited(&self, revision: RevisionNumber) -> bool {
+    fn is_pending(&self, revision: RevisionNumber) -> bool {
         let now = self.context.clock.now();
         match &self.state().role {
             Role::Leader { grants, .. } => match grants.in_force(revision, now) {
@@ -204,7 +204,7 @@
     }
 
     /// Answers at once what need not, or must not, go into the log.
-    fn refusal(&self, command: &Command) -> Option<ReplyBody> {
+    fn reject_early(&self, command: &Command) -> Option<ReplyBody> {
         let state = self.state();
         if let Role::Follower(leader) = state.role {
             return Some(not_leader(leader));
@@ -244,34 +244,34 @@
         })
     }
 
-    fn lead(&self, term: Term) {
+    fn become_leader(&self, term: Term) {
         slog::info!(self.context.log, "leads the control group"; "term" => term.0);
         let now = self.context.clock.now();
         let grants = ConfigGrants::for_leader(self.lease, now);
         let mut state = self.state();
         state.role = Role::Leader { term, grants: Box::new(grants) };
-        state.orders = None;
-        state.heard = Heard::default();
+        state.order_grants = None;
+        state.last_announced = LastAnnounced::default();
     }
 
-    async fn committed(&self, index: LogIndex, data: &Bytes) {
+    async fn apply_committed(&self, index: LogIndex, data: &Bytes) {
         let changed = {
             let mut state = self.state();
             let before = state.control.history().number();
             if data.is_empty() {
-                state.answers.note(index, None);
+                state.answers.record(index, None);
                 false
             } else {
                 // Every entry was encoded by a leader of this group.
                 let command = Command::decode(data.clone()).unwrap_or_default();
                 let answer = state.control.apply(&command);
-                state.answers.note(index, Some(&answer));
-                self.tell_followers(&state);
+                state.answers.record(index, Some(&answer));
+                self.notify_watchers(&state);
                 state.control.history().number() != before
             }
         };
         if changed {
-            self.tell_groups().await;
+            self.notify_groups().await;
         }
     }
 
@@ -287,12 +287,12 @@
                 }
             }
             state.answers.restored(index);
-            self.tell_followers(&state);
+            self.notify_watchers(&state);
         }
-        self.tell_groups().await;
+        self.notify_groups().await;
     }
 
-    fn snapshot(&self) {
+    fn take_snapshot(&self) {
         if !self.context.begin_snapshot(GroupId::CONTROL) {
             return;
         }
@@ -304,7 +304,7 @@
     }
 
     /// Tells the program groups of the revision, so that no grant is given under an older one.
-    async fn tell_groups(&self) {
+    async fn notify_groups(&self) {
         let found = self.state().control.current().cloned();
         let Some(revision) = found else { return };
         let bundle = Bundle::parse(&revision.content);
@@ -315,17 +315,17 @@
     }
 
     /// Wakes whoever waits for a change of the endpoints or a revision.
-    fn tell_followers(&self, state: &ControlState) {
-        self.changes.send_replace(state.control.endpoints().change());
-        self.revisions.send_replace(state.control.history().number().0);
+    fn notify_watchers(&self, state: &ControlState) {
+        self.endpoint_changes.send_replace(state.control.endpoints().change());
+        self.applied_revision.send_replace(state.control.history().number().0);
     }
 
     /// Returns the current revision once this store has applied `wanted`; `None` if it does not in
     /// time, and nothing in it before the first bundle.
     pub async fn await_revision(&self, wanted: RevisionNumber) -> Option<Option<Revision>> {
-        let mut revisions = self.revisions.subscribe();
-        let applied = revisions.wait_for(|applied| *applied >= wanted.0);
-        tokio::time::timeout(APPLY_WAIT, applied).await.ok()?.ok()?;
+        let mut applied_revision = self.applied_revision.subscribe();
+        let applied = applied_revision.wait_for(|applied| *applied >= wanted.0);
+        tokio::time::timeout(APPLY_TIMEOUT, applied).await.ok()?.ok()?;
         Some(self.state().control.current().cloned())
     }
 
@@ -367,7 +367,11 @@
 /// What a follower has applied is committed, so a newer revision may be told by anyone; only a lease
 /// needs the leader. While there is none, VMs would otherwise act on an older revision for as long as
 /// their leases last, next to stores that know better.
-fn told(control: &Control, request: &ConfirmRequest, leader: Option<VmId>) -> ConfirmReply {
+fn follower_reply(
+    control: &Control,
+    request: &ConfirmRequest,
+    leader: Option<VmId>,
+) -> ConfirmReply {
     match control.history().update(RevisionNumber(request.applied)) {
         Some(update) => ConfirmReply { ask: request.ask, body: Some(ConfirmBody::Update(update)) },
         None => unavailable(request, leader),
--- a/crates/gypsumglade/src/store/control_group/endpoints.rs
+++ b/crates/gypsumglade/src/store/control_group/endpoints.rs
@@ -17,16 +17,16 @@
 /// Longest time that a question for news may wait.
 const MAX_WAIT: Duration = Duration::from_secs(5);
 /// Pause between two looks for endpoints that fell silent.
-const LAPSE_PAUSE: Duration = Duration::from_millis(500);
+const EXPIRY_INTERVAL: Duration = Duration::from_millis(500);
 /// Time between two looks past which the process counts as paused.
-const LONGEST_LOOK: Duration = Duration::from_millis(1_500);
+const PAUSE_THRESHOLD: Duration = Duration::from_millis(1_500);
 
 /// When endpoints were last heard, in the memory of the leader.
 #[derive(Debug, Default)]
-pub(super) struct Heard(HashMap<CompactString, Time>);
+pub(super) struct LastAnnounced(HashMap<CompactString, Time>);
 
-impl Heard {
-    fn note(&mut self, name: &str, now: Time) {
+impl LastAnnounced {
+    fn record(&mut self, name: &str, now: Time) {
         match self.0.get_mut(name) {
             Some(at) => *at = now,
             None => drop(self.0.insert(name.into(), now)),
@@ -36,7 +36,7 @@
     /// Tells whether an endpoint has been silent for `lease`. One that this leader never heard is
     /// silent from the first time that it is asked about: a new leader must not drop endpoints
     /// that announced themselves to the one before.
-    fn is_silent(&mut self, name: &str, now: Time, lease: Duration) -> bool {
+    fn is_expired(&mut self, name: &str, now: Time, lease: Duration) -> bool {
         let at = *self.0.entry(name.into()).or_insert(now);
         now.since(at) > lease
     }
@@ -51,16 +51,16 @@
     pub(super) async fn register(&self, register: Register) -> ReplyBody {
         let Some(record) = &register.endpoint else { return not_leader(None) };
         let now = self.context.clock.now();
-        let (news, term) = {
+        let (update, term) = {
             let mut state = self.state();
             let term = match &state.role {
                 Role::Follower(leader) => return not_leader(*leader),
                 Role::Leader { term, .. } => *term,
             };
-            state.heard.note(&record.name, now);
+            state.last_announced.record(&record.name, now);
             (state.control.endpoints().is_update(record), term)
         };
-        if news {
+        if update {
             slog::info!(self.context.log, "endpoint announced"; "endpoint" => &record.name,
                 "address" => &record.address, "pool" => &record.pool,
                 "incarnation" => record.incarnation, "leaving" => record.leaving);
@@ -89,69 +89,70 @@
     ///
     /// Only a leader with its lease answers: a store that was cut off would tell an entry VM that
     /// reaches it that nothing changed, while endpoints drain and are replaced.
-    pub async fn follow(&self, query: &EndpointQuery) -> EndpointNews {
+    pub async fn watch_endpoints(&self, query: &EndpointQuery) -> EndpointNews {
         let wait = Duration::from_millis(query.wait_ms).min(MAX_WAIT);
-        let until = Instant::now() + wait;
-        let mut changes = self.changes.subscribe();
+        let deadline = Instant::now() + wait;
+        let mut changes = self.endpoint_changes.subscribe();
         loop {
             let seen = *changes.borrow_and_update();
             if seen != query.seen {
                 break;
             }
-            if tokio::time::timeout_at(until, changes.changed()).await.is_err() {
+            if tokio::time::timeout_at(deadline, changes.changed()).await.is_err() {
                 break;
             }
         }
-        let (news, term) = {
+        let (update, term) = {
             let state = self.state();
             match &state.role {
-                Role::Follower(leader) => return no_news(*leader),
+                Role::Follower(leader) => return no_update(*leader),
                 Role::Leader { term, .. } => {
                     (state.control.endpoints().changes_since(query.seen), *term)
                 }
             }
         };
         if self.context.host.lease_term(GroupId::CONTROL).await != Some(term) {
-            return no_news(None);
+            return no_update(None);
         }
-        news
+        update
     }
 
     /// Removes endpoints that fell silent, for as long as this store leads.
-    pub async fn lapse_endpoints(self: Arc<Self>, lease: Duration, halt: CancellationToken) {
-        let mut looked = self.context.clock.now();
+    pub async fn expire_endpoints(self: Arc<Self>, lease: Duration, halt: CancellationToken) {
+        let mut last_check = self.context.clock.now();
         while !halt.is_cancelled() {
             let now = self.context.clock.now();
-            if now.since(looked) > LONGEST_LOOK {
+            if now.since(last_check) > PAUSE_THRESHOLD {
                 // The process was paused. Endpoints were silent only because nobody listened, and
                 // dropping them all would leave callers without any.
-                self.state().heard = Heard::default();
+                self.state().last_announced = LastAnnounced::default();
             }
-            looked = now;
-            for gone in self.silent_endpoints(lease) {
+            last_check = now;
+            for deregister in self.expired_endpoints(lease) {
                 slog::warn!(self.context.log, "endpoint fell silent and is removed";
-                    "endpoint" => &gone.name, "incarnation" => gone.incarnation);
-                let command = Command { body: Some(CommandBody::Deregister(gone)) };
+                    "endpoint" => &deregister.name, "incarnation" => deregister.incarnation);
+                let command = Command { body: Some(CommandBody::Deregister(deregister)) };
                 // A leader that is deposed meanwhile leaves it to the next one.
                 self.command(command).await;
             }
             tokio::select! {
                 () = halt.cancelled() => {}
-                () = tokio::time::sleep(LAPSE_PAUSE) => {}
+                () = tokio::time::sleep(EXPIRY_INTERVAL) => {}
             }
         }
     }
 
-    fn silent_endpoints(&self, lease: Duration) -> Vec<Deregister> {
+    fn expired_endpoints(&self, lease: Duration) -> Vec<Deregister> {
         let now = self.context.clock.now();
         let mut state = self.state();
-        let super::ControlState { control, heard, role, .. } = &mut *state;
+        let super::ControlState { control, last_announced, role, .. } = &mut *state;
         if matches!(role, Role::Follower(_)) {
             return Vec::new();
         }
         let endpoints = control.endpoints().iter();
-        let silent = endpoints.filter(|record| heard.is_silent(&record.name, now, lease));
-        let gone = silent.map(|record| Deregister {
+        let expired =
+            endpoints.filter(|record| last_announced.is_expired(&record.name, now, lease));
+        let gone = expired.map(|record| Deregister {
             name: record.name.clone(),
             incarnation: record.incarnation,
         });
@@ -159,7 +160,7 @@
     }
 }
 
-fn no_news(leader: Option<VmId>) -> EndpointNews {
+fn no_update(leader: Option<VmId>) -> EndpointNews {
     EndpointNews {
         unavailable: true,
         leader: leader.unwrap_or_default().0,
--- a/crates/gypsumglade/src/store/control_group/order_lease.rs
+++ b/crates/gypsumglade/src/store/control_group/order_lease.rs
@@ -11,7 +11,7 @@
 use super::{ControlGroup, Role, not_leader};
 
 /// What the leader may do about an asker.
-enum Asked {
+enum LeaseDecision {
     /// Renewed, if leadership is confirmed afterwards.
     Renewed,
     /// The log may give it the lease.
@@ -19,7 +19,7 @@
     /// Another VM holds it.
     Held(OrderLease),
     /// This store does not lead.
-    Follower(Option<VmId>),
+    NotLeader(Option<VmId>),
 }
 
 impl ControlGroup {
@@ -28,26 +28,26 @@
     /// An answer that names the asker is a renewal from the moment it asked. It leaves only once
     /// the leader was confirmed after the renewal, and has applied all that was committed until
     /// then: a paused leader would otherwise renew a lease that its successor has given away.
-    pub(super) async fn take_orders(&self, take: TakeOrderLease) -> ReplyBody {
+    pub(super) async fn take_order_lease(&self, take: TakeOrderLease) -> ReplyBody {
         // A new leader that has not applied the log yet would take a held lease for a free one.
-        let first = self.state().control.order_lease().is_none();
-        if first && !self.caught_up().await {
+        let unheld = self.state().control.order_lease().is_none();
+        if unheld && !self.is_caught_up().await {
             return uncertain();
         }
-        if let Some(reply) = self.give_orders(&take).await {
+        if let Some(reply) = self.grant_if_free(&take).await {
             return reply;
         }
-        match self.ask_orders(&take) {
-            Asked::Renewed => self.confirm_orders(&take).await,
-            Asked::Held(held) => answer(held),
-            Asked::Free => uncertain(),
-            Asked::Follower(leader) => not_leader(leader),
+        match self.try_renew(&take) {
+            LeaseDecision::Renewed => self.confirm_renewal(&take).await,
+            LeaseDecision::Held(held) => answer(held),
+            LeaseDecision::Free => uncertain(),
+            LeaseDecision::NotLeader(leader) => not_leader(leader),
         }
     }
 
     /// Has the log give a free lease to the asker; answers only if that came to nothing.
-    async fn give_orders(&self, take: &TakeOrderLease) -> Option<ReplyBody> {
-        let Asked::Free = self.ask_orders(take) else { return None };
+    async fn grant_if_free(&self, take: &TakeOrderLease) -> Option<ReplyBody> {
+        let LeaseDecision::Free = self.try_renew(take) else { return None };
         let command = Command { body: Some(CommandBody::TakeOrders(*take)) };
         match self.command(command).await {
             ReplyBody::Answer(_) => None,
@@ -55,35 +55,36 @@
         }
     }
 
-    fn ask_orders(&self, take: &TakeOrderLease) -> Asked {
+    fn try_renew(&self, take: &TakeOrderLease) -> LeaseDecision {
         let now = self.context.clock.now();
         let mut state = self.state();
         if let Role::Follower(leader) = state.role {
-            return Asked::Follower(leader);
+            return LeaseDecision::NotLeader(leader);
         }
         let held = state.control.order_lease().copied();
         let settings = self.order_settings();
-        let grants = state.orders.get_or_insert_with(|| OrderGrants::for_leader(settings, now));
+        let grants =
+            state.order_grants.get_or_insert_with(|| OrderGrants::for_leader(settings, now));
         if held.is_some_and(|held| grants.renew(&held, take, now).is_some()) {
-            return Asked::Renewed;
+            return LeaseDecision::Renewed;
         }
         if let Some(held) = held.filter(|held| !grants.may_take(Some(held), take, now)) {
-            return Asked::Held(held);
+            return LeaseDecision::Held(held);
         }
         // Two askers could otherwise both be let into the log, and the first renewed before the
         // second's entry is applied: two holders at once. Until this one's entry is surely
         // applied, the leader waits as one that knows nothing of earlier grants.
         *grants = OrderGrants::for_leader(settings, now);
-        Asked::Free
+        LeaseDecision::Free
     }
 
-    async fn caught_up(&self) -> bool {
+    async fn is_caught_up(&self) -> bool {
         let barrier = self.context.host.read_barrier(GroupId::CONTROL).await;
         barrier.is_ok_and(|barrier| self.state().answers.applied() >= barrier)
     }
 
-    async fn confirm_orders(&self, take: &TakeOrderLease) -> ReplyBody {
-        if !self.caught_up().await {
+    async fn confirm_renewal(&self, take: &TakeOrderLease) -> ReplyBody {
+        if !self.is_caught_up().await {
             return uncertain();
         }
         let state = self.state();
--- a/crates/gypsumglade/src/store/follower_watch.rs
+++ b/crates/gypsumglade/src/store/follower_watch.rs
@@ -12,27 +12,27 @@
 use crate::replica::HostStatus;
 
 /// Pause between two looks.
-const PAUSE: Duration = Duration::from_millis(500);
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// Least time between two lines on one member, so that one that comes and goes can't fill the log.
-const LINE_PAUSE: Duration = Duration::from_secs(2);
+const MIN_LOG_INTERVAL: Duration = Duration::from_secs(2);
 /// Silence from which a member counts as silent: an election's patience and then some.
-const SILENT: Duration = Duration::from_millis(1_500);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Bytes that a member lacks from which it counts as behind: more than a leader lets be under way.
 const BEHIND_BYTES: u64 = 512 * 1024;
 /// Entries that a member lacks from which it counts as behind: a second or two of a busy group.
 const BEHIND_ENTRIES: u64 = 500;
 /// Part of these bounds under which it counts as caught up again.
-const CAUGHT_UP_PART: u64 = 8;
+const CAUGHT_UP_DIVISOR: u64 = 8;
 
 /// How one member follows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Following {
+pub enum FollowerState {
     /// It has all but what is under way.
-    Near,
+    CaughtUp,
     /// It lacks much of the log, or is sent a snapshot.
     Behind,
     /// It doesn't answer.
-    Silent,
+    Unresponsive,
 }
 
 /// A change in how one member follows.
@@ -41,28 +41,28 @@
     /// The group.
     pub group: GroupId,
     /// How the member followed before.
-    pub before: Following,
+    pub before: FollowerState,
     /// How it follows now.
-    pub now: Following,
+    pub now: FollowerState,
     /// What it lacks.
     pub lag: Lag,
 }
 
 /// How each member of the led groups followed at the last look.
 #[derive(Debug, Default)]
-pub struct Watch {
-    members: BTreeMap<(GroupId, VmId), Seen>,
+pub struct FollowerWatch {
+    members: BTreeMap<(GroupId, VmId), Reported>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Seen {
-    following: Following,
-    told: Time,
+struct Reported {
+    state: FollowerState,
+    at: Time,
 }
 
-impl Watch {
+impl FollowerWatch {
     /// Returns what has changed since the last look.
-    pub fn look(&mut self, status: &HostStatus, now: Time) -> Vec<Change> {
+    pub fn update(&mut self, status: &HostStatus, now: Time) -> Vec<Change> {
         let led = status.groups.iter().filter(|group| group.role == Role::Leader);
         let lags: Vec<_> =
             led.flat_map(|led| led.followers.iter().map(|lag| (led.group, lag))).collect();
@@ -71,56 +71,51 @@
         self.members.retain(|key, _| listed(key));
         let mut changes = Vec::new();
         for (group, lag) in lags {
-            let start = Seen { following: Following::Near, told: Time::ZERO };
-            let seen = self.members.entry((group, lag.vm)).or_insert(start);
-            let following = following(lag, seen.following);
-            let paused = seen.told != Time::ZERO && now < seen.told + LINE_PAUSE;
-            if following == seen.following || paused {
+            let start = Reported { state: FollowerState::CaughtUp, at: Time::ZERO };
+            let reported = self.members.entry((group, lag.vm)).or_insert(start);
+            let state = classify(lag, reported.state);
+            let paused = reported.at != Time::ZERO && now < reported.at + MIN_LOG_INTERVAL;
+            if state == reported.state || paused {
                 continue;
             }
-            changes.push(Change {
-                group,
-                before: seen.following,
-                now: following,
-                lag: lag.clone(),
-            });
-            *seen = Seen { following, told: now };
+            changes.push(Change { group, before: reported.state, now: state, lag: lag.clone() });
+            *reported = Reported { state, at: now };
         }
         changes
     }
 }
 
-fn following(lag: &Lag, before: Following) -> Following {
-    let part = if before == Following::Behind { CAUGHT_UP_PART } else { 1 };
-    let far = lag.bytes > BEHIND_BYTES / part || lag.entries > BEHIND_ENTRIES / part;
-    match (lag.silent >= SILENT, far || lag.snapshot) {
-        (true, _) => Following::Silent,
-        (false, true) => Following::Behind,
-        (false, false) => Following::Near,
+fn classify(lag: &Lag, before: FollowerState) -> FollowerState {
+    let divisor = if before == FollowerState::Behind { CAUGHT_UP_DIVISOR } else { 1 };
+    let lagging = lag.bytes > BEHIND_BYTES / divisor || lag.entries > BEHIND_ENTRIES / divisor;
+    match (lag.silent >= SILENCE_TIMEOUT, lagging || lag.snapshot) {
+        (true, _) => FollowerState::Unresponsive,
+        (false, true) => FollowerState::Behind,
+        (false, false) => FollowerState::CaughtUp,
     }
 }
 
 /// Looks at the led groups' members until `halt`.
 pub(super) async fn watch(context: Arc<StoreContext>, halt: CancellationToken) {
-    let mut watch = Watch::default();
+    let mut watch = FollowerWatch::default();
     while !halt.is_cancelled() {
         let status = context.host.status().await;
-        for change in watch.look(&status, context.clock.now()) {
-            tell(&context.log, &change);
+        for change in watch.update(&status, context.clock.now()) {
+            log_change(&context.log, &change);
         }
         tokio::select! {
             () = halt.cancelled() => {}
-            () = tokio::time::sleep(PAUSE) => {}
+            () = tokio::time::sleep(CHECK_INTERVAL) => {}
         }
     }
 }
 
-fn tell(log: &slog::Logger, change: &Change) {
+fn log_change(log: &slog::Logger, change: &Change) {
     let message = match (change.before, change.now) {
-        (_, Following::Silent) => "a follower is silent",
-        (Following::Silent, _) => "a follower is heard again",
-        (_, Following::Behind) => "a follower has fallen behind",
-        (_, Following::Near) => "a follower has caught up",
+        (_, FollowerState::Unresponsive) => "a follower is silent",
+        (FollowerState::Unresponsive, _) => "a follower is heard again",
+        (_, FollowerState::Behind) => "a follower has fallen behind",
+        (_, FollowerState::CaughtUp) => "a follower has caught up",
     };
     let silent = u64::try_from(change.lag.silent.as_millis()).unwrap_or(u64::MAX);
     slog::info!(log, "{}", message; "group" => change.group.0,
--- a/crates/gypsumglade/src/store/gauges.rs
+++ b/crates/gypsumglade/src/store/gauges.rs
@@ -10,10 +10,10 @@
 
 /// Longest wait for the replicas' state; the page goes without it then, which shows that they are
 /// held up.
-const STATUS_WAIT: Duration = Duration::from_millis(500);
+const STATUS_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Gauges of one page.
-struct Page {
+struct Gauges {
     registry: Registry,
 }
 
@@ -21,12 +21,12 @@
 ///
 /// # Errors
 /// Fails when a metric cannot be written, which is a fault of the program.
-pub(crate) async fn page(state: &StoreState) -> anyhow::Result<String> {
-    let asked = tokio::time::timeout(STATUS_WAIT, state.context.host.status()).await;
-    let page = Page { registry: Registry::new() };
-    let bytes = page.gauge("store_held_bytes", "bytes in memory, by kind", &["kind"])?;
-    let counts = page.gauge("store_held_count", "things in memory, by kind", &["kind"])?;
-    let queues = page.gauge("store_peer_queue_bytes", "bytes that wait to be sent", &["peer"])?;
+pub(crate) async fn metrics_page(state: &StoreState) -> anyhow::Result<String> {
+    let status = tokio::time::timeout(STATUS_TIMEOUT, state.context.host.status()).await;
+    let gauges = Gauges { registry: Registry::new() };
+    let bytes = gauges.gauge("store_held_bytes", "bytes in memory, by kind", &["kind"])?;
+    let counts = gauges.gauge("store_held_count", "things in memory, by kind", &["kind"])?;
+    let queues = gauges.gauge("store_peer_queue_bytes", "bytes that wait to be sent", &["peer"])?;
     let mut queued = 0;
     for (peer, waiting) in state.context.queues.waiting() {
         queued += waiting;
@@ -37,25 +37,25 @@
     set(&counts, &["turns"], sizes.turns as f64);
     set(&counts, &["programs"], sizes.programs as f64);
     let responds =
-        page.gauge("store_replicas_respond", "1 if the replicas answered in time", &[])?;
-    set(&responds, &[], f64::from(u8::from(asked.is_ok())));
-    if let Ok(status) = asked {
-        page.held(&status.held, &bytes, &counts);
-        page.groups(&status)?;
+        gauges.gauge("store_replicas_respond", "1 if the replicas answered in time", &[])?;
+    set(&responds, &[], f64::from(u8::from(status.is_ok())));
+    if let Ok(status) = status {
+        gauges.set_memory(&status.held, &bytes, &counts);
+        gauges.set_groups(&status)?;
     }
     let mut text = Vec::new();
-    TextEncoder::new().encode(&page.registry.gather(), &mut text)?;
+    TextEncoder::new().encode(&gauges.registry.gather(), &mut text)?;
     Ok(String::from_utf8(text)?)
 }
 
-impl Page {
+impl Gauges {
     fn gauge(&self, name: &str, help: &str, labels: &[&str]) -> anyhow::Result<GaugeVec> {
         let gauge = GaugeVec::new(Opts::new(name, help), labels)?;
         self.registry.register(Box::new(gauge.clone()))?;
         Ok(gauge)
     }
 
-    fn held(&self, held: &Held, bytes: &GaugeVec, counts: &GaugeVec) {
+    fn set_memory(&self, held: &Held, bytes: &GaugeVec, counts: &GaugeVec) {
         set(bytes, &["log_cache"], held.cache as f64);
         set(bytes, &["snapshot_writing"], held.writing as f64);
         set(bytes, &["snapshot_sending"], held.sending as f64);
@@ -65,7 +65,7 @@
         set(counts, &["commands"], held.commands as f64);
     }
 
-    fn groups(&self, status: &HostStatus) -> anyhow::Result<()> {
+    fn set_groups(&self, status: &HostStatus) -> anyhow::Result<()> {
         let leads = self.gauge("replica_leads", "1 if this store leads one", &["group"])?;
         let log = self.gauge("replica_log_entries", "entries after the snapshot", &["group"])?;
         let backlog = self.gauge("replica_backlog_bytes", "bytes not committed", &["group"])?;
@@ -78,17 +78,17 @@
             // Program groups share a label: the worst of them counts.
             let name = [group_name(group.group)];
             let led = group.role == Role::Leader;
-            raise(&leads, &name, f64::from(u8::from(led)));
+            set_max(&leads, &name, f64::from(u8::from(led)));
             let length = group.last.index.0.saturating_sub(group.snapshot.index.0);
-            raise(&log, &name, length as f64);
-            raise(&backlog, &name, group.backlog as f64);
+            set_max(&log, &name, length as f64);
+            set_max(&backlog, &name, group.backlog as f64);
             for lag in &group.followers {
                 let follower = lag.vm.0.to_string();
                 let labels = [group_name(group.group), follower.as_str()];
-                raise(&entries, &labels, lag.entries as f64);
-                raise(&bytes, &labels, lag.bytes as f64);
-                raise(&silent, &labels, lag.silent.as_secs_f64());
-                raise(&snapshot, &labels, f64::from(u8::from(lag.snapshot)));
+                set_max(&entries, &labels, lag.entries as f64);
+                set_max(&bytes, &labels, lag.bytes as f64);
+                set_max(&silent, &labels, lag.silent.as_secs_f64());
+                set_max(&snapshot, &labels, f64::from(u8::from(lag.snapshot)));
             }
         }
         Ok(())
@@ -99,7 +99,7 @@
     gauge.with_label_values(labels).set(value);
 }
 
-fn raise(gauge: &GaugeVec, labels: &[&str], value: f64) {
+fn set_max(gauge: &GaugeVec, labels: &[&str], value: f64) {
     let found = gauge.with_label_values(labels);
     found.set(found.get().max(value));
 }
--- a/crates/gypsumglade/src/store/member_watch.rs
+++ b/crates/gypsumglade/src/store/member_watch.rs
@@ -9,22 +9,22 @@
 
 use super::context::StoreContext;
 use super::program_group::GroupInput;
-use crate::members::{EntryMember, MemberNews};
+use crate::members::{EntryMember, MemberUpdate};
 use crate::rpc::Method;
 
 /// Pause between two askings.
-const PAUSE: Duration = Duration::from_millis(500);
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 /// Longest wait for an entry's answer.
-const TIMEOUT: Duration = Duration::from_secs(1);
+const POLL_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time for which a VM must be seen down before its calls count as lost.
 ///
 /// A suspicion that is refuted in between costs nothing then; a call declared lost stays in doubt.
-const GRACE: Duration = Duration::from_secs(2);
+const GRACE_PERIOD: Duration = Duration::from_secs(2);
 
 /// Lives of the entry VMs as last told.
 #[derive(Default)]
-struct Watch {
-    lives: HashMap<VmId, u32>,
+struct MemberWatch {
+    boot_ids: HashMap<VmId, u32>,
     down: HashMap<VmId, Time>,
     members: Vec<EntryMember>,
     digest: u64,
@@ -32,49 +32,49 @@
 
 /// Asks until the process ends: the entry on the same VM first, then any other.
 pub async fn watch(context: Arc<StoreContext>, halt: CancellationToken) {
-    let mut watch = Watch::default();
-    let mut turn = 0;
+    let mut watch = MemberWatch::default();
+    let mut attempt = 0;
     while !halt.is_cancelled() {
-        match ask(&context, turn, watch.digest).await {
-            Some(news) => {
-                let members = watch.learn(news);
+        match ask(&context, attempt, watch.digest).await {
+            Some(update) => {
+                let members = watch.update(update);
                 for vm in watch.gone(&members, context.clock.now()) {
                     slog::warn!(context.log, "an entry VM is gone"; "gone" => vm.0);
-                    context.feed_all(|| GroupInput::Gone(vm)).await;
+                    context.feed_all(|| GroupInput::VmGone(vm)).await;
                 }
                 context.set_dead(watch.dead());
                 let up = members.iter().filter(|member| member.up);
                 context.directory.set_entries(up.map(EntryMember::address).collect());
             }
-            None => turn += 1,
+            None => attempt += 1,
         }
         tokio::select! {
             () = halt.cancelled() => {}
-            () = tokio::time::sleep(PAUSE) => {}
+            () = tokio::time::sleep(POLL_INTERVAL) => {}
         }
     }
 }
 
-async fn ask(context: &StoreContext, turn: usize, known: u64) -> Option<MemberNews> {
+async fn ask(context: &StoreContext, attempt: usize, known: u64) -> Option<MemberUpdate> {
     let entries = context.directory.entries();
-    let own = entries.iter().find(|entry| entry.vm == context.vm && turn == 0);
-    let entry = own.or_else(|| entries.get(turn % entries.len().max(1)))?;
+    let own = entries.iter().find(|entry| entry.vm == context.vm && attempt == 0);
+    let entry = own.or_else(|| entries.get(attempt % entries.len().max(1)))?;
     if entry.peers.port() == 0 {
         return None;
     }
     let mut parameters = ArrayParams::new();
     parameters.insert(known).ok()?;
-    let call = context.peers.call(entry.peers, Method::Members, parameters, TIMEOUT);
-    let news: MemberNews = serde_json::from_str(&call.await.ok()?).ok()?;
+    let call = context.peers.call(entry.peers, Method::Members, parameters, POLL_TIMEOUT);
+    let update: MemberUpdate = serde_json::from_str(&call.await.ok()?).ok()?;
     // An entry that knows itself alone has not joined yet.
-    let alone = news.members.as_ref().is_some_and(|members| members.len() < 2);
-    (!alone).then_some(news)
+    let alone = update.members.as_ref().is_some_and(|members| members.len() < 2);
+    (!alone).then_some(update)
 }
 
-impl Watch {
-    fn learn(&mut self, news: MemberNews) -> Vec<EntryMember> {
-        self.digest = news.digest;
-        if let Some(members) = news.members {
+impl MemberWatch {
+    fn update(&mut self, update: MemberUpdate) -> Vec<EntryMember> {
+        self.digest = update.digest;
+        if let Some(members) = update.members {
             self.members = members;
         }
         self.members.clone()
@@ -84,8 +84,8 @@
     fn gone(&mut self, members: &[EntryMember], now: Time) -> Vec<VmId> {
         let mut gone = Vec::new();
         for member in members {
-            let life = self.lives.insert(member.vm, member.life);
-            let restarted = life.is_some_and(|life| life != member.life);
+            let boot_id = self.boot_ids.insert(member.vm, member.life);
+            let restarted = boot_id.is_some_and(|boot_id| boot_id != member.life);
             let dead = self.is_dead(member, now);
             if restarted || dead {
                 gone.push(member.vm);
@@ -107,7 +107,7 @@
             return false;
         }
         let since = *self.down.entry(member.vm).or_insert(now);
-        if since == Time::MAX || now.since(since) < GRACE {
+        if since == Time::MAX || now.since(since) < GRACE_PERIOD {
             return false;
         }
         self.down.insert(member.vm, Time::MAX);
--- a/crates/gypsumglade/src/store/mod.rs
+++ b/crates/gypsumglade/src/store/mod.rs
@@ -1,6 +1,5 @@
 //! The store daemon: control and program groups on durable replicas.
 
-mod answers;
 pub mod context;
 pub mod control_group;
 pub mod follower_watch;
@@ -8,6 +7,7 @@
 mod member_watch;
 pub mod outbound;
 mod peer_calls;
+mod pending_answers;
 pub mod program_group;
 mod registrar;
 mod repair;
@@ -17,6 +17,6 @@
 pub mod turn_group;
 
 pub use context::ReleaseAnswer;
-pub(crate) use gauges::page;
+pub(crate) use gauges::metrics_page;
 pub use registrar::{Registrar, RegistrarError, RetireError};
 pub use serve::{Store, StoreAddresses, StoreState};
--- a/crates/gypsumglade/src/store/outbound.rs
+++ b/crates/gypsumglade/src/store/outbound.rs
@@ -14,7 +14,7 @@
 
 /// Batches that may wait to be told apart by peer; beyond it they are dropped. Each is of 256 KB at
 /// most, so they hold 16 MB even while no thread of the runtime gets to run.
-pub(super) const BUFFER: usize = 64;
+pub(super) const CHANNEL_CAPACITY: usize = 64;
 /// Bytes that may wait for one peer; beyond it batches are dropped, and replication repeats them.
 const QUEUE_BYTES: usize = 1024 * 1024;
 /// Bytes of pieces of snapshots that may wait for one peer.
@@ -25,19 +25,19 @@
 /// Bytes up to which a batch is small.
 const SMALL_BYTES: usize = 4 * 1024;
 /// Longest wait for a peer to take a batch, before another link is opened.
-const TIMEOUT: Duration = Duration::from_secs(1);
+const PEER_TIMEOUT: Duration = Duration::from_secs(1);
 /// Pause after a link could not be opened.
-const PAUSE: Duration = Duration::from_millis(100);
+const RECONNECT_PAUSE: Duration = Duration::from_millis(100);
 /// Frames under way to one peer.
 ///
 /// With one at a time, a link between regions carries fewer batches a second than a leader under load
 /// makes: they queue for seconds, heartbeats come late and every election is lost again.
-const FRAMES: usize = 32;
+const MAX_IN_FLIGHT: usize = 32;
 /// Bytes after which waiting batches go out in more than one frame.
 const FRAME_BYTES: usize = 256 * 1024;
 /// Bytes under way to one peer. What is handed to the kernel can't be overtaken any more: at this
 /// size it delays a heartbeat by less than a tenth of a second on a link between regions.
-const UNANSWERED_BYTES: usize = 512 * 1024;
+const MAX_IN_FLIGHT_BYTES: usize = 512 * 1024;
 
 /// Batches that wait for each peer.
 #[derive(Clone, Debug, Default)]
@@ -65,13 +65,13 @@
 #[derive(Debug, Default)]
 pub struct PeerQueue {
     waiting: Mutex<Waiting>,
-    news: Notify,
+    ready: Notify,
 }
 
 #[derive(Debug, Default)]
 struct Waiting {
-    small: VecDeque<Bytes>,
-    small_bytes: usize,
+    regular: VecDeque<Bytes>,
+    regular_bytes: usize,
     bulk: VecDeque<Bytes>,
     bulk_bytes: usize,
 }
@@ -91,8 +91,8 @@
         let mut waiting = self.waiting();
         let (taken, limit) = match (bulk, batch.len() <= SMALL_BYTES) {
             (true, _) => (waiting.bulk_bytes, BULK_BYTES),
-            (false, true) => (waiting.small_bytes, QUEUE_BYTES + RESERVE_BYTES),
-            (false, false) => (waiting.small_bytes, QUEUE_BYTES),
+            (false, true) => (waiting.regular_bytes, QUEUE_BYTES + RESERVE_BYTES),
+            (false, false) => (waiting.regular_bytes, QUEUE_BYTES),
         };
         if taken > 0 && taken + batch.len() > limit {
             return false;
@@ -101,11 +101,11 @@
             waiting.bulk_bytes += batch.len();
             waiting.bulk.push_back(batch);
         } else {
-            waiting.small_bytes += batch.len();
-            waiting.small.push_back(batch);
+            waiting.regular_bytes += batch.len();
+            waiting.regular.push_back(batch);
         }
         drop(waiting);
-        self.news.notify_one();
+        self.ready.notify_one();
         true
     }
 
@@ -115,7 +115,7 @@
     /// that holds the lists of both, and the later of two pulses.
     pub fn take(&self, bulk: bool) -> Option<Frame> {
         let mut waiting = self.waiting();
-        if waiting.small.is_empty() {
+        if waiting.regular.is_empty() {
             let bytes = if bulk { waiting.bulk.pop_front() } else { None }?;
             waiting.bulk_bytes -= bytes.len();
             return Some(Frame { bytes, bulk: true });
@@ -127,7 +127,7 @@
     /// Returns the bytes that wait.
     pub fn bytes(&self) -> usize {
         let waiting = self.waiting();
-        waiting.small_bytes + waiting.bulk_bytes
+        waiting.regular_bytes + waiting.bulk_bytes
     }
 
     /// Drops all that waits.
@@ -138,11 +138,11 @@
     /// Resolves with what goes next.
     async fn next(&self, bulk: bool) -> Frame {
         loop {
-            let news = self.news.notified();
+            let ready = self.ready.notified();
             if let Some(frame) = self.take(bulk) {
                 return frame;
             }
-            news.await;
+            ready.await;
         }
     }
 
@@ -153,15 +153,15 @@
 
 impl Waiting {
     fn join(&mut self) -> Bytes {
-        let first = self.small.pop_front().unwrap_or_default();
-        self.small_bytes -= first.len();
-        if self.small.is_empty() {
+        let first = self.regular.pop_front().unwrap_or_default();
+        self.regular_bytes -= first.len();
+        if self.regular.is_empty() {
             return first;
         }
         let mut joined = BytesMut::from(first.as_ref());
         while joined.len() < FRAME_BYTES {
-            let Some(next) = self.small.pop_front() else { break };
-            self.small_bytes -= next.len();
+            let Some(next) = self.regular.pop_front() else { break };
+            self.regular_bytes -= next.len();
             joined.extend_from_slice(&next);
         }
         joined.freeze()
@@ -192,8 +192,8 @@
             continue;
         };
         match context.peers.open_link(address, context.vm).await {
-            Ok(link) => carry(link, &queue).await,
-            Err(_) => tokio::time::sleep(PAUSE).await,
+            Ok(link) => send_frames(link, &queue).await,
+            Err(_) => tokio::time::sleep(RECONNECT_PAUSE).await,
         }
         queue.clear();
     }
@@ -201,7 +201,7 @@
 
 /// A frame that the peer hasn't taken yet.
 #[derive(Clone, Copy, Debug)]
-struct Sent {
+struct SentFrame {
     at: Instant,
     bytes: usize,
     bulk: bool,
@@ -209,19 +209,19 @@
 
 /// Sends batches until the link breaks or the peer falls silent on it. Connections may go silent
 /// without a reset; only the answers that stay away show it.
-async fn carry(mut link: Link, queue: &PeerQueue) {
-    let mut unanswered: VecDeque<Sent> = VecDeque::new();
+async fn send_frames(mut link: Link, queue: &PeerQueue) {
+    let mut in_flight: VecDeque<SentFrame> = VecDeque::new();
     loop {
-        let oldest = unanswered.front().map_or_else(Instant::now, |sent| sent.at);
-        let under_way: usize = unanswered.iter().map(|sent| sent.bytes).sum();
-        let open = unanswered.len() < FRAMES && under_way < UNANSWERED_BYTES;
+        let oldest = in_flight.front().map_or_else(Instant::now, |sent| sent.at);
+        let in_flight_bytes: usize = in_flight.iter().map(|sent| sent.bytes).sum();
+        let has_room = in_flight.len() < MAX_IN_FLIGHT && in_flight_bytes < MAX_IN_FLIGHT_BYTES;
         // A second piece on its way would only stand before heartbeats for longer.
-        let bulk = !unanswered.iter().any(|sent| sent.bulk);
+        let bulk = !in_flight.iter().any(|sent| sent.bulk);
         tokio::select! {
-            frame = queue.next(bulk), if open => {
-                let sent = Sent { at: Instant::now(), bytes: frame.bytes.len(), bulk: frame.bulk };
-                unanswered.push_back(sent);
-                match tokio::time::timeout(TIMEOUT, link.send(frame.bytes)).await {
+            frame = queue.next(bulk), if has_room => {
+                let sent = SentFrame { at: Instant::now(), bytes: frame.bytes.len(), bulk: frame.bulk };
+                in_flight.push_back(sent);
+                match tokio::time::timeout(PEER_TIMEOUT, link.send(frame.bytes)).await {
                     Ok(Ok(())) => {}
                     Ok(Err(_)) | Err(_) => return,
                 }
@@ -230,9 +230,9 @@
                 if !answered {
                     return;
                 }
-                unanswered.pop_front();
+                in_flight.pop_front();
             }
-            () = tokio::time::sleep_until(oldest + TIMEOUT), if !unanswered.is_empty() => return,
+            () = tokio::time::sleep_until(oldest + PEER_TIMEOUT), if !in_flight.is_empty() => return,
         }
     }
 }
--- a/crates/gypsumglade/src/store/peer_calls.rs
+++ b/crates/gypsumglade/src/store/peer_calls.rs
@@ -47,13 +47,13 @@
     module.register_method(Method::Hello.name(), |parameters, state, _| {
         let text: String = parameters.one()?;
         let hello: Hello = decode(&text).map_err(|error| invalid_payload(&error))?;
-        let nodes = state.discovery.as_ref().map(|discovery| discovery.welcome(hello));
+        let nodes = state.discovery.as_ref().map(|discovery| discovery.handle_hello(hello));
         Ok::<_, ErrorObjectOwned>(encode(&nodes.unwrap_or_default()))
     })?;
     module.register_async_method(Method::Endpoints.name(), |parameters, state, _| async move {
         let text: String = parameters.one()?;
         let query: EndpointQuery = decode(&text).map_err(|error| invalid_payload(&error))?;
-        Ok::<_, ErrorObjectOwned>(encode(&state.control.follow(&query).await))
+        Ok::<_, ErrorObjectOwned>(encode(&state.control.watch_endpoints(&query).await))
     })?;
     module.register_async_method(Method::Turn.name(), |parameters, state, _| async move {
         let text: String = parameters.one()?;
@@ -88,7 +88,7 @@
     module.register_async_method(Method::Score.name(), |parameters, state, _| async move {
         let text: String = parameters.one()?;
         let score: Score = decode(&text).map_err(|error| invalid_payload(&error))?;
-        state.context.take_score(score).await;
+        state.context.record_score(score).await;
         Ok::<_, ErrorObjectOwned>(DONE.to_owned())
     })?;
     Ok(module)
--- a/crates/gypsumglade/src/store/answers.rs
+++ b/crates/gypsumglade/src/store/pending_answers.rs
@@ -6,11 +6,11 @@
 use tokio::sync::oneshot;
 
 /// Answers kept for askers that learn their entry's place after it was applied.
-const RECENT: usize = 256;
+const MAX_RECENT: usize = 256;
 
 /// Who waits for which entry's answer.
 #[derive(Debug)]
-pub(super) struct Answers<A> {
+pub(super) struct PendingAnswers<A> {
     applied: LogIndex,
     waiting: Vec<(LogIndex, oneshot::Sender<A>)>,
     recent: VecDeque<(LogIndex, A)>,
@@ -22,7 +22,7 @@
     /// The answer, or nothing where it is no longer kept.
     Known(Option<A>),
     /// The entry is not applied yet; a dropped sender means that nobody can tell.
-    Later(oneshot::Receiver<A>),
+    Pending(oneshot::Receiver<A>),
 }
 
 impl<A> Lookup<A> {
@@ -30,18 +30,22 @@
     pub(super) async fn wait(self) -> Option<A> {
         match self {
             Lookup::Known(answer) => answer,
-            Lookup::Later(receiver) => receiver.await.ok(),
+            Lookup::Pending(receiver) => receiver.await.ok(),
         }
     }
 }
 
-impl<A> Default for Answers<A> {
-    fn default() -> Answers<A> {
-        Answers { applied: LogIndex::default(), waiting: Vec::new(), recent: VecDeque::new() }
+impl<A> Default for PendingAnswers<A> {
+    fn default() -> PendingAnswers<A> {
+        PendingAnswers {
+            applied: LogIndex::default(),
+            waiting: Vec::new(),
+            recent: VecDeque::new(),
+        }
     }
 }
 
-impl<A: Clone> Answers<A> {
+impl<A: Clone> PendingAnswers<A> {
     /// Returns the last index applied.
     pub(super) fn applied(&self) -> LogIndex {
         self.applied
@@ -55,14 +59,14 @@
         }
         let (sender, receiver) = oneshot::channel();
         self.waiting.push((index, sender));
-        Lookup::Later(receiver)
+        Lookup::Pending(receiver)
     }
 
     /// Notes that the entry at `index` was applied, with its answer if it has one.
-    pub(super) fn note(&mut self, index: LogIndex, answer: Option<&A>) {
+    pub(super) fn record(&mut self, index: LogIndex, answer: Option<&A>) {
         self.applied = index;
         let Some(answer) = answer else { return };
-        if self.recent.len() == RECENT {
+        if self.recent.len() == MAX_RECENT {
             self.recent.pop_front();
         }
         self.recent.push_back((index, answer.clone()));
--- a/crates/gypsumglade/src/store/program_group.rs
+++ b/crates/gypsumglade/src/store/program_group.rs
@@ -17,7 +17,7 @@
 use crate::replica::Event;
 
 /// Pause between two looks for what is due in a group.
-const TICK: Duration = Duration::from_millis(100);
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 /// Inputs that may wait before askers are slowed down.
 const INPUT_BUFFER: usize = 4_096;
 
@@ -36,7 +36,7 @@
     /// The replicated log has news.
     Log(Event),
     /// A proposal of this process came to nothing.
-    Failed(ProposalId),
+    ProposalFailed(ProposalId),
     /// A bundle revision was committed.
     Config {
         /// Its number.
@@ -45,7 +45,7 @@
         lifted: Vec<Bytes>,
     },
     /// Membership declared a VM dead.
-    Gone(VmId),
+    VmGone(VmId),
     /// An endpoint's lease ran out.
     EndpointGone(EndpointName),
     /// Crash scores from other groups.
@@ -112,7 +112,7 @@
 
 impl GroupTask {
     async fn run(mut self, mut inputs: mpsc::Receiver<GroupInput>) {
-        let mut tick = tokio::time::interval(TICK);
+        let mut tick = tokio::time::interval(TICK_INTERVAL);
         tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         let mut effects = Vec::new();
         loop {
@@ -126,7 +126,7 @@
             let Some(input) = input else { continue };
             self.sequencer.step(self.context.clock.now(), input, &mut effects);
             for effect in effects.drain(..) {
-                self.carry_out(effect);
+                self.execute(effect);
             }
         }
     }
@@ -134,16 +134,16 @@
     fn translate(&mut self, input: GroupInput) -> Option<Input> {
         match input {
             GroupInput::Request { from, request, reply } => {
-                self.measure(&request);
+                self.record_latency(&request);
                 self.token += 1;
                 let token = RequestToken(self.token);
                 self.replies.insert(token, reply);
                 Some(Input::Request { token, from, request })
             }
             GroupInput::Log(event) => self.log_input(event),
-            GroupInput::Failed(proposal) => Some(Input::ProposalFailed { proposal }),
+            GroupInput::ProposalFailed(proposal) => Some(Input::ProposalFailed { proposal }),
             GroupInput::Config { revision, lifted } => Some(Input::Config { revision, lifted }),
-            GroupInput::Gone(vm) => Some(Input::VmGone { vm }),
+            GroupInput::VmGone(vm) => Some(Input::VmGone { vm }),
             GroupInput::EndpointGone(endpoint) => Some(Input::EndpointGone { endpoint }),
             GroupInput::Scores(scores) => Some(Input::Scores { scores }),
             GroupInput::Dump(sender) => {
@@ -155,7 +155,7 @@
     }
 
     /// Records a program's latency when its caller ends it, on the replica that leads.
-    fn measure(&self, request: &Request) {
+    fn record_latency(&self, request: &Request) {
         let Some(RequestBody::EndProgram(end)) = &request.body else { return };
         let name = QualifiedName::from_wire(end.program.as_ref());
         let latency = self.sequencer.state().latency(&name).filter(|_| self.leads);
@@ -171,7 +171,7 @@
                     "group" => self.group.0, "term" => term.0);
                 // The last leader may not have heard who is dead; their calls must not wait.
                 for vm in self.context.dead() {
-                    let (inputs, gone) = (self.inputs.clone(), GroupInput::Gone(vm));
+                    let (inputs, gone) = (self.inputs.clone(), GroupInput::VmGone(vm));
                     tokio::spawn(async move { inputs.send(gone).await });
                 }
                 self.leads = true;
@@ -195,7 +195,7 @@
         }
     }
 
-    fn carry_out(&mut self, effect: Effect) {
+    fn execute(&mut self, effect: Effect) {
         match effect {
             Effect::Propose { proposal, data } => self.propose(proposal, data),
             Effect::Reply { token, reply } => {
@@ -206,7 +206,7 @@
             }
             Effect::Release { release } => self.release(release),
             Effect::Cancel { dispatch, vm } => self.context.cancel(dispatch, vm),
-            Effect::Scored { score } => self.context.spread_score(score),
+            Effect::Scored { score } => self.context.broadcast_score(score),
             Effect::Halt { reason } => slog::crit!(self.context.log,
                 "a program group stopped: replace this replica's data folder";
                 "group" => self.group.0, "reason" => reason),
@@ -217,7 +217,7 @@
         let (context, inputs, group) = (Arc::clone(&self.context), self.inputs.clone(), self.group);
         tokio::spawn(async move {
             if context.host.propose(group, data).await.is_err() {
-                let _ = inputs.send(GroupInput::Failed(proposal)).await;
+                let _ = inputs.send(GroupInput::ProposalFailed(proposal)).await;
             }
         });
     }
--- a/crates/gypsumglade/src/store/registrar.rs
+++ b/crates/gypsumglade/src/store/registrar.rs
@@ -18,11 +18,11 @@
 use gypsumglade_core::wire::operator::{ControlRequest, Status, StatusQuery};
 
 use super::serve::StoreState;
-use crate::control_client::{ControlGroupClient, PROGRAM};
+use crate::control_client::{ControlGroupClient, PROGRAM_LIMITS};
 use crate::settings::StoreSettings;
 
 /// Times that an order is tried again because another one was accepted in between.
-const MAX_RACES: usize = 16;
+const MAX_ACCEPT_ATTEMPTS: usize = 16;
 
 /// Why a request to the registrar has no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -60,7 +60,7 @@
 }
 
 /// Age past which what a leader told of its group's members no longer counts.
-const LED_AGE: Duration = Duration::from_secs(2);
+const LEADER_REPORT_MAX_AGE: Duration = Duration::from_secs(2);
 
 /// A store's registrar.
 #[derive(Clone)]
@@ -75,7 +75,7 @@
     pub fn new(state: &Arc<StoreState>) -> Registrar {
         let context = &state.context;
         let directory = Arc::clone(&context.directory);
-        let control = ControlGroupClient::new(directory, context.peers.clone(), PROGRAM);
+        let control = ControlGroupClient::new(directory, context.peers.clone(), PROGRAM_LIMITS);
         let own = state.settings.store.as_ref();
         let signer = own.and_then(StoreSettings::key_pair).map(Arc::new);
         Registrar { state: Arc::clone(state), control, signer }
@@ -101,9 +101,9 @@
     /// # Errors
     /// As [`Registrar::announce`].
     pub async fn depart(&self, name: &str, incarnation: Option<u64>) -> Result<(), RegistrarError> {
-        let gone =
+        let deregister =
             Deregister { name: name.to_owned(), incarnation: incarnation.unwrap_or_default() };
-        self.command(CommandBody::Deregister(gone)).await.map(drop)
+        self.command(CommandBody::Deregister(deregister)).await.map(drop)
     }
 
     /// Puts a bundle in force, unless one of this version or a higher one is.
@@ -148,7 +148,7 @@
         if self.state.control.is_retiring(vm) {
             return Ok(());
         }
-        if self.stores_without(vm) < self.wanted_voters() {
+        if self.stores_without(vm) < self.target_voters() {
             return Err(RetireError::TooFew);
         }
         let retire = CommandBody::Retire(Retire { vm: vm.0 });
@@ -163,13 +163,14 @@
     pub fn is_retired(&self, name: &str) -> Result<bool, RetireError> {
         let discovery = self.state.discovery.as_ref().ok_or(RetireError::Unknown)?;
         let vm = self.store_named(name).ok_or(RetireError::Unknown)?;
-        let led = discovery.roster().led_groups(discovery.now(), LED_AGE);
+        let led = discovery.roster().led_groups(discovery.now(), LEADER_REPORT_MAX_AGE);
         let groups = (0..=self.state.settings.groups).chain([GroupId::TURNS.0]);
         let empty = groups.into_iter().all(|group| {
-            let mut told = led.iter().filter(|led| led.group == group).peekable();
-            told.peek().is_some() && told.all(|led| led.settled && !led.members.contains(&vm.0))
+            let mut reports = led.iter().filter(|led| led.group == group).peekable();
+            reports.peek().is_some()
+                && reports.all(|led| led.settled && !led.members.contains(&vm.0))
         });
-        Ok(empty && !is_relied_on(vm, &led) && self.state.control.is_retiring(vm))
+        Ok(empty && !is_required_holder(vm, &led) && self.state.control.is_retiring(vm))
     }
 
     fn store_named(&self, name: &str) -> Option<VmId> {
@@ -183,12 +184,12 @@
         let Some(discovery) = &self.state.discovery else { return 0 };
         let now = discovery.now();
         let roster = discovery.roster();
-        let fresh = roster.stores().filter(|(_, at)| now.since(*at) < LED_AGE);
+        let fresh = roster.stores().filter(|(_, at)| now.since(*at) < LEADER_REPORT_MAX_AGE);
         let others = fresh.map(|(node, _)| VmId(node.vm)).filter(|other| *other != vm);
         others.filter(|other| !self.state.control.is_retiring(*other)).count()
     }
 
-    fn wanted_voters(&self) -> usize {
+    fn target_voters(&self) -> usize {
         let own = self.state.settings.store.as_ref();
         own.map_or(1, |own| 2 * own.tolerate as usize + 1)
     }
@@ -209,9 +210,9 @@
     }
 
     async fn accept(&self, mut accept: Accept) -> Result<(), RegistrarError> {
-        for _ in 0..MAX_RACES {
+        for _ in 0..MAX_ACCEPT_ATTEMPTS {
             let status = self.status().await?;
-            if is_overtaken(&accept.version, &status.version) {
+            if is_superseded(&accept.version, &status.version) {
                 return Ok(());
             }
             accept.base_revision = status.current;
@@ -256,13 +257,13 @@
 ///
 /// A leader that has just begun to lead, or has not heard yet that the store is to be emptied, has not
 /// looked for such texts: its silence says nothing.
-fn is_relied_on(vm: VmId, led: &[Led]) -> bool {
-    let mut told = led.iter().filter(|led| led.group == GroupId::TURNS.0);
-    told.any(|led| led.holders.contains(&vm.0) || !led.retiring.contains(&vm.0))
+fn is_required_holder(vm: VmId, led: &[Led]) -> bool {
+    let mut reports = led.iter().filter(|led| led.group == GroupId::TURNS.0);
+    reports.any(|led| led.holders.contains(&vm.0) || !led.retiring.contains(&vm.0))
 }
 
 /// Tells whether a version is not above the one in force.
-fn is_overtaken(version: &str, current: &str) -> bool {
+fn is_superseded(version: &str, current: &str) -> bool {
     use gypsumglade_core::bundle::Version;
     match (version.parse::<Version>(), current.parse::<Version>()) {
         (Ok(version), Ok(current)) => version <= current,
--- a/crates/gypsumglade/src/store/repair.rs
+++ b/crates/gypsumglade/src/store/repair.rs
@@ -19,18 +19,18 @@
 
 /// Pause between two looks. A repair takes three steps, and a newcomer must have caught up some
 /// four seconds after its start.
-const PAUSE: Duration = Duration::from_millis(200);
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// Silence after which a store counts as lost: three rounds of introductions. A store that is
 /// counted out too early comes back as a learner; nothing is lost by it.
-pub(super) const SILENT_AFTER: Duration = Duration::from_millis(1_500);
+pub(super) const STORE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Pause between two hand-overs of one group's leadership, so that one that can't succeed costs
 /// little: commits wait while it is tried.
-const HAND_OVER_PAUSE: Duration = Duration::from_secs(3);
+const TRANSFER_BACKOFF: Duration = Duration::from_secs(3);
 
 /// How long the same swap of voters must be due before it is begun: longer than restarts take, which make
 /// a region look smaller for a while.
-const SWAP_AFTER: Duration = Duration::from_secs(10);
+const SWAP_DELAY: Duration = Duration::from_secs(10);
 
 /// What a repair needs to know.
 pub(super) struct Repair {
@@ -40,18 +40,18 @@
     pub(super) copies: Arc<TextCopies>,
     pub(super) discovery: Arc<Discovery>,
     /// Voters that each group should have.
-    pub(super) wanted: usize,
+    pub(super) target_voters: usize,
 }
 
 /// Returns the stores heard of within `age`.
 ///
 /// Which of them are to be emptied is known to members of the control group first, and told to others.
-pub(super) fn candidates(
+pub(super) fn live_stores(
     discovery: &Discovery,
     control: &ControlGroup,
     age: Duration,
 ) -> Vec<StoreInfo> {
-    let mut stores = discovery.stores_heard(age);
+    let mut stores = discovery.recent_stores(age);
     for store in &mut stores {
         store.retiring |= control.is_retiring(store.vm);
     }
@@ -60,43 +60,43 @@
 
 /// What the loop remembers between two looks.
 #[derive(Default)]
-struct Memory {
+struct RepairHistory {
     /// Where a member's identity was last heard; the roster forgets it once another takes its
     /// address.
     addresses: BTreeMap<VmId, CompactString>,
     /// When each group's leadership was last to be handed over.
-    handed: BTreeMap<GroupId, Time>,
+    transfers: BTreeMap<GroupId, Time>,
     /// The swap that each group is due, and since when.
-    swaps: BTreeMap<GroupId, (MemberChange, Time)>,
+    pending_swaps: BTreeMap<GroupId, (MemberChange, Time)>,
 }
 
 impl Repair {
     /// Looks after the groups until `halt`.
     pub(super) async fn run(self, halt: CancellationToken) {
-        let mut memory = Memory::default();
+        let mut history = RepairHistory::default();
         while !halt.is_cancelled() {
-            self.note_addresses(&mut memory.addresses);
+            self.record_addresses(&mut history.addresses);
             let groups = self.context.host.status().await.groups;
             let led: Vec<_> =
                 groups.into_iter().filter(|group| group.role == Role::Leader).collect();
-            self.discovery.set_led(led.iter().map(|group| self.told(group)).collect());
+            self.discovery.set_led(led.iter().map(|group| self.leader_report(group)).collect());
             for group in led {
-                self.repair(&group, &mut memory).await;
+                self.repair(&group, &mut history).await;
             }
             tokio::select! {
                 () = halt.cancelled() => {}
-                () = tokio::time::sleep(PAUSE) => {}
+                () = tokio::time::sleep(CHECK_INTERVAL) => {}
             }
         }
     }
 
-    async fn repair(&self, group: &Status, memory: &mut Memory) {
-        let survey = self.survey(&group.members, &memory.addresses);
-        if self.hand_over(group, &survey, memory) {
+    async fn repair(&self, group: &Status, history: &mut RepairHistory) {
+        let cluster_view = self.cluster_view(&group.members, &history.addresses);
+        if self.transfer_leadership(group, &cluster_view, history) {
             return;
         }
-        let repair = next_change(&group.members, &survey);
-        let swap = self.swap(group, &survey, repair.is_none(), memory);
+        let repair = next_change(&group.members, &cluster_view);
+        let swap = self.due_swap(group, &cluster_view, repair.is_none(), history);
         let Some(change) = repair.or(swap) else { return };
         let number = group.group.0;
         match self.context.host.change_members(group.group, change).await {
@@ -109,62 +109,72 @@
     }
 
     /// Returns the change that begins a swap of voters once it has been due for long.
-    fn swap(
+    fn due_swap(
         &self,
         group: &Status,
-        survey: &ClusterView,
-        whole: bool,
-        memory: &mut Memory,
+        cluster_view: &ClusterView,
+        repaired: bool,
+        history: &mut RepairHistory,
     ) -> Option<MemberChange> {
-        let wanted = (whole && group.settled).then(|| next_swap(&group.members, survey)).flatten();
+        let wanted =
+            (repaired && group.settled).then(|| next_swap(&group.members, cluster_view)).flatten();
         let Some(change) = wanted else {
-            memory.swaps.remove(&group.group);
+            history.pending_swaps.remove(&group.group);
             return None;
         };
         let now = self.context.clock.now();
-        let due = memory.swaps.entry(group.group).or_insert((change, now));
+        let due = history.pending_swaps.entry(group.group).or_insert((change, now));
         if due.0 != change {
             *due = (change, now);
         }
-        (now.since(due.1) >= SWAP_AFTER).then_some(change)
+        (now.since(due.1) >= SWAP_DELAY).then_some(change)
     }
 
     /// Hands a group's leadership over if it belongs elsewhere, and tells whether it does so.
-    fn hand_over(&self, group: &Status, survey: &ClusterView, memory: &mut Memory) -> bool {
+    fn transfer_leadership(
+        &self,
+        group: &Status,
+        cluster_view: &ClusterView,
+        history: &mut RepairHistory,
+    ) -> bool {
         let now = self.context.clock.now();
-        let tried = memory.handed.get(&group.group);
-        let paused = tried.is_some_and(|at| now.since(*at) < HAND_OVER_PAUSE);
+        let tried = history.transfers.get(&group.group);
+        let paused = tried.is_some_and(|at| now.since(*at) < TRANSFER_BACKOFF);
         let unfit = group.group == GroupId::TURNS && self.turns.is_unusable();
-        let misplaced = group.settled && should_transfer_leadership(&group.members, survey);
+        let misplaced = group.settled && should_transfer_leadership(&group.members, cluster_view);
         if paused || !(unfit || misplaced) {
             return false;
         }
-        memory.handed.insert(group.group, now);
+        history.transfers.insert(group.group, now);
         slog::info!(self.context.log, "leadership is handed over"; "group" => group.group.0);
         self.context.host.transfer(group.group);
         true
     }
 
-    fn survey(&self, members: &Members, addresses: &BTreeMap<VmId, CompactString>) -> ClusterView {
-        let alive = candidates(&self.discovery, &self.control, SILENT_AFTER);
+    fn cluster_view(
+        &self,
+        members: &Members,
+        addresses: &BTreeMap<VmId, CompactString>,
+    ) -> ClusterView {
+        let alive = live_stores(&self.discovery, &self.control, STORE_TIMEOUT);
         let roster = self.discovery.roster();
-        let replaced = |vm: &VmId| {
+        let replacement = |vm: &VmId| {
             let address = addresses.get(vm)?;
             roster.at_address(address).filter(|now_there| now_there != vm)
         };
-        let gone = members.all().filter(|vm| replaced(vm).is_some()).collect();
-        ClusterView { leader: self.context.vm, alive, replaced: gone, target_voters: self.wanted }
+        let replaced = members.all().filter(|vm| replacement(vm).is_some()).collect();
+        ClusterView { leader: self.context.vm, alive, replaced, target_voters: self.target_voters }
     }
 
     /// Returns what to tell others of a group that this store leads.
-    fn told(&self, group: &Status) -> Led {
+    fn leader_report(&self, group: &Status) -> Led {
         let members = group.members.all().map(|vm| vm.0).collect();
         let mut led =
             Led { group: group.group.0, members, settled: group.settled, ..Led::default() };
         match group.group {
             GroupId::TURNS => {
-                let reliance = self.copies.reliance();
-                (led.holders, led.retiring) = (reliance.holders, reliance.retiring);
+                let holder_report = self.copies.holder_report();
+                (led.holders, led.retiring) = (holder_report.holders, holder_report.retiring);
             }
             GroupId::CONTROL => led.retiring = self.control.retiring(),
             _ => {}
@@ -172,7 +182,7 @@
         led
     }
 
-    fn note_addresses(&self, addresses: &mut BTreeMap<VmId, CompactString>) {
+    fn record_addresses(&self, addresses: &mut BTreeMap<VmId, CompactString>) {
         for (node, _) in self.discovery.roster().stores() {
             addresses.entry(VmId(node.vm)).or_insert_with(|| node.peers.to_compact_string());
         }
--- a/crates/gypsumglade/src/store/serve.rs
+++ b/crates/gypsumglade/src/store/serve.rs
@@ -26,7 +26,7 @@
 use crate::admin;
 use crate::clock::Clock;
 use crate::directory::Directory;
-use crate::discovery::{Discovery, Process, fresh_identity, seed_identity};
+use crate::discovery::{Discovery, Process, random_identity, seed_identity};
 use crate::disk::{self, Faults};
 use crate::entry::config::operator_keys;
 use crate::entry::listener_options;
@@ -40,14 +40,14 @@
 
 /// Most entry bytes in one message to a follower.
 ///
-/// Two of them to a follower that has to catch up are under way at a time, see [`IN_FLIGHT_BYTES`].
+/// Two of them to a follower that has to catch up are under way at a time, see [`MAX_IN_FLIGHT_BYTES`].
 /// What the core allows by itself would depose the leader, for heartbeats come behind it.
 const BATCH_BYTES: usize = 64 * 1024;
 /// Most entry messages on their way to one follower; see [`BATCH_BYTES`].
-const IN_FLIGHT: usize = 8;
+const MAX_IN_FLIGHT: usize = 8;
 /// Bytes of entries on their way to one follower: a round trip between regions with a sync, at what
 /// that way carries. More only stands before the entries that commits wait for.
-const IN_FLIGHT_BYTES: usize = 128 * 1024;
+const MAX_IN_FLIGHT_BYTES: usize = 128 * 1024;
 /// Bytes of one piece of a snapshot. One is under way at a time, so smaller ones would leave a link
 /// between regions idle for half of the time.
 const CHUNK_BYTES: usize = 256 * 1024;
@@ -60,7 +60,7 @@
 /// entries, for which nobody would wait any more.
 const BACKLOG_BYTES: usize = 4 * 1024 * 1024;
 /// Folder of kept turns' texts, below the data folder.
-const TEXTS: &str = "texts";
+const TEXTS_FOLDER: &str = "texts";
 /// Events that may wait for the control group.
 const EVENT_BUFFER: usize = 1_024;
 
@@ -129,7 +129,7 @@
         let process = Process { vm, role: Role::Store, address: own.peers };
         let (shared, callers) = (Arc::clone(&directory), peers.clone());
         let discovery = Discovery::new(&settings, process, shared, callers, clock);
-        let (outbound, batches) = mpsc::channel(outbound::BUFFER);
+        let (outbound, batches) = mpsc::channel(outbound::CHANNEL_CAPACITY);
         let metrics = Metrics::new()?;
         let mut host_settings = host_settings(vm, &own);
         host_settings.commits = Some(metrics.commits());
@@ -147,7 +147,7 @@
             log,
             groups: RwLock::default(),
             dead: Mutex::default(),
-            writing: Mutex::default(),
+            snapshotting: Mutex::default(),
         });
         let keys = operator_keys(&settings.operators);
         let lease = settings.timeouts.config_lease();
@@ -155,7 +155,7 @@
         let turns = TurnGroup::new(Arc::clone(&context));
         let limits = TextLimits { disk_bytes: own.text_bytes };
         let options = TextOptions::new(limits, context.log.clone());
-        let texts = TextStore::open_with(&own.folder.join(TEXTS), options)?;
+        let texts = TextStore::open_with(&own.folder.join(TEXTS_FOLDER), options)?;
         let texts = TextHolder::new(Arc::clone(&context), texts);
         tokio::spawn(outbound::send_batches(Arc::clone(&context), batches));
         let state = Arc::new(StoreState { context, control, turns, texts, discovery, settings });
@@ -234,20 +234,20 @@
         return Ok(owner);
     }
     let seeds = discovery.peers(own.peers.port());
-    let forms_groups = discovery.first_start && seeds.contains(&own.peers);
-    Ok(if forms_groups { seed_identity(own.peers) } else { fresh_identity() })
+    let is_initial_member = discovery.first_start && seeds.contains(&own.peers);
+    Ok(if is_initial_member { seed_identity(own.peers) } else { random_identity() })
 }
 
 fn spawn_loops(state: &Arc<StoreState>, own: &StoreSettings, halt: &CancellationToken) {
     tokio::spawn(follower_watch::watch(Arc::clone(&state.context), halt.clone()));
     let context = Arc::clone(&state.context);
-    tokio::spawn(Arc::clone(&state.texts).drop_unkept(halt.clone()));
+    tokio::spawn(Arc::clone(&state.texts).drop_expired(halt.clone()));
     let Some(discovery) = &state.discovery else {
         tokio::spawn(member_watch::watch(context, halt.clone()));
         return;
     };
     tokio::spawn(Arc::clone(discovery).run(halt.clone()));
-    let wanted = 2 * own.tolerate as usize + 1;
+    let target_voters = 2 * own.tolerate as usize + 1;
     let control = Arc::clone(&state.control);
     let turns = Arc::clone(&state.turns);
     let (others, known) = (Arc::clone(&state.context), Arc::clone(discovery));
@@ -256,10 +256,10 @@
         TextCopies::new(others, Arc::clone(&control), Arc::clone(&turns), known, tolerated + 1);
     tokio::spawn(Arc::clone(&copies).run(halt.clone()));
     let discovery = Arc::clone(discovery);
-    let repair = Repair { context, control, turns, copies, discovery, wanted };
+    let repair = Repair { context, control, turns, copies, discovery, target_voters };
     tokio::spawn(repair.run(halt.clone()));
     let lease = Duration::from_millis(own.endpoint_lease_ms);
-    tokio::spawn(Arc::clone(&state.control).lapse_endpoints(lease, halt.clone()));
+    tokio::spawn(Arc::clone(&state.control).expire_endpoints(lease, halt.clone()));
 }
 
 fn host_settings(vm: VmId, own: &StoreSettings) -> HostSettings {
@@ -270,8 +270,8 @@
             heartbeat: Duration::from_millis(own.heartbeat_ms),
             lease: Duration::from_millis(own.election_ms),
             batch_bytes: BATCH_BYTES,
-            in_flight: IN_FLIGHT,
-            in_flight_bytes: IN_FLIGHT_BYTES,
+            in_flight: MAX_IN_FLIGHT,
+            in_flight_bytes: MAX_IN_FLIGHT_BYTES,
             chunk_bytes: CHUNK_BYTES,
             promote_lag: PROMOTE_LAG,
             backlog_bytes: BACKLOG_BYTES,
@@ -313,10 +313,10 @@
     tokio::spawn(Arc::clone(&state.control).run(receiver));
     let (turn_events, receiver) = mpsc::channel(EVENT_BUFFER);
     tokio::spawn(Arc::clone(&state.turns).run(receiver));
-    let feeds = Feeds { control: control_events, turns: turn_events };
-    tokio::spawn(route_events(Arc::clone(context), feeds, events));
+    let senders = GroupSenders { control: control_events, turns: turn_events };
+    tokio::spawn(route_events(Arc::clone(context), senders, events));
     for group in (0..=count).map(GroupId).chain([GroupId::TURNS]) {
-        let Some(members) = founders(state) else { break };
+        let Some(members) = initial_members(state) else { break };
         context.host.create(group, members).await?;
     }
     Ok(())
@@ -326,25 +326,29 @@
 ///
 /// A store whose disk was wiped must not form a group again: two groups would each acknowledge
 /// orders that the other never sees.
-fn founders(state: &StoreState) -> Option<Vec<VmId>> {
+fn initial_members(state: &StoreState) -> Option<Vec<VmId>> {
     let (settings, vm) = (&state.settings, state.context.vm);
     if let Some(discovery) = &settings.discovery {
         let seeds = discovery.peers(settings.store.as_ref()?.peers.port());
-        let founders: Vec<VmId> = seeds.into_iter().map(seed_identity).collect();
-        return (discovery.first_start && founders.contains(&vm)).then_some(founders);
+        let initial_members: Vec<VmId> = seeds.into_iter().map(seed_identity).collect();
+        return (discovery.first_start && initial_members.contains(&vm)).then_some(initial_members);
     }
     let listed: Vec<VmId> = state.context.directory.stores().into_keys().collect();
     Some(if listed.is_empty() { vec![vm] } else { listed })
 }
 
 /// Where the groups other than program groups take their news.
-struct Feeds {
+struct GroupSenders {
     control: mpsc::Sender<Event>,
     turns: mpsc::Sender<Event>,
 }
 
 /// Hands each replica's news to its group, in order.
-async fn route_events(context: Arc<StoreContext>, feeds: Feeds, mut events: mpsc::Receiver<Event>) {
+async fn route_events(
+    context: Arc<StoreContext>,
+    senders: GroupSenders,
+    mut events: mpsc::Receiver<Event>,
+) {
     while let Some(event) = events.recv().await {
         if let Event::Failed { reason } = &event {
             slog::crit!(context.log, "replicas stopped; see docs/OPERATING.md, \"Full disk\"";
@@ -352,8 +356,8 @@
             continue;
         }
         match group_of(&event) {
-            Some(GroupId::CONTROL) => drop(feeds.control.send(event).await),
-            Some(GroupId::TURNS) => drop(feeds.turns.send(event).await),
+            Some(GroupId::CONTROL) => drop(senders.control.send(event).await),
+            Some(GroupId::TURNS) => drop(senders.turns.send(event).await),
             Some(group) => {
                 if let Some(group) = context.group(group) {
                     group.feed(GroupInput::Log(event)).await;
--- a/crates/gypsumglade/src/store/text_copies.rs
+++ b/crates/gypsumglade/src/store/text_copies.rs
@@ -11,41 +11,41 @@
 
 use super::context::StoreContext;
 use super::control_group::ControlGroup;
-use super::repair::candidates;
+use super::repair::live_stores;
 use super::turn_group::TurnGroup;
 use crate::discovery::Discovery;
 use crate::rpc::{Method, RpcError};
 
 /// Pause between two looks while nothing is to be copied.
-const PAUSE: Duration = Duration::from_millis(500);
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// Silence after which a store counts as lost: a restart takes one or two seconds and brings the disk
 /// back. An identity that another one replaced is lost at once, for the roster drops it.
 const LOST_AFTER: Duration = Duration::from_secs(3);
 /// What one store is asked to fetch before the next look. It works through it by itself, so that the
 /// kept turns aren't looked through for each batch.
-const LIMITS: Limits = Limits {
+const PLAN_LIMITS: Limits = Limits {
     same_region: BatchSize { texts: 4_096, bytes: 8 * 1024 * 1024 },
     cross_region: BatchSize { texts: 256, bytes: 512 * 1024 },
 };
 /// What one store fetches at one time: little enough that the few that are under way don't fill its memory
 /// or that of the store that gives them.
-const BATCH: BatchSize = BatchSize { texts: 256, bytes: 512 * 1024 };
+const SAME_REGION_BATCH: BatchSize = BatchSize { texts: 256, bytes: 512 * 1024 };
 /// What one store fetches at one time from another region: little enough that a heartbeat behind it on a
 /// narrow link isn't late.
-const BATCH_ABROAD: BatchSize = BatchSize { texts: 64, bytes: 128 * 1024 };
+const CROSS_REGION_BATCH: BatchSize = BatchSize { texts: 64, bytes: 128 * 1024 };
 /// Pause after each batch from another region, so that copies take a part of the link and not all of it.
-const PAUSE_ABROAD: Duration = Duration::from_millis(50);
+const CROSS_REGION_PAUSE: Duration = Duration::from_millis(50);
 /// Batches under way to one store: while one is synced, the next one is fetched.
-const UNDER_WAY: usize = 2;
+const MAX_IN_FLIGHT: usize = 2;
 /// Longest wait for a store to fetch a batch.
-const TIMEOUT: Duration = Duration::from_secs(3);
+const COPY_TIMEOUT: Duration = Duration::from_secs(3);
 /// How long a store that took no text is passed over, where another one can take its place.
-const FAILING_FOR: Duration = Duration::from_secs(1);
+const FAILURE_BACKOFF: Duration = Duration::from_secs(1);
 /// How long a text that could not be copied is left out.
-const PUT_OFF_FOR: Duration = Duration::from_secs(2);
+const DEFER_FOR: Duration = Duration::from_secs(2);
 /// How long a store is told to be relied on after it was found to be, or to be emptied at all. Entry VMs
 /// learn within some rounds of introductions that it is to be emptied, and may put texts there meanwhile.
-const RELIED_FOR: Duration = Duration::from_secs(3);
+const REQUIRED_FOR: Duration = Duration::from_secs(3);
 
 /// Copies texts that are on too few stores, while this store leads the turn group.
 pub(super) struct TextCopies {
@@ -55,25 +55,25 @@
     discovery: Arc<Discovery>,
     /// Stores that each text should be on.
     copies: usize,
-    memory: Mutex<Memory>,
+    history: Mutex<CopyHistory>,
 }
 
 /// What is remembered between two looks, while this store leads.
 #[derive(Debug, Default)]
-struct Memory {
+struct CopyHistory {
     /// When each store was last found to be relied on.
-    relied: BTreeMap<VmId, Time>,
+    required: BTreeMap<VmId, Time>,
     /// Stores that were to be emptied at the last look.
     retiring: BTreeSet<VmId>,
     /// When each store last took no text.
     failing: BTreeMap<VmId, Time>,
     /// When each turn's text could last not be copied.
-    put_off: BTreeMap<CompactString, Time>,
+    deferred: BTreeMap<CompactString, Time>,
 }
 
 /// What the turn group's leader tells of stores that are to be emptied.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub(super) struct Reliance {
+pub(super) struct HolderReport {
     /// Stores with texts that are on too few others.
     pub(super) holders: Vec<u32>,
     /// Stores that are to be emptied, as far as the leader knows and has looked.
@@ -88,8 +88,8 @@
         discovery: Arc<Discovery>,
         copies: usize,
     ) -> Arc<TextCopies> {
-        let memory = Mutex::default();
-        Arc::new(TextCopies { context, control, turns, discovery, copies, memory })
+        let history = Mutex::default();
+        Arc::new(TextCopies { context, control, turns, discovery, copies, history })
     }
 
     /// Copies what must be copied until `halt`.
@@ -101,12 +101,12 @@
             // A process that has just started has heard of few stores, and would take the others for lost.
             let settled = self.discovery.now().since(began) >= LOST_AFTER;
             if settled && self.turns.leads() {
-                for (target, copies) in self.look(&busy) {
+                for (target, copies) in self.plan_transfers(&busy) {
                     busy.insert(target);
-                    fetching.spawn(Arc::clone(&self).fill(target, copies));
+                    fetching.spawn(Arc::clone(&self).copy_to(target, copies));
                 }
             } else {
-                *self.memory() = Memory::default();
+                *self.history() = CopyHistory::default();
             }
             tokio::select! {
                 () = halt.cancelled() => {}
@@ -115,33 +115,33 @@
                     // Which one it was is not known; the others' stores are looked at again as well.
                     Err(_) => busy.clear(),
                 },
-                () = tokio::time::sleep(PAUSE) => {}
+                () = tokio::time::sleep(CHECK_INTERVAL) => {}
             }
         }
     }
 
     /// Returns what others are told of stores that are to be emptied.
-    pub(super) fn reliance(&self) -> Reliance {
-        let memory = self.memory();
-        Reliance {
-            holders: memory.relied.keys().map(|vm| vm.0).collect(),
-            retiring: memory.retiring.iter().map(|vm| vm.0).collect(),
+    pub(super) fn holder_report(&self) -> HolderReport {
+        let history = self.history();
+        HolderReport {
+            holders: history.required.keys().map(|vm| vm.0).collect(),
+            retiring: history.retiring.iter().map(|vm| vm.0).collect(),
         }
     }
 
     /// Returns what the stores that have nothing to do should fetch, each in batches.
-    fn look(&self, busy: &BTreeSet<VmId>) -> BTreeMap<VmId, Vec<Transfer>> {
+    fn plan_transfers(&self, busy: &BTreeSet<VmId>) -> BTreeMap<VmId, Vec<Transfer>> {
         // Read first: a store must be looked after as one to be emptied before that is told.
         let mut retiring = self.discovery.retiring();
         retiring.extend(self.control.retiring().into_iter().map(VmId));
         let survey = self.survey();
-        let plan = self.turns.plan_copies(&survey, &LIMITS);
-        self.memory().note(self.discovery.now(), plan.relied, retiring);
+        let plan = self.turns.plan_copies(&survey, &PLAN_LIMITS);
+        self.history().update(self.discovery.now(), plan.required_holders, retiring);
         let mut targets: BTreeMap<VmId, Vec<Transfer>> = BTreeMap::new();
         for copy in plan.copies {
             let target = copy.target;
             if !busy.contains(&target) && !survey.failing.contains(&target) {
-                let batch = if copy.cross_region { BATCH_ABROAD } else { BATCH };
+                let batch = if copy.cross_region { CROSS_REGION_BATCH } else { SAME_REGION_BATCH };
                 targets.entry(target).or_default().extend(copy.split(batch));
             }
         }
@@ -149,23 +149,23 @@
     }
 
     /// Has one store fetch what it should hold, until it fails.
-    async fn fill(self: Arc<Self>, target: VmId, copies: Vec<Transfer>) -> VmId {
-        let mut under_way: JoinSet<bool> = JoinSet::new();
+    async fn copy_to(self: Arc<Self>, target: VmId, copies: Vec<Transfer>) -> VmId {
+        let mut in_flight: JoinSet<bool> = JoinSet::new();
         let mut copies = copies.into_iter();
         loop {
-            while under_way.len() < UNDER_WAY
+            while in_flight.len() < MAX_IN_FLIGHT
                 && let Some(copy) = copies.next()
             {
-                let abroad = copy.cross_region;
-                under_way.spawn(Arc::clone(&self).carry_out(copy));
-                if abroad {
+                let cross_region = copy.cross_region;
+                in_flight.spawn(Arc::clone(&self).copy_batch(copy));
+                if cross_region {
                     break;
                 }
             }
-            match under_way.join_next().await {
+            match in_flight.join_next().await {
                 Some(Ok(true)) => {}
                 Some(Ok(false) | Err(_)) => {
-                    self.memory().failing.insert(target, self.discovery.now());
+                    self.history().failing.insert(target, self.discovery.now());
                     return target;
                 }
                 None => return target,
@@ -174,12 +174,12 @@
     }
 
     /// Has a store fetch a batch. Returns whether it may be asked for the next one.
-    async fn carry_out(self: Arc<Self>, copy: Transfer) -> bool {
+    async fn copy_batch(self: Arc<Self>, copy: Transfer) -> bool {
         let order = TextCopy {
             turns: copy.turns.iter().map(|holding| holding.turn.to_string()).collect(),
             sources: copy.sources.iter().map(|vm| vm.0).collect(),
         };
-        let held = match self.order(copy.target, &order).await {
+        let held = match self.request_copy(copy.target, &order).await {
             Ok(held) => held,
             Err(error) => {
                 slog::info!(self.context.log, "texts were not copied"; "store" => %copy.target,
@@ -188,22 +188,22 @@
             }
         };
         let here: BTreeSet<&str> = held.turns.iter().map(String::as_str).collect();
-        let (copied, lacking): (Vec<Holding>, Vec<Holding>) =
+        let (copied, missing): (Vec<Holding>, Vec<Holding>) =
             copy.turns.into_iter().partition(|holding| here.contains(holding.turn.as_str()));
         let now = self.discovery.now();
-        self.memory().put_off.extend(lacking.into_iter().map(|holding| (holding.turn, now)));
-        let noted = copied.is_empty() || self.turns.note_copied(&copied).await;
+        self.history().deferred.extend(missing.into_iter().map(|holding| (holding.turn, now)));
+        let noted = copied.is_empty() || self.turns.record_copied(&copied).await;
         slog::info!(self.context.log, "texts copied"; "store" => %copy.target,
             "texts" => copied.len(), "asked" => order.turns.len(), "noted" => noted);
         if copy.cross_region {
-            tokio::time::sleep(PAUSE_ABROAD).await;
+            tokio::time::sleep(CROSS_REGION_PAUSE).await;
         }
         noted && !copied.is_empty()
     }
 
-    async fn order(&self, target: VmId, order: &TextCopy) -> Result<TextsHeld, CopyError> {
+    async fn request_copy(&self, target: VmId, order: &TextCopy) -> Result<TextsHeld, CopyError> {
         let address = self.context.directory.store(target).ok_or(CopyError::Unknown)?;
-        let asking = self.context.peers.ask(address, Method::CopyTexts, order, TIMEOUT);
+        let asking = self.context.peers.ask(address, Method::CopyTexts, order, COPY_TIMEOUT);
         let held: TextsHeld = asking.await?;
         match VmId(held.vm) {
             vm if vm == target => Ok(held),
@@ -212,32 +212,32 @@
     }
 
     fn survey(&self) -> CopySurvey {
-        let alive = candidates(&self.discovery, &self.control, LOST_AFTER);
+        let alive = live_stores(&self.discovery, &self.control, LOST_AFTER);
         let now = self.discovery.now();
-        let mut memory = self.memory();
-        memory.forget(now);
-        let failing = memory.failing.keys().copied().collect();
-        let put_off = memory.put_off.keys().cloned().collect();
-        CopySurvey { alive, copies: self.copies, failing, deferred: put_off }
+        let mut history = self.history();
+        history.expire(now);
+        let failing = history.failing.keys().copied().collect();
+        let deferred = history.deferred.keys().cloned().collect();
+        CopySurvey { alive, copies: self.copies, failing, deferred }
     }
 
-    fn memory(&self) -> MutexGuard<'_, Memory> {
-        self.memory.lock().expect("no panic while held")
+    fn history(&self) -> MutexGuard<'_, CopyHistory> {
+        self.history.lock().expect("no panic while held")
     }
 }
 
-impl Memory {
-    fn note(&mut self, now: Time, relied: BTreeSet<VmId>, retiring: BTreeSet<VmId>) {
-        self.relied.extend(relied.into_iter().map(|vm| (vm, now)));
+impl CopyHistory {
+    fn update(&mut self, now: Time, required: BTreeSet<VmId>, retiring: BTreeSet<VmId>) {
+        self.required.extend(required.into_iter().map(|vm| (vm, now)));
         let newly = retiring.difference(&self.retiring).map(|vm| (*vm, now));
-        self.relied.extend(newly);
+        self.required.extend(newly);
         self.retiring = retiring;
     }
 
-    fn forget(&mut self, now: Time) {
-        self.relied.retain(|_, at| now.since(*at) < RELIED_FOR);
-        self.failing.retain(|_, at| now.since(*at) < FAILING_FOR);
-        self.put_off.retain(|_, at| now.since(*at) < PUT_OFF_FOR);
+    fn expire(&mut self, now: Time) {
+        self.required.retain(|_, at| now.since(*at) < REQUIRED_FOR);
+        self.failing.retain(|_, at| now.since(*at) < FAILURE_BACKOFF);
+        self.deferred.retain(|_, at| now.since(*at) < DEFER_FOR);
     }
 }
 
--- a/crates/gypsumglade/src/store/text_holder.rs
+++ b/crates/gypsumglade/src/store/text_holder.rs
@@ -10,20 +10,20 @@
 use tokio_util::sync::CancellationToken;
 
 use super::context::StoreContext;
-use crate::leader_client::{LeaderClient, Patience, Verdict};
+use crate::leader_client::{LeaderClient, ReplyKind, RetryLimits};
 use crate::rpc::Method;
 use crate::texts::{TextStatus, TextStore};
 
 /// Longest wait for one store to give texts.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(1);
 /// Pause between two looks for texts whose time is over.
-const DUE_PAUSE: Duration = Duration::from_secs(1);
+const DUE_INTERVAL: Duration = Duration::from_secs(1);
 /// Turns that the turn group's leader is asked about at one time.
 const DUE_BATCH: usize = 512;
 /// How long the turn group is asked which turns are still kept, before the next look.
-const DUE_PATIENCE: Patience = Patience {
-    call: Duration::from_secs(1),
-    whole: Duration::from_secs(3),
+const KEPT_QUERY_LIMITS: RetryLimits = RetryLimits {
+    per_call: Duration::from_secs(1),
+    total: Duration::from_secs(3),
     pause: Duration::from_millis(100),
 };
 /// How long a copied text is held before it is asked about.
@@ -88,16 +88,16 @@
     }
 
     /// Drops texts whose turns are not kept any more, until `halt`.
-    pub(super) async fn drop_unkept(self: Arc<Self>, halt: CancellationToken) {
+    pub(super) async fn drop_expired(self: Arc<Self>, halt: CancellationToken) {
         while !halt.is_cancelled() {
             let due = self.texts.due(DUE_BATCH);
             let full = due.len() == DUE_BATCH;
-            if self.settle_due(due).await && full {
+            if self.check_due(due).await && full {
                 continue;
             }
             tokio::select! {
                 () = halt.cancelled() => {}
-                () = tokio::time::sleep(DUE_PAUSE) => {}
+                () = tokio::time::sleep(DUE_INTERVAL) => {}
             }
         }
     }
@@ -119,12 +119,14 @@
 
     /// Asks which of these turns are still kept, and drops the texts of the others. Returns whether the
     /// group could tell.
-    async fn settle_due(&self, due: Vec<CompactString>) -> bool {
+    async fn check_due(&self, due: Vec<CompactString>) -> bool {
         if due.is_empty() {
             return false;
         }
         let query = KeptQuery { turns: due.iter().map(ToString::to_string).collect() };
-        let Some(reply) = self.group.ask(&query, DUE_PATIENCE, verdict).await else { return false };
+        let Some(reply) = self.group.ask(&query, KEPT_QUERY_LIMITS, classify).await else {
+            return false;
+        };
         let kept: HashMap<&str, u64> =
             reply.turns.iter().map(|kept| (kept.turn.as_str(), kept.left_ms)).collect();
         for turn in due {
@@ -137,10 +139,10 @@
     }
 }
 
-fn verdict(reply: &KeptReply) -> Verdict {
+fn classify(reply: &KeptReply) -> ReplyKind {
     match reply.leads {
-        true => Verdict::Leads,
-        false if reply.leader == 0 => Verdict::Uncertain,
-        false => Verdict::Redirects(VmId(reply.leader)),
+        true => ReplyKind::Answer,
+        false if reply.leader == 0 => ReplyKind::Uncertain,
+        false => ReplyKind::Redirect(VmId(reply.leader)),
     }
 }
--- a/crates/gypsumglade/src/store/turn_group.rs
+++ b/crates/gypsumglade/src/store/turn_group.rs
@@ -15,8 +15,8 @@
 use prost::Message as _;
 use tokio::sync::mpsc;
 
-use super::answers::Answers;
 use super::context::StoreContext;
+use super::pending_answers::PendingAnswers;
 use crate::clock::Clock;
 use crate::replica::{Event, ProposeError, ReadError};
 
@@ -30,17 +30,17 @@
 struct TurnState {
     turns: Turns,
     /// Set once this store leads and has applied what earlier leaders committed.
-    lead: Option<LeaderClock>,
+    leader_clock: Option<LeaderClock>,
     /// True while the state lacks what a snapshot held that could not be read. What is applied meanwhile
     /// proves nothing: a turn that isn't in it may be kept all the same.
     unusable: bool,
-    answers: Answers<Reply>,
+    answers: PendingAnswers<Reply>,
 }
 
 impl TurnState {
     /// Tells whether this store can answer for the group.
     fn leads(&self) -> bool {
-        self.lead.is_some() && !self.unusable
+        self.leader_clock.is_some() && !self.unusable
     }
 }
 
@@ -54,15 +54,15 @@
     pub async fn run(self: Arc<Self>, mut events: mpsc::Receiver<Event>) {
         while let Some(event) = events.recv().await {
             match event {
-                Event::Leader { term, .. } => self.lead(term),
+                Event::Leader { term, .. } => self.become_leader(term),
                 Event::Follower { leader, .. } => {
-                    self.state().lead = None;
+                    self.state().leader_clock = None;
                     let leader = leader.map(|vm| vm.0);
                     slog::info!(self.context.log, "follows in the turn group"; "leader" => leader);
                 }
-                Event::Committed { index, data, .. } => self.committed(index, data),
+                Event::Committed { index, data, .. } => self.apply_committed(index, data),
                 Event::Restore { index, data, .. } => self.restore(index, &data),
-                Event::NeedSnapshot { .. } => self.snapshot(),
+                Event::NeedSnapshot { .. } => self.take_snapshot(),
                 Event::Failed { .. } => {}
             }
         }
@@ -71,11 +71,11 @@
     /// Serves an entry VM's command. The answer comes once the command is committed, and is worked
     /// out where it stands in the log, so no two entry VMs are given the same tokens.
     pub async fn ask(&self, mut command: Command) -> Reply {
-        let Some(time) = self.time() else {
+        let Some(time) = self.command_time() else {
             // A follower names its leader; asked again, a leader has handed over.
-            return Reply { body: Some(self.not_ready().await) };
+            return Reply { body: Some(self.not_ready_reply().await) };
         };
-        stamp(&mut command, time);
+        set_time(&mut command, time);
         let data = Bytes::from(command.encode_to_vec());
         let body = match self.context.host.propose(GroupId::TURNS, data).await {
             Ok(index) => return self.answer_at(index).await,
@@ -89,18 +89,18 @@
     ///
     /// Between its election and the first look at what earlier leaders committed, a leader has none of
     /// its own and gives the latest that it knows, with which the group's stands still.
-    fn time(&self) -> Option<u64> {
+    fn command_time(&self) -> Option<u64> {
         let state = self.state();
         if state.unusable {
             return None;
         }
         let now = self.context.clock.now();
-        state.lead.map(|lead| lead.millis(now)).or_else(|| state.turns.time())
+        state.leader_clock.map(|clock| clock.millis(now)).or_else(|| state.turns.time())
     }
 
     /// Returns the answer of a store that must not propose: its state is unusable, or knows no time of
     /// the group, since what it would propose might be the group's first command or not.
-    async fn not_ready(&self) -> ReplyBody {
+    async fn not_ready_reply(&self) -> ReplyBody {
         match self.context.host.read_barrier(GroupId::TURNS).await {
             Ok(_) => uncertain(),
             Err(ReadError::NotLeader { hint }) => not_leader(hint),
@@ -124,11 +124,12 @@
         TurnSizes { turns: state.turns.kept(), programs: state.turns.programs() }
     }
 
-    fn lead(&self, term: Term) {
+    fn become_leader(&self, term: Term) {
         let unusable = {
             let mut state = self.state();
             let now = self.context.clock.now();
-            state.lead = Some(LeaderClock::start(state.turns.time(), Clock::wall_millis(), now));
+            state.leader_clock =
+                Some(LeaderClock::start(state.turns.time(), Clock::wall_millis(), now));
             state.unusable
         };
         slog::info!(self.context.log, "leads the turn group"; "term" => term.0);
@@ -143,18 +144,18 @@
         found.wait().await.unwrap_or_else(|| Reply { body: Some(uncertain()) })
     }
 
-    fn committed(&self, index: LogIndex, data: Bytes) {
+    fn apply_committed(&self, index: LogIndex, data: Bytes) {
         let mut state = self.state();
         if state.unusable {
-            return state.answers.note(index, Some(&Reply { body: Some(uncertain()) }));
+            return state.answers.record(index, Some(&Reply { body: Some(uncertain()) }));
         }
         if data.is_empty() {
-            return state.answers.note(index, None);
+            return state.answers.record(index, None);
         }
         // Every entry was encoded by a leader of this group.
         let command = Command::decode(data).unwrap_or_default();
         let reply = state.turns.apply(&command);
-        state.answers.note(index, Some(&reply));
+        state.answers.record(index, Some(&reply));
     }
 
     fn restore(&self, index: LogIndex, data: &Bytes) {
@@ -171,7 +172,7 @@
     }
 
     /// Takes a snapshot, unless it would pass a state that lacks turns for the whole of them.
-    fn snapshot(&self) {
+    fn take_snapshot(&self) {
         if self.is_unusable() || !self.context.begin_snapshot(GroupId::TURNS) {
             return;
         }
@@ -209,12 +210,12 @@
         }
         CopyPlan {
             copies: state.turns.plan_copies(survey, limits),
-            relied: state.turns.required_holders(survey),
+            required_holders: state.turns.required_holders(survey),
         }
     }
 
     /// Notes where copied texts are, and returns once that is committed.
-    pub(super) async fn note_copied(&self, copied: &[Holding]) -> bool {
+    pub(super) async fn record_copied(&self, copied: &[Holding]) -> bool {
         let turns = copied.iter().map(Holding::to_wire).collect();
         let body = CommandBody::Copied(Copied { turns, now_ms: 0 });
         let reply = self.ask(Command { body: Some(body) }).await;
@@ -250,11 +251,11 @@
 pub(super) struct CopyPlan {
     pub(super) copies: Vec<Transfer>,
     /// Stores that hold such texts.
-    pub(super) relied: BTreeSet<VmId>,
+    pub(super) required_holders: BTreeSet<VmId>,
 }
 
 /// Sets the time of a command. The leader's counts, so that entry VMs' clocks don't matter.
-fn stamp(command: &mut Command, now: u64) {
+fn set_time(command: &mut Command, now: u64) {
     match &mut command.body {
         Some(CommandBody::Reserve(reserve)) => reserve.now_ms = now,
         Some(CommandBody::Settle(settle)) => settle.now_ms = now,
--- a/crates/gypsumglade/tests/follower_watch.rs
+++ b/crates/gypsumglade/tests/follower_watch.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use gypsumglade::replica::HostStatus;
-use gypsumglade::store::follower_watch::{Change, Following, Watch};
+use gypsumglade::store::follower_watch::{Change, FollowerState, FollowerWatch};
 use gypsumglade_core::prelude::*;
 use gypsumglade_core::replication::{Lag, LogIndex, Members, Position, Role, Status, Term};
 
@@ -36,45 +36,45 @@
     Time::ZERO + Duration::from_millis(ms)
 }
 
-fn steps(changes: &[Change]) -> Vec<(Following, Following)> {
+fn steps(changes: &[Change]) -> Vec<(FollowerState, FollowerState)> {
     changes.iter().map(|change| (change.before, change.now)).collect()
 }
 
 #[test]
 fn look_behind_and_back() {
-    let mut watch = Watch::default();
+    let mut watch = FollowerWatch::default();
     let mut look =
-        |ms, bytes| steps(&watch.look(&status(Role::Leader, vec![lag(bytes, 20)]), at(ms)));
+        |ms, bytes| steps(&watch.update(&status(Role::Leader, vec![lag(bytes, 20)]), at(ms)));
     assert_eq!(look(500, 1_000), []);
-    assert_eq!(look(1_000, 2_000_000), [(Following::Near, Following::Behind)]);
+    assert_eq!(look(1_000, 2_000_000), [(FollowerState::CaughtUp, FollowerState::Behind)]);
     assert_eq!(look(3_500, 300_000), [], "half of the bound isn't caught up yet");
-    assert_eq!(look(4_000, 1_000), [(Following::Behind, Following::Near)]);
+    assert_eq!(look(4_000, 1_000), [(FollowerState::Behind, FollowerState::CaughtUp)]);
 }
 
 #[test]
 fn look_silent_and_heard() {
-    let mut watch = Watch::default();
+    let mut watch = FollowerWatch::default();
     let mut look =
-        |ms, silent| steps(&watch.look(&status(Role::Leader, vec![lag(0, silent)]), at(ms)));
+        |ms, silent| steps(&watch.update(&status(Role::Leader, vec![lag(0, silent)]), at(ms)));
     assert_eq!(look(500, 1_400), []);
-    assert_eq!(look(1_000, 1_900), [(Following::Near, Following::Silent)]);
-    assert_eq!(look(4_000, 50), [(Following::Silent, Following::Near)]);
+    assert_eq!(look(1_000, 1_900), [(FollowerState::CaughtUp, FollowerState::Unresponsive)]);
+    assert_eq!(look(4_000, 50), [(FollowerState::Unresponsive, FollowerState::CaughtUp)]);
 }
 
 /// Guards against a member that comes and goes at each look and fills the disk with lines.
 #[test]
 fn look_bounded_lines() {
-    let mut watch = Watch::default();
+    let mut watch = FollowerWatch::default();
     let mut lines = 0;
     for look in 1..=1_000_u64 {
         let silent = if look % 2 == 0 { 5_000 } else { 0 };
-        lines += watch.look(&status(Role::Leader, vec![lag(0, silent)]), at(look * 100)).len();
+        lines += watch.update(&status(Role::Leader, vec![lag(0, silent)]), at(look * 100)).len();
     }
     assert!(lines > 0 && lines <= 50, "{lines} lines in 100 s");
 }
 
 #[test]
 fn look_nothing_as_follower() {
-    let mut watch = Watch::default();
-    assert!(watch.look(&status(Role::Follower, vec![lag(9_000_000, 9_000)]), at(500)).is_empty());
+    let mut watch = FollowerWatch::default();
+    assert!(watch.update(&status(Role::Follower, vec![lag(9_000_000, 9_000)]), at(500)).is_empty());
 }
--- a/crates/gypsumglade/tests/leader_hint.rs
+++ b/crates/gypsumglade/tests/leader_hint.rs
@@ -27,7 +27,7 @@
     let (directory, now) = (directory(), Instant::now());
     let mut hint = LeaderHint::default();
     hint.confirm(FROZEN);
-    hint.lost(FROZEN, now);
+    hint.mark_unresponsive(FROZEN, now);
     for _ in 0..10 {
         let (asked, _) = hint.target(&directory, now).expect("three stores are known");
         assert_ne!(asked, FROZEN);
@@ -39,7 +39,7 @@
 fn target_silent_store_later() {
     let (directory, now) = (directory(), Instant::now());
     let mut hint = LeaderHint::default();
-    hint.lost(FROZEN, now);
+    hint.mark_unresponsive(FROZEN, now);
     hint.redirect(Some(VmId(1)), Some(FROZEN));
     let later = now + Duration::from_secs(1);
     assert_eq!(hint.target(&directory, later).map(|(vm, _)| vm), Some(FROZEN));
@@ -50,7 +50,7 @@
     let (directory, now) = (directory(), Instant::now());
     let mut hint = LeaderHint::default();
     for vm in 1..=3 {
-        hint.lost(VmId(vm), now);
+        hint.mark_unresponsive(VmId(vm), now);
     }
     assert!(hint.target(&directory, now).is_some());
 }
