--- a/crates/gypsumglade/src/control_client.rs
+++ b/crates/gypsumglade/src/control_client.rs
@@ -1,4 +1,4 @@
-//! Asks the control group on behalf of an operator, an endpoint or a store.
+//! Client of the control group, for operators, endpoints and stores.
 
 use std::sync::Arc;
 
@@ -10,24 +10,25 @@
 use crate::leader_client::{LeaderClient, ReplyKind, RetryLimits};
 use crate::rpc::{Method, PeerClients};
 
-/// Pause before another store is asked.
+/// Pause between two calls.
 const RETRY_PAUSE: Duration = Duration::from_millis(30);
-/// For a person at a terminal: an election and a slow disk are waited out.
+/// Limits for an operator at a terminal, long enough for an election and a slow disk.
 pub const OPERATOR_LIMITS: RetryLimits = RetryLimits {
     per_call: Duration::from_secs(5),
     total: Duration::from_secs(15),
     pause: RETRY_PAUSE,
 };
-/// For a program that itself asks another store after a second. A commit takes two round trips
-/// between regions and two syncs, 50 ms, or 400 ms on disks that have turned slow; one store that is
-/// silent must not use up all of the time.
+/// Limits for a client that turns to another store after a second.
+///
+/// A call covers a commit across regions on slow disks, and leaves time for a second store if the first
+/// doesn't answer.
 pub const PROGRAM_LIMITS: RetryLimits = RetryLimits {
     per_call: Duration::from_millis(600),
     total: Duration::from_millis(900),
     pause: RETRY_PAUSE,
 };
 
-/// Finds the control group's leader; clones share what they learn.
+/// Finds the control group's leader and sends it requests; clones share the known leader.
 #[derive(Clone)]
 pub struct ControlGroupClient {
     leader: LeaderClient,
@@ -35,7 +36,7 @@
 }
 
 impl ControlGroupClient {
-    /// Creates a client that knows no leader yet.
+    /// Creates a client without a known leader.
     pub fn new(
         directory: Arc<Directory>,
         peers: PeerClients,
@@ -45,9 +46,9 @@
         ControlGroupClient { leader, limits }
     }
 
-    /// Asks the control group; `None` when no leader answered in time.
+    /// Sends a request to the control group. Returns `None` if no leader answered in time.
     ///
-    /// A command is safe to ask again: its order id makes a repeat get the first answer.
+    /// Orders are safe to retry: a repeated order id gets the answer of the first one.
     pub async fn ask(&self, request: &ControlRequest) -> Option<ControlReply> {
         self.leader.ask(request, self.limits, classify).await
     }
--- a/crates/gypsumglade/src/directory.rs
+++ b/crates/gypsumglade/src/directory.rs
@@ -1,4 +1,4 @@
-//! Where the other VMs are: stores from the settings, entries as membership reports them.
+//! Addresses of the other VMs, from the settings, membership and discovery.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,18 +8,18 @@
 
 use crate::settings::Settings;
 
-/// An entry VM that takes calls from others.
+/// Address of an entry VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct EntryAddress {
-    /// The VM.
+    /// Identity of the VM.
     pub vm: VmId,
-    /// Its region.
+    /// Region that the VM is in.
     pub region: RegionId,
-    /// Its listener for calls between VMs.
+    /// Address of its listener for calls between VMs.
     pub peers: SocketAddr,
 }
 
-/// Addresses of the deployment's processes, shared by all tasks of a process.
+/// Addresses of the deployment's entries and stores, shared by all tasks of a process.
 #[derive(Debug)]
 pub struct Directory {
     entries: RwLock<Vec<EntryAddress>>,
@@ -27,7 +27,7 @@
 }
 
 impl Directory {
-    /// Starts with what the settings name.
+    /// Creates a directory of the peers that the settings list.
     pub fn new(settings: &Settings) -> Directory {
         let region = |name: &str| settings.region_id(name).unwrap_or_default();
         let entries = settings.peers.iter().map(|peer| EntryAddress {
@@ -39,37 +39,37 @@
         Directory { entries: RwLock::new(entries.collect()), stores: RwLock::new(stores.collect()) }
     }
 
-    /// Returns the entry VMs believed alive, this one included if it is listed.
+    /// Returns the entry VMs that are up, including this one if it is listed.
     pub fn entries(&self) -> Vec<EntryAddress> {
         self.read_entries().clone()
     }
 
-    /// Returns an entry VM's address.
+    /// Returns an entry VM's address, or `None` if it is not known or down.
     pub fn entry(&self, vm: VmId) -> Option<SocketAddr> {
         self.read_entries().iter().find(|entry| entry.vm == vm).map(|entry| entry.peers)
     }
 
-    /// Takes the live entry VMs as membership now sees them.
+    /// Replaces the entry VMs with those that membership reports as up.
     pub fn set_entries(&self, entries: Vec<EntryAddress>) {
         *self.entries.write().expect("no panic while held") = entries;
     }
 
-    /// Returns the stores' addresses.
+    /// Returns the addresses of all known stores.
     pub fn stores(&self) -> BTreeMap<VmId, SocketAddr> {
         self.stores.read().expect("no panic while held").clone()
     }
 
-    /// Returns one store's address.
+    /// Returns a store's address, or `None` if it is not known.
     pub fn store(&self, vm: VmId) -> Option<SocketAddr> {
         self.stores.read().expect("no panic while held").get(&vm).copied()
     }
 
-    /// Adds or moves a store, as the embedded default does once its port is known.
+    /// Adds a store or changes its address, for an embedded store whose port the kernel has chosen.
     pub fn set_store(&self, vm: VmId, address: SocketAddr) {
         self.stores.write().expect("no panic while held").insert(vm, address);
     }
 
-    /// Takes the stores as discovery now sees them.
+    /// Replaces the stores with those that discovery knows of.
     pub fn set_stores(&self, stores: BTreeMap<VmId, SocketAddr>) {
         *self.stores.write().expect("no panic while held") = stores;
     }
--- a/crates/gypsumglade/src/discovery.rs
+++ b/crates/gypsumglade/src/discovery.rs
@@ -1,7 +1,7 @@
-//! Finds the other processes from a few seeds, and keeps finding them as they come and go.
+//! Discovers the other processes of a deployment, starting from a few seed addresses.
 //!
-//! Each process introduces itself to some stores twice a second and is told of all stores. Nothing
-//! durable depends on what is learnt: a wrong or old entry costs a failed connection. See
+//! Each process sends a hello to some stores twice a second and receives the list of all stores.
+//! Nothing durable depends on the list: a wrong or stale entry costs a failed connection. See
 //! docs/design/provider.md.
 
 use std::collections::BTreeSet;
@@ -22,48 +22,49 @@
 use crate::rpc::{Method, PeerClients};
 use crate::settings::{DiscoverySettings, Settings};
 
-/// Pause between two rounds of introductions: a newcomer is known to all within two rounds.
+/// Pause between two rounds of hellos.
 const HELLO_INTERVAL: Duration = Duration::from_millis(500);
-/// Pause while no store is known yet.
+/// Pause between two rounds while no other store is known.
 const BOOTSTRAP_INTERVAL: Duration = Duration::from_millis(150);
-/// Longest wait for an answer.
+/// Timeout of a hello.
 const HELLO_TIMEOUT: Duration = Duration::from_millis(800);
-/// Known stores that are asked in each round. News spread in a logarithm of rounds, and the cost
-/// of a round does not grow with the number of stores.
+/// Known stores that receive a hello in each round.
+///
+/// News reaches all stores in a logarithmic number of rounds, at a constant cost per round.
 const FANOUT: usize = 2;
 
-/// Age up to which counts what the leaders of groups told.
+/// Age up to which a report by a group's leader is used.
 const LEADER_REPORT_MAX_AGE: Duration = Duration::from_secs(5);
 
-/// The process that introduces itself.
+/// The local process, as it presents itself to others.
 #[derive(Clone, Copy, Debug)]
 pub struct Process {
-    /// Its identity.
+    /// Identity of the process.
     pub vm: VmId,
-    /// What it runs.
+    /// Kind of the process.
     pub role: Role,
-    /// Its listener for calls between processes.
+    /// Address of its listener for calls between processes.
     pub address: SocketAddr,
 }
 
-/// The stores that a process was told of last.
+/// The list of stores that this process received last, and its digest.
 #[derive(Clone, Debug, Default)]
 struct KnownStores {
     digest: u64,
     stores: Vec<VmId>,
 }
 
-/// What a process knows of the others.
+/// Exchanges hellos with other processes and keeps the roster of those heard of.
 pub struct Discovery {
     own: Node,
     seeds: RwLock<Vec<SocketAddr>>,
     roster: Mutex<Roster>,
     known: Mutex<KnownStores>,
-    /// Number of the latest introduction.
+    /// Sequence number of the latest hello.
     sequence: AtomicU64,
-    /// Groups that this process leads.
+    /// Reports on the groups that this process leads.
     led: Mutex<Vec<Led>>,
-    /// Stores that are to be emptied, as this process was told last.
+    /// Retiring stores according to the last answer to a hello.
     retiring: Mutex<Vec<u32>>,
     directory: Arc<Directory>,
     peers: PeerClients,
@@ -71,7 +72,7 @@
 }
 
 impl Discovery {
-    /// Creates the process's own introduction; `None` where the settings list the other VMs.
+    /// Sets up discovery. Returns `None` if the settings have no `discovery` section.
     pub fn new(
         settings: &Settings,
         process: Process,
@@ -111,28 +112,28 @@
         Some(Arc::new(discovery))
     }
 
-    /// Takes in a process that introduced itself, and returns the stores to tell it of.
+    /// Adds the sender of a hello to the roster, and returns the list of stores if it differs from the sender's.
     pub fn handle_hello(&self, hello: Hello) -> Nodes {
         self.observe(hello.node.into_iter().collect());
         self.roster().nodes(self.clock.now(), hello.known)
     }
 
-    /// Returns the stores heard of lately.
+    /// Returns the roster of processes that were heard of recently.
     pub fn roster(&self) -> MutexGuard<'_, Roster> {
         self.roster.lock().expect("no panic while held")
     }
 
-    /// Returns the time on the roster's clock.
+    /// Returns the current time of the roster's clock.
     pub fn now(&self) -> Time {
         self.clock.now()
     }
 
-    /// Takes the groups that this process leads, to tell others with its next introductions.
+    /// Sets the reports on led groups that the next hellos carry.
     pub fn set_led(&self, led: Vec<Led>) {
         *self.led.lock().expect("no panic while held") = led;
     }
 
-    /// Returns the stores heard of within `age`.
+    /// Returns the stores that were heard of within `age`.
     pub fn recent_stores(&self, age: Duration) -> Vec<StoreInfo> {
         let now = self.now();
         let retiring = self.retiring();
@@ -147,10 +148,9 @@
         recent.collect()
     }
 
-    /// Returns the stores that are to be emptied, as far as this process was told.
+    /// Returns the retiring stores that this process has been told of.
     ///
-    /// Few processes are members of the control group, which knows; the others learn it from its leader's
-    /// introductions.
+    /// The control group decides which stores retire; other processes learn it from hellos of its leader.
     pub fn retiring(&self) -> BTreeSet<VmId> {
         let own = self.retiring.lock().expect("no panic while held").clone();
         let led = self.roster().led_groups(self.now(), LEADER_REPORT_MAX_AGE);
@@ -158,18 +158,18 @@
         own.into_iter().chain(led).map(VmId).collect()
     }
 
-    /// Takes other seeds, from settings that changed.
+    /// Replaces the seeds after a change of the settings.
     pub fn set_seeds(&self, settings: &DiscoverySettings) {
         let Ok(own) = self.own.peers.parse::<SocketAddr>() else { return };
         *self.seeds.write().expect("no panic while held") = settings.peers(own.port());
     }
 
-    /// Introduces this process until `stop`.
+    /// Sends hellos until `stop` is cancelled.
     pub async fn run(self: Arc<Self>, stop: CancellationToken) {
         while !stop.is_cancelled() {
             self.observe(Vec::new());
             for address in self.targets() {
-                // Each on its own: a round must not wait for a process that is gone.
+                // A round must not wait for a process that doesn't answer.
                 let discovery = Arc::clone(&self);
                 tokio::spawn(async move { discovery.send_hello(address).await });
             }
@@ -182,10 +182,10 @@
         }
     }
 
-    /// Returns whom to introduce this process to: some stores that it knows, and a seed.
+    /// Returns the addresses for a round of hellos: some known stores and a seed.
     ///
-    /// Seeds go on being asked: after a long partition they may be the only way back to processes
-    /// that all moved meanwhile. A process that knows nobody asks every seed.
+    /// Seeds are always included: after a long partition, in which all known stores may have moved, they
+    /// can be the only ones to reach. A process that knows no other store tries every seed.
     fn targets(&self) -> Vec<SocketAddr> {
         let own = self.own.peers.parse().ok();
         let stores = self.directory.stores();
@@ -207,7 +207,7 @@
         let known = self.known_stores();
         let hello = Hello { node: Some(self.own_node()), known: known.digest };
         let request = self.peers.ask::<Hello, Nodes>(address, Method::Hello, &hello, HELLO_TIMEOUT);
-        // Who does not answer is asked again in a later round.
+        // A later round tries again.
         let Ok(nodes) = request.await else { return };
         self.retiring.lock().expect("no panic while held").clone_from(&nodes.retiring);
         if nodes.same {
@@ -217,8 +217,9 @@
         self.observe(nodes.nodes);
     }
 
-    /// Returns the stores that this process was told of last and still remembers. A store wants all of
-    /// them each time: it repairs groups by how long each has been silent.
+    /// Returns the last received list of stores if the roster still has all of them.
+    ///
+    /// Stores always request the whole list, since repair depends on when each store was last heard of.
     fn known_stores(&self) -> KnownStores {
         if self.own.role() == Role::Store {
             return KnownStores::default();
@@ -233,10 +234,11 @@
         *self.known.lock().expect("no panic while held") = known;
     }
 
-    /// Returns the process's own introduction of this moment.
+    /// Returns the description of this process that its next hello carries.
     ///
-    /// The time of day numbers it, so that a restarted process goes on where it was. A clock that
-    /// is set back silences a process until it has caught up; `sequence` keeps within one life.
+    /// Sequence numbers follow the wall clock, so that they increase across restarts. Within one run they
+    /// don't decrease if the clock is set back; after a restart, others ignore the process until the clock
+    /// has caught up.
     fn own_node(&self) -> Node {
         let wall = Clock::wall_millis();
         let before = self.sequence.fetch_max(wall, Ordering::Relaxed);
@@ -260,18 +262,17 @@
     }
 }
 
-/// Returns the identity that a seed takes when the whole deployment starts for the first time.
+/// Returns the identity of a seed at the first start of a deployment.
 ///
-/// Every seed works out the others' from their addresses alone, so the first members of each group
-/// are known to all without a word between them, in whatever order they start. Any later process at
-/// the same address draws its identity at random: a wiped disk must never vote again under an
-/// identity that has voted.
+/// It is derived from the address, so all seeds agree on the initial members of each group without
+/// communication. Any later process at the same address draws a random identity: a store with a wiped
+/// disk must not vote under an identity that has already voted.
 pub fn seed_identity(address: SocketAddr) -> VmId {
     let hash = xxh3_64(address.to_string().as_bytes());
     VmId(((hash >> 32) as u32).max(1))
 }
 
-/// Draws an identity that no process has had.
+/// Draws a random identity for a new process.
 pub fn random_identity() -> VmId {
     VmId(rand::random_range(1..=u32::MAX))
 }
--- a/crates/gypsumglade/src/leader_client.rs
+++ b/crates/gypsumglade/src/leader_client.rs
@@ -1,4 +1,4 @@
-//! Asks the leader of a group that every store has a replica of, across redirects and losses.
+//! Client of a replicated group's leader, which follows redirects and retries lost requests.
 
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Instant as StdInstant;
@@ -11,29 +11,29 @@
 use crate::leader_hint::LeaderHint;
 use crate::rpc::{Method, PeerClients};
 
-/// How long a client goes on asking.
+/// Timeouts and pause of a request that is retried until a leader answers.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryLimits {
-    /// Longest wait for one store's answer.
+    /// Timeout of a call to one store.
     pub per_call: Duration,
-    /// Time after which no further store is asked.
+    /// Time limit of the request with all its retries.
     pub total: Duration,
-    /// Pause before another store is asked, so that an election isn't waited out in a spin.
+    /// Pause between two calls, so that a client doesn't spin while an election is held.
     pub pause: Duration,
 }
 
-/// What a store's reply says of who leads.
+/// Meaning of a store's reply to a request for the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplyKind {
-    /// The store leads, and this is its answer.
+    /// The leader's answer to the request.
     Answer,
-    /// Another one does, if the store knows which.
+    /// The store doesn't lead; names the leader that it knows of, or VM 0 if it knows none.
     Redirect(VmId),
-    /// It can't be told whether the question took effect.
+    /// The request may or may not have taken effect.
     Uncertain,
 }
 
-/// Finds a group's leader; clones share what they learn.
+/// Finds a group's leader and sends it requests; clones share the known leader.
 #[derive(Clone)]
 pub struct LeaderClient {
     directory: Arc<Directory>,
@@ -43,14 +43,14 @@
 }
 
 impl LeaderClient {
-    /// Creates a client of the group that `method` asks; it knows no leader yet.
+    /// Creates a client for the group that serves `method`, without a known leader.
     pub fn new(directory: Arc<Directory>, peers: PeerClients, method: Method) -> LeaderClient {
         LeaderClient { directory, peers, method, leader: Arc::default() }
     }
 
-    /// Asks until the leader answers; `None` when none did in time.
+    /// Sends a request until the leader answers. Returns `None` if no leader did within the limits.
     ///
-    /// A question may reach a leader more than once, so it must be idempotent.
+    /// A request may reach a leader more than once, so it must be idempotent.
     pub async fn ask<Q, A>(
         &self,
         question: &Q,
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Asks the store that is believed to lead, and notes what its reply says of the leader.
+    /// Calls the store that is believed to lead, and updates the known leader from the reply.
     async fn ask_once<Q, A>(
         &self,
         question: &Q,
--- a/crates/gypsumglade/src/leader_hint.rs
+++ b/crates/gypsumglade/src/leader_hint.rs
@@ -1,4 +1,4 @@
-//! Which store is believed to lead a group, and whom to ask when it is not known.
+//! Choice of the store to send a request for a group's leader to.
 
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -7,16 +7,16 @@
 
 use crate::directory::Directory;
 
-/// Time for which a store that did not answer is asked only if all others are silent too: the
-/// followers of one that fell silent name it for about as long. A leader that is only slow is asked
-/// again after it.
+/// Time for which a store that did not answer is called only if no other store is responsive.
+///
+/// Followers go on naming an unresponsive leader for about as long, until they elect another one.
 const UNRESPONSIVE_BACKOFF: Duration = Duration::from_millis(700);
 
-/// A believed leader, corrected by redirects and losses.
+/// The believed leader of a group, corrected by redirects and timeouts.
 ///
-/// A store that is suspended keeps its connections and answers nothing. Followers name it until they
-/// have elected another, and each question to it costs its whole timeout: entry VMs that went there
-/// three times took work under an old bundle for 3 s after it had been replaced.
+/// A suspended store keeps its connections open and answers nothing, while its followers redirect to it
+/// until they have elected another leader. Each call to it costs a whole timeout, during which an entry
+/// VM may act on a bundle that has been replaced, so unresponsive stores are avoided for a while.
 #[derive(Clone, Debug, Default)]
 pub struct LeaderHint {
     leader: Option<VmId>,
@@ -25,32 +25,34 @@
 }
 
 impl LeaderHint {
-    /// Starts without a leader; the first store asked is the one at `turn` of the list, so that
-    /// many processes don't all start at the same one.
+    /// Creates a hint without a leader that tries the store at index `next` of the list first.
+    ///
+    /// Processes that start at different indexes don't all call the same store.
     pub fn starting_at(next: usize) -> LeaderHint {
         LeaderHint { next, ..LeaderHint::default() }
     }
 
-    /// Notes that a store answered as the leader.
+    /// Records that a store answered as the leader.
     pub fn confirm(&mut self, vm: VmId) {
         self.leader = Some(vm);
         self.unresponsive.retain(|(other, _)| *other != vm);
     }
 
-    /// Follows a redirect of `from`; one that names nobody, or points back, moves on to the next
-    /// store.
+    /// Follows a redirect by the store `from`.
+    ///
+    /// Moves on to the next store if the redirect names no leader or the store itself.
     pub fn redirect(&mut self, from: Option<VmId>, leader: Option<VmId>) {
         self.leader = leader.filter(|leader| leader.0 != 0 && Some(*leader) != from);
         self.next += 1;
     }
 
-    /// Moves on to the next store, since the one asked could not tell.
+    /// Clears the leader and moves on to the next store.
     pub fn clear(&mut self) {
         self.leader = None;
         self.next += 1;
     }
 
-    /// Moves on to the next store after one did not answer.
+    /// Records that a store did not answer, and moves on to the next one.
     pub fn mark_unresponsive(&mut self, vm: VmId, now: Instant) {
         self.clear();
         self.unresponsive
@@ -58,7 +60,7 @@
         self.unresponsive.push((vm, now));
     }
 
-    /// Returns whom to ask now.
+    /// Returns the store to call next, or `None` if no store is known.
     pub fn target(&self, directory: &Directory, now: Instant) -> Option<(VmId, SocketAddr)> {
         let stores = directory.stores();
         let is_responsive = |vm: &VmId| {
--- a/crates/gypsumglade/src/members.rs
+++ b/crates/gypsumglade/src/members.rs
@@ -1,4 +1,4 @@
-//! What VM membership means for the rest of the process: who takes calls, and who is gone.
+//! Entry VMs as VM membership reports them to the rest of the process.
 
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr};
 
@@ -10,23 +10,24 @@
 use crate::membership::Member;
 use crate::settings::Settings;
 
-/// What an entry VM spreads about itself with its membership.
+/// Metadata that an entry VM publishes through the membership protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EntryDigest {
-    /// Drawn anew by each life of the process: a change means that the VM restarted, and that
-    /// whatever the earlier life held is held by nobody.
+    /// Random number drawn at each start of the process.
+    ///
+    /// A change means that the process restarted, and that calls of the earlier one are lost.
     pub boot_id: u32,
-    /// Its listener for calls between VMs.
+    /// Address of its listener for calls between VMs.
     pub peers: SocketAddr,
 }
 
-/// Bytes of a digest with a version 4 address.
+/// Encoded size of a digest with an IPv4 address.
 const IPV4_DIGEST_BYTES: usize = 10;
-/// Bytes of a digest with a version 6 address.
+/// Encoded size of a digest with an IPv6 address.
 const IPV6_DIGEST_BYTES: usize = 22;
 
 impl EntryDigest {
-    /// Returns the digest's bytes.
+    /// Encodes the digest.
     pub fn to_bytes(self) -> Bytes {
         let mut bytes = BytesMut::with_capacity(IPV6_DIGEST_BYTES);
         bytes.put_u32(self.boot_id);
@@ -38,7 +39,7 @@
         bytes.freeze()
     }
 
-    /// Reads a digest back; `None` for bytes of another form.
+    /// Decodes a digest. Returns `None` if the length is not that of a digest.
     pub fn from_bytes(mut bytes: &[u8]) -> Option<EntryDigest> {
         let length = bytes.len();
         if length != IPV4_DIGEST_BYTES && length != IPV6_DIGEST_BYTES {
@@ -54,23 +55,23 @@
     }
 }
 
-/// An entry VM as membership sees it, told to stores of the same VM.
+/// State of an entry VM according to membership, as entries report it to stores.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryMember {
-    /// The VM.
+    /// Identity of the VM.
     pub vm: VmId,
-    /// Its region.
+    /// Region that the VM is in.
     pub region: RegionId,
-    /// Whether it is believed up.
+    /// True unless membership considers the VM down.
     pub up: bool,
-    /// The life of its process.
+    /// Boot id of its process, see [`EntryDigest::boot_id`].
     pub life: u32,
-    /// Its listener for calls between VMs.
+    /// Address of its listener for calls between VMs.
     pub peers: SocketAddr,
 }
 
 impl EntryMember {
-    /// Reads a member; `None` until it has spread its digest.
+    /// Converts a member. Returns `None` if it has not published a digest yet.
     pub fn of(member: &Member) -> Option<EntryMember> {
         let digest = EntryDigest::from_bytes(&member.digest)?;
         Some(EntryMember {
@@ -82,24 +83,25 @@
         })
     }
 
-    /// Returns the address that the directory keeps.
+    /// Returns the member's entry in the directory.
     pub fn address(&self) -> EntryAddress {
         EntryAddress { vm: self.vm, region: self.region, peers: self.peers }
     }
 }
 
-/// The members, told only to an asker that does not know them: at 390 VMs the list is 36 KB, and
-/// it seldom changes.
+/// The list of entry VMs, left out if the caller already has it.
+///
+/// The list grows with the number of VMs and seldom changes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberUpdate {
-    /// Digest of the list.
+    /// Hash of the list.
     pub digest: u64,
-    /// The list, absent if the asker named its digest.
+    /// The list, or `None` if the caller's digest matches.
     pub members: Option<Vec<EntryMember>>,
 }
 
 impl MemberUpdate {
-    /// Returns what an asker has to learn that knows the list of digest `known`.
+    /// Creates the update for a caller whose list has the digest `known`.
     pub fn since(known: u64, members: Vec<EntryMember>) -> MemberUpdate {
         let text = serde_json::to_vec(&members).unwrap_or_default();
         let digest = xxh3_64(&text);
@@ -107,7 +109,7 @@
     }
 }
 
-/// Returns the membership addresses that a process asks first.
+/// Returns the membership addresses through which a process joins the other VMs.
 pub fn seeds(settings: &Settings) -> Vec<SocketAddr> {
     let others = settings.peers.iter().filter(|peer| peer.vm != settings.vm.id);
     others.map(|peer| peer.gossip).filter(|address| address.port() != 0).collect()
