--- a/crates/gypsumglade/src/store/context.rs
+++ b/crates/gypsumglade/src/store/context.rs
@@ -1,4 +1,4 @@
-//! What all groups of a store process share.
+//! State that all groups of a store process share.
 
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex, RwLock};
@@ -19,44 +19,44 @@
 use crate::replica::Host;
 use crate::rpc::{Method, PeerClients, encode};
 
-/// Longest wait for an entry VM to pass on a release, or a store a score.
+/// Timeout of calls to entry VMs and other stores.
 const PEER_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Shared by the groups of one store process.
 pub struct StoreContext {
-    /// This VM.
+    /// Identity of this VM.
     pub vm: VmId,
-    /// The process's clock.
+    /// Monotonic clock of the process.
     pub clock: Clock,
-    /// Its replicas.
+    /// Replicas of this store.
     pub host: Host,
-    /// Where the other VMs are.
+    /// Addresses of the other VMs.
     pub directory: Arc<Directory>,
-    /// Calls to the other VMs.
+    /// Clients for calls to the other VMs.
     pub peers: PeerClients,
-    /// Bounds of the program groups.
+    /// Settings of the program groups.
     pub program_settings: program::Settings,
     /// Metrics of the process.
     pub metrics: Metrics,
-    /// Batches on their way to the other stores.
+    /// Replication batches queued for the other stores.
     pub queues: Queues,
     /// Log of the process.
     pub log: slog::Logger,
     pub(super) groups: RwLock<Vec<ProgramGroup>>,
-    /// Entry VMs that are down by now, for a replica that begins to lead.
+    /// Entry VMs that are down, for replicas that become leader.
     pub(super) dead: Mutex<BTreeSet<VmId>>,
-    /// Groups of which a snapshot is on its way to the disk.
+    /// Groups whose snapshot is being written.
     pub(super) snapshotting: Mutex<BTreeSet<GroupId>>,
 }
 
-/// What became of an order to free an engine's memory.
+/// Outcome of an order to free an engine's memory of a program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReleaseAnswer {
-    /// The engine holds nothing of the program any more.
+    /// The engine has freed the memory.
     Freed,
-    /// The engine is gone for good, and its memory with it.
+    /// The engine no longer exists.
     Gone,
-    /// Not known; it is ordered again.
+    /// The outcome is unknown; the order is repeated.
     Failed,
 }
 
@@ -80,7 +80,7 @@
 }
 
 impl StoreContext {
-    /// Has some entry VM free an engine's memory of an ended program.
+    /// Frees an engine's memory of an ended program through a random entry VM.
     pub async fn release(&self, release: &Release) -> ReleaseAnswer {
         let entries = self.directory.entries();
         let Some(entry) = entries.iter().choose(&mut rand::rng()) else {
@@ -94,20 +94,20 @@
         called.map_or(ReleaseAnswer::Failed, |name| ReleaseAnswer::from_name(&name))
     }
 
-    /// Has an entry VM cancel a dispatch of a program that ended.
+    /// Asks an entry VM to cancel a dispatch of an ended program, without waiting for it.
     pub fn cancel(&self, dispatch: CompactString, vm: VmId) {
         let Some(address) = self.directory.entry(vm) else { return };
         let peers = self.peers.clone();
         tokio::spawn(async move {
             let mut parameters = ArrayParams::new();
             if parameters.insert(dispatch).is_ok() {
-                // The dispatch's own limits end it if this order is lost.
+                // If the call fails, the dispatch ends at its own time limits.
                 let _ = peers.call(address, Method::Cancel, parameters, PEER_TIMEOUT).await;
             }
         });
     }
 
-    /// Tells every group of every store what is known of a request that crashes endpoints.
+    /// Sends the crash score of a request to every program group of every store.
     pub fn broadcast_score(self: &Arc<Self>, score: Score) {
         let context = Arc::clone(self);
         tokio::spawn(async move {
@@ -118,7 +118,7 @@
                 }
                 let mut parameters = ArrayParams::new();
                 if parameters.insert(encode(&score)).is_ok() {
-                    // A store that misses it learns the score with the next death.
+                    // A store that misses it gets the score with the next crash.
                     let call = context.peers.call(address, Method::Score, parameters, PEER_TIMEOUT);
                     let _ = call.await;
                 }
@@ -126,12 +126,12 @@
         });
     }
 
-    /// Feeds a score to this store's groups; each leader makes it durable in its own.
+    /// Feeds a score to this store's program groups, whose leaders replicate it.
     pub async fn record_score(&self, score: Score) {
         self.feed_all(|| GroupInput::Scores(vec![score.clone()])).await;
     }
 
-    /// Feeds every program group of this store.
+    /// Feeds an input to every program group of this store.
     pub async fn feed_all(&self, input: impl Fn() -> GroupInput) {
         let groups = self.groups.read().expect("no panic while held").clone();
         for group in groups {
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Returns the entry VMs that are down by now.
+    /// Returns the entry VMs that are down.
     pub fn dead(&self) -> Vec<VmId> {
         self.dead.lock().expect("no panic while held").iter().copied().collect()
     }
@@ -148,14 +148,14 @@
         *self.dead.lock().expect("no panic while held") = dead;
     }
 
-    /// Notes that a group takes a snapshot, and tells whether it should. While one is on its way to the
-    /// disk, a second would only take memory.
+    /// Marks a group's snapshot as begun. Returns `false` if the one before is still being written, since
+    /// each snapshot in progress takes memory.
     pub(super) fn begin_snapshot(&self, group: GroupId) -> bool {
         self.snapshotting.lock().expect("no panic while held").insert(group)
     }
 
-    /// Has a snapshot written that [`StoreContext::begin_snapshot`] allowed, and doesn't wait for it:
-    /// commits must not wait for a disk that is slow.
+    /// Writes a snapshot begun with [`StoreContext::begin_snapshot`] in the background, so that commits
+    /// don't wait for a slow disk.
     pub(super) fn write_snapshot(self: &Arc<Self>, group: GroupId, index: LogIndex, data: Bytes) {
         let context = Arc::clone(self);
         tokio::spawn(async move {
@@ -164,7 +164,7 @@
         });
     }
 
-    /// Returns a program group by its number.
+    /// Returns a program group, or `None` if this store has no such group.
     pub fn group(&self, group: GroupId) -> Option<ProgramGroup> {
         let index = group.0.checked_sub(1)? as usize;
         self.groups.read().expect("no panic while held").get(index).cloned()
--- a/crates/gypsumglade/src/store/control_group.rs
+++ b/crates/gypsumglade/src/store/control_group.rs
@@ -1,4 +1,4 @@
-//! The control group on this store: bundles and configuration leases.
+//! The control group on this store: bundles, endpoints, and configuration and order leases.
 
 mod endpoints;
 mod order_lease;
@@ -30,15 +30,15 @@
 use crate::replica::{Event, ProposeError};
 use endpoints::LastAnnounced;
 
-/// The control group's state on one store, and its leases while it leads.
+/// The control group's state machine on one store, and the leases that it grants while it leads.
 pub struct ControlGroup {
     context: Arc<StoreContext>,
     keys: OperatorKeys,
     lease: LeaseSettings,
     state: Mutex<ControlState>,
-    /// Number of the last change to the endpoints.
+    /// Sequence number of the last change to the endpoints.
     endpoint_changes: watch::Sender<u64>,
-    /// Number of the revision that this store has applied.
+    /// Number of the last revision that this store has applied.
     applied_revision: watch::Sender<u64>,
 }
 
@@ -47,18 +47,16 @@
     answers: PendingAnswers<Answer>,
     role: Role,
     last_announced: LastAnnounced,
-    /// Renewals of the order lease, from this leader's first asker on.
+    /// Renewals of the order lease; set by the first request for it to this leader.
     order_grants: Option<OrderGrants>,
 }
 
-/// Longest wait of a reader for a follower to apply what the leader has committed: several
-/// heartbeats.
+/// Time that a read on a follower waits for a committed revision to be applied: several heartbeats.
 const APPLY_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Longest wait of an order's answer for the VMs to have its revision: a renewal's interval, and some
-/// time for the answer to get there. Operators count answers from a second on.
+/// Longest delay of an order's answer until its revision is in force: about one renewal interval.
 const IN_FORCE_TIMEOUT: Duration = Duration::from_millis(500);
-/// Pause between two looks at which VMs have it.
+/// Interval at which [`ControlGroup::await_in_force`] checks the leases.
 const IN_FORCE_POLL: Duration = Duration::from_millis(20);
 
 enum Role {
@@ -85,7 +83,7 @@
         Arc::new(ControlGroup { context, keys, lease, state, endpoint_changes, applied_revision })
     }
 
-    /// Applies the log's news until the process ends.
+    /// Applies replication events until the process ends.
     pub async fn run(self: Arc<Self>, mut events: mpsc::Receiver<Event>) {
         while let Some(event) = events.recv().await {
             match event {
@@ -99,7 +97,7 @@
         }
     }
 
-    /// Serves an operator's command or question.
+    /// Serves a command or a status query.
     pub async fn ask(&self, request: ControlRequest) -> ControlReply {
         let body = match request.body {
             Some(RequestBody::Command(command)) => match command.body {
@@ -114,12 +112,11 @@
         ControlReply { body: Some(body) }
     }
 
-    /// Serves an entry VM that renews its lease.
+    /// Renews an entry VM's configuration lease.
     ///
-    /// Leadership is confirmed after the answer was worked out and before it leaves, and in the
-    /// term that the answer was worked out in: a store that was paused, or lost leadership and got
-    /// it back, would otherwise grant next to another leader, and a bundle could be called in
-    /// force while a VM still acts on the one before.
+    /// Leadership in the term of the answer is confirmed before the answer is sent. A store that was paused,
+    /// or lost leadership and regained it, could otherwise grant a lease next to another leader's, and a
+    /// bundle could be reported in force while a VM still acts on the previous one.
     pub async fn renew(&self, request: &ConfirmRequest) -> ConfirmReply {
         let (reply, term) = self.work_out_renewal(request);
         let grants = matches!(reply.body, Some(ConfirmBody::Grant(_)));
@@ -145,7 +142,7 @@
         })
     }
 
-    /// Works an answer out, with the term that it holds in.
+    /// Returns the answer to a renewal, and the term that it is valid in.
     fn work_out_renewal(&self, request: &ConfirmRequest) -> (ConfirmReply, Option<Term>) {
         let now = self.context.clock.now();
         let mut state = self.state();
@@ -177,11 +174,10 @@
         }
     }
 
-    /// Waits until the VMs that renew their leases here have a new revision, or for a moment.
+    /// Waits until all VMs with a lease have an accepted revision, up to [`IN_FORCE_TIMEOUT`].
     ///
-    /// Once an order is acknowledged, its revision must be in force within seconds. If this store died
-    /// right after that, VMs would have to wait for another leader, and followers may not even know
-    /// that the revision is committed.
+    /// An acknowledged revision must be in force within seconds, also if this store fails right after the
+    /// acknowledgement. VMs that don't have the revision by then would have to wait for a new leader.
     async fn await_in_force(&self, answer: &Answer) {
         let Some(AnswerBody::Accepted(accepted)) = &answer.body else { return };
         let revision = RevisionNumber(accepted.revision);
@@ -191,7 +187,7 @@
         }
     }
 
-    /// Tells whether a VM with a lease of this leader may still act on an older revision.
+    /// Returns `true` if a VM with a lease from this leader may still act on an older revision.
     fn is_pending(&self, revision: RevisionNumber) -> bool {
         let now = self.context.clock.now();
         match &self.state().role {
@@ -203,7 +199,7 @@
         }
     }
 
-    /// Answers at once what need not, or must not, go into the log.
+    /// Returns the answer to a command that need not or must not be proposed, and `None` for all others.
     fn reject_early(&self, command: &Command) -> Option<ReplyBody> {
         let state = self.state();
         if let Role::Follower(leader) = state.role {
@@ -212,7 +208,7 @@
         state.control.check(command, &self.keys).err().map(ReplyBody::Answer)
     }
 
-    /// Waits until the entry at `index` is applied here, and returns its answer.
+    /// Waits until the entry at `index` is applied here and returns its answer, if it is known.
     async fn answer_at(&self, index: LogIndex) -> Option<Answer> {
         let found = self.state().answers.lookup(index);
         found.wait().await
@@ -245,7 +241,7 @@
     }
 
     fn become_leader(&self, term: Term) {
-        slog::info!(self.context.log, "leads the control group"; "term" => term.0);
+        slog::info!(self.context.log, "became leader of the control group"; "term" => term.0);
         let now = self.context.clock.now();
         let grants = ConfigGrants::for_leader(self.lease, now);
         let mut state = self.state();
@@ -281,8 +277,8 @@
             match Control::restore(data) {
                 Ok(control) => state.control = control,
                 Err(error) => {
-                    slog::crit!(self.context.log, "a control snapshot cannot be read; replace \
-                        this store's data folder"; "error" => %error);
+                    slog::crit!(self.context.log, "control group snapshot cannot be read; \
+                        replace this store's data folder"; "error" => %error);
                     return;
                 }
             }
@@ -303,7 +299,7 @@
         self.context.write_snapshot(GroupId::CONTROL, index, data);
     }
 
-    /// Tells the program groups of the revision, so that no grant is given under an older one.
+    /// Sends the current revision to the program groups, so that they grant nothing under an older one.
     async fn notify_groups(&self) {
         let found = self.state().control.current().cloned();
         let Some(revision) = found else { return };
@@ -314,14 +310,15 @@
         self.context.feed_all(input).await;
     }
 
-    /// Wakes whoever waits for a change of the endpoints or a revision.
+    /// Wakes the tasks that wait for an endpoint change or a revision.
     fn notify_watchers(&self, state: &ControlState) {
         self.endpoint_changes.send_replace(state.control.endpoints().change());
         self.applied_revision.send_replace(state.control.history().number().0);
     }
 
-    /// Returns the current revision once this store has applied `wanted`; `None` if it does not in
-    /// time, and nothing in it before the first bundle.
+    /// Returns the current revision once this store has applied the revision `wanted`.
+    ///
+    /// The outer `Option` is `None` on a timeout, the inner one before the first bundle.
     pub async fn await_revision(&self, wanted: RevisionNumber) -> Option<Option<Revision>> {
         let mut applied_revision = self.applied_revision.subscribe();
         let applied = applied_revision.wait_for(|applied| *applied >= wanted.0);
@@ -329,12 +326,12 @@
         Some(self.state().control.current().cloned())
     }
 
-    /// Tells whether a store is to be emptied, as far as this store has applied the log.
+    /// Returns `true` if a store is retiring, according to the log applied here.
     pub fn is_retiring(&self, vm: VmId) -> bool {
         self.state().control.is_retiring(vm)
     }
 
-    /// Returns the stores that are to be emptied, as far as this store has applied the log.
+    /// Returns the retiring stores, according to the log applied here.
     pub(super) fn retiring(&self) -> Vec<u32> {
         self.state().control.retiring().map(|vm| vm.0).collect()
     }
@@ -362,11 +359,10 @@
     ReplyBody::NotLeader(NotLeader { leader: leader.unwrap_or_default().0 })
 }
 
-/// Answers a VM that asks a store that doesn't lead.
+/// Answers a renewal on a follower.
 ///
-/// What a follower has applied is committed, so a newer revision may be told by anyone; only a lease
-/// needs the leader. While there is none, VMs would otherwise act on an older revision for as long as
-/// their leases last, next to stores that know better.
+/// Only the leader grants leases, but every applied revision is committed, so a follower may send a newer
+/// one. Without a leader, VMs would otherwise act on an older revision until their leases expire.
 fn follower_reply(
     control: &Control,
     request: &ConfirmRequest,
--- a/crates/gypsumglade/src/store/control_group/endpoints.rs
+++ b/crates/gypsumglade/src/store/control_group/endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoints' announcements at the control group, and the entry VMs that follow them.
+//! Registration of endpoints at the control group, and queries by entry VMs that watch them.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -14,14 +14,14 @@
 
 use super::{ControlGroup, Role, not_leader};
 
-/// Longest time that a question for news may wait.
+/// Longest time that a query waits for a change.
 const MAX_WAIT: Duration = Duration::from_secs(5);
-/// Pause between two looks for endpoints that fell silent.
+/// Interval between two checks for expired endpoints.
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(500);
-/// Time between two looks past which the process counts as paused.
+/// Time between two checks from which the process counts as paused.
 const PAUSE_THRESHOLD: Duration = Duration::from_millis(1_500);
 
-/// When endpoints were last heard, in the memory of the leader.
+/// Time of each endpoint's last announcement to this leader.
 #[derive(Debug, Default)]
 pub(super) struct LastAnnounced(HashMap<CompactString, Time>);
 
@@ -33,9 +33,10 @@
         }
     }
 
-    /// Tells whether an endpoint has been silent for `lease`. One that this leader never heard is
-    /// silent from the first time that it is asked about: a new leader must not drop endpoints
-    /// that announced themselves to the one before.
+    /// Returns `true` if an endpoint has not announced itself for longer than `lease`.
+    ///
+    /// For an endpoint that this leader has never heard from, the time starts at the first check: a new
+    /// leader must not remove endpoints that announced themselves to the previous one.
     fn is_expired(&mut self, name: &str, now: Time, lease: Duration) -> bool {
         let at = *self.0.entry(name.into()).or_insert(now);
         now.since(at) > lease
@@ -43,11 +44,10 @@
 }
 
 impl ControlGroup {
-    /// Takes an endpoint's announcement.
+    /// Handles an endpoint's announcement.
     ///
-    /// What changes anything is committed before it is acknowledged, since an endpoint that was
-    /// told that its draining is known relies on all entry VMs, whoever leads next. The rest only
-    /// proves that it is alive.
+    /// Changes are committed before they are acknowledged: an endpoint whose draining is acknowledged relies
+    /// on all entry VMs to honour it, also under a new leader. A repeated announcement only renews the lease.
     pub(super) async fn register(&self, register: Register) -> ReplyBody {
         let Some(record) = &register.endpoint else { return not_leader(None) };
         let now = self.context.clock.now();
@@ -61,7 +61,7 @@
             (state.control.endpoints().is_update(record), term)
         };
         if update {
-            slog::info!(self.context.log, "endpoint announced"; "endpoint" => &record.name,
+            slog::info!(self.context.log, "endpoint registered"; "endpoint" => &record.name,
                 "address" => &record.address, "pool" => &record.pool,
                 "incarnation" => record.incarnation, "leaving" => record.leaving);
             return self.command(Command { body: Some(CommandBody::Register(register)) }).await;
@@ -73,22 +73,22 @@
         ReplyBody::Answer(Answer { body: Some(body) })
     }
 
-    /// Takes an endpoint's word that it is gone, or about to go without a further word.
+    /// Removes an endpoint that has shut down or is about to.
     pub(super) async fn deregister(&self, mut gone: Deregister) -> ReplyBody {
         if gone.incarnation == 0 {
             let state = self.state();
             let known = state.control.endpoints().get(&gone.name);
             gone.incarnation = known.map(|record| record.incarnation).unwrap_or_default();
         }
-        slog::info!(self.context.log, "endpoint departs"; "endpoint" => &gone.name,
+        slog::info!(self.context.log, "endpoint deregistered"; "endpoint" => &gone.name,
             "incarnation" => gone.incarnation);
         self.command(Command { body: Some(CommandBody::Deregister(gone)) }).await
     }
 
-    /// Tells an entry VM of the endpoints, once they differ from what it knows.
+    /// Returns the endpoint changes since the query's last one, and waits for a change if there is none.
     ///
-    /// Only a leader with its lease answers: a store that was cut off would tell an entry VM that
-    /// reaches it that nothing changed, while endpoints drain and are replaced.
+    /// Only a leader with a valid lease answers: a partitioned store would report no changes while endpoints
+    /// drain and are replaced.
     pub async fn watch_endpoints(&self, query: &EndpointQuery) -> EndpointNews {
         let wait = Duration::from_millis(query.wait_ms).min(MAX_WAIT);
         let deadline = Instant::now() + wait;
@@ -117,22 +117,22 @@
         update
     }
 
-    /// Removes endpoints that fell silent, for as long as this store leads.
+    /// Removes expired endpoints while this store leads, until `halt` is cancelled.
     pub async fn expire_endpoints(self: Arc<Self>, lease: Duration, halt: CancellationToken) {
         let mut last_check = self.context.clock.now();
         while !halt.is_cancelled() {
             let now = self.context.clock.now();
             if now.since(last_check) > PAUSE_THRESHOLD {
-                // The process was paused. Endpoints were silent only because nobody listened, and
-                // dropping them all would leave callers without any.
+                // The process was paused and received no announcements. Removing all endpoints would leave
+                // callers without any.
                 self.state().last_announced = LastAnnounced::default();
             }
             last_check = now;
             for deregister in self.expired_endpoints(lease) {
-                slog::warn!(self.context.log, "endpoint fell silent and is removed";
+                slog::warn!(self.context.log, "endpoint expired and is removed";
                     "endpoint" => &deregister.name, "incarnation" => deregister.incarnation);
                 let command = Command { body: Some(CommandBody::Deregister(deregister)) };
-                // A leader that is deposed meanwhile leaves it to the next one.
+                // If leadership is lost, the next leader removes the endpoint.
                 self.command(command).await;
             }
             tokio::select! {
--- a/crates/gypsumglade/src/store/control_group/order_lease.rs
+++ b/crates/gypsumglade/src/store/control_group/order_lease.rs
@@ -1,4 +1,4 @@
-//! The granting side of the order lease, on the store that leads the control group.
+//! Grants and renewals of the order lease by the control group's leader.
 
 use gypsumglade_core::orders::{OrderGrants, OrderSettings};
 use gypsumglade_core::prelude::*;
@@ -10,26 +10,26 @@
 
 use super::{ControlGroup, Role, not_leader};
 
-/// What the leader may do about an asker.
+/// Decision on a request for the order lease.
 enum LeaseDecision {
-    /// Renewed, if leadership is confirmed afterwards.
+    /// Renewed, provided that leadership is confirmed afterwards.
     Renewed,
-    /// The log may give it the lease.
+    /// The lease may be granted to the caller through the log.
     Free,
-    /// Another VM holds it.
+    /// Another VM holds the lease.
     Held(OrderLease),
-    /// This store does not lead.
+    /// This store does not lead; names the leader if it is known.
     NotLeader(Option<VmId>),
 }
 
 impl ControlGroup {
-    /// Gives or renews the order lease; an asker that is answered another VM's lease waits.
+    /// Grants or renews the order lease, or returns the lease that another VM holds.
     ///
-    /// An answer that names the asker is a renewal from the moment it asked. It leaves only once
-    /// the leader was confirmed after the renewal, and has applied all that was committed until
-    /// then: a paused leader would otherwise renew a lease that its successor has given away.
+    /// A renewal counts from the time of the request. Before it is answered, leadership is confirmed and all
+    /// entries committed until then are applied: a leader that was paused could otherwise renew a lease that
+    /// its successor has granted to another VM.
     pub(super) async fn take_order_lease(&self, take: TakeOrderLease) -> ReplyBody {
-        // A new leader that has not applied the log yet would take a held lease for a free one.
+        // A new leader that has not applied the log yet could mistake a held lease for a free one.
         let unheld = self.state().control.order_lease().is_none();
         if unheld && !self.is_caught_up().await {
             return uncertain();
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Has the log give a free lease to the asker; answers only if that came to nothing.
+    /// Proposes a grant to the caller if the lease is free. Returns a reply only if that failed.
     async fn grant_if_free(&self, take: &TakeOrderLease) -> Option<ReplyBody> {
         let LeaseDecision::Free = self.try_renew(take) else { return None };
         let command = Command { body: Some(CommandBody::TakeOrders(*take)) };
@@ -71,9 +71,9 @@
         if let Some(held) = held.filter(|held| !grants.may_take(Some(held), take, now)) {
             return LeaseDecision::Held(held);
         }
-        // Two askers could otherwise both be let into the log, and the first renewed before the
-        // second's entry is applied: two holders at once. Until this one's entry is surely
-        // applied, the leader waits as one that knows nothing of earlier grants.
+        // Resetting the grants prevents two holders: two callers' entries could otherwise both be
+        // proposed, and the first holder renewed before the second's entry is applied. Until this
+        // entry is surely applied, the leader waits as a new leader does.
         *grants = OrderGrants::for_leader(settings, now);
         LeaseDecision::Free
     }
--- a/crates/gypsumglade/src/store/follower_watch.rs
+++ b/crates/gypsumglade/src/store/follower_watch.rs
@@ -1,4 +1,4 @@
-//! Tells in the log which members of the led groups fall behind or silent.
+//! Logs when followers of the led groups fall behind, stop responding or catch up.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,44 +11,44 @@
 use crate::metrics::group_name;
 use crate::replica::HostStatus;
 
-/// Pause between two looks.
+/// Interval between two checks.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// Least time between two lines on one member, so that one that comes and goes can't fill the log.
+/// Minimum time between two log lines about one follower, so that a flapping one can't fill the log.
 const MIN_LOG_INTERVAL: Duration = Duration::from_secs(2);
-/// Silence from which a member counts as silent: an election's patience and then some.
+/// Silence from which a follower counts as unresponsive; longer than an election timeout.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Bytes that a member lacks from which it counts as behind: more than a leader lets be under way.
+/// Missing bytes above which a follower counts as behind; more than a leader keeps in flight.
 const BEHIND_BYTES: u64 = 512 * 1024;
-/// Entries that a member lacks from which it counts as behind: a second or two of a busy group.
+/// Missing entries above which a follower counts as behind; a second or two of a busy group.
 const BEHIND_ENTRIES: u64 = 500;
-/// Part of these bounds under which it counts as caught up again.
+/// Divisor of these bounds for a follower that is behind, so that its state doesn't flap.
 const CAUGHT_UP_DIVISOR: u64 = 8;
 
-/// How one member follows.
+/// How well a follower keeps up with its leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FollowerState {
-    /// It has all but what is under way.
+    /// Lacks little more than the entries in flight.
     CaughtUp,
-    /// It lacks much of the log, or is sent a snapshot.
+    /// Lacks many entries or bytes of the log, or is being sent a snapshot.
     Behind,
-    /// It doesn't answer.
+    /// Has not answered for a while.
     Unresponsive,
 }
 
-/// A change in how one member follows.
+/// A change of a follower's state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
-    /// The group.
+    /// Group of the follower.
     pub group: GroupId,
-    /// How the member followed before.
+    /// State that was reported before.
     pub before: FollowerState,
-    /// How it follows now.
+    /// Current state.
     pub now: FollowerState,
-    /// What it lacks.
+    /// Follower and its lag.
     pub lag: Lag,
 }
 
-/// How each member of the led groups followed at the last look.
+/// Last reported state of each follower in the led groups.
 #[derive(Debug, Default)]
 pub struct FollowerWatch {
     members: BTreeMap<(GroupId, VmId), Reported>,
@@ -61,7 +61,7 @@
 }
 
 impl FollowerWatch {
-    /// Returns what has changed since the last look.
+    /// Updates the states and returns the changes to report.
     pub fn update(&mut self, status: &HostStatus, now: Time) -> Vec<Change> {
         let led = status.groups.iter().filter(|group| group.role == Role::Leader);
         let lags: Vec<_> =
@@ -95,7 +95,7 @@
     }
 }
 
-/// Looks at the led groups' members until `halt`.
+/// Logs changes of the followers' states until `halt` is cancelled.
 pub(super) async fn watch(context: Arc<StoreContext>, halt: CancellationToken) {
     let mut watch = FollowerWatch::default();
     while !halt.is_cancelled() {
@@ -112,10 +112,10 @@
 
 fn log_change(log: &slog::Logger, change: &Change) {
     let message = match (change.before, change.now) {
-        (_, FollowerState::Unresponsive) => "a follower is silent",
-        (FollowerState::Unresponsive, _) => "a follower is heard again",
-        (_, FollowerState::Behind) => "a follower has fallen behind",
-        (_, FollowerState::CaughtUp) => "a follower has caught up",
+        (_, FollowerState::Unresponsive) => "follower does not respond",
+        (FollowerState::Unresponsive, _) => "follower responds again",
+        (_, FollowerState::Behind) => "follower has fallen behind",
+        (_, FollowerState::CaughtUp) => "follower has caught up",
     };
     let silent = u64::try_from(change.lag.silent.as_millis()).unwrap_or(u64::MAX);
     slog::info!(log, "{}", message; "group" => change.group.0,
--- a/crates/gypsumglade/src/store/gauges.rs
+++ b/crates/gypsumglade/src/store/gauges.rs
@@ -1,4 +1,4 @@
-//! What a store holds and what its followers lack, worked out when the metrics page is asked for.
+//! Gauges of a store's memory and its followers' lag, computed for each request of the metrics page.
 
 use gypsumglade_core::prelude::*;
 use gypsumglade_core::replication::Role;
@@ -8,11 +8,11 @@
 use crate::metrics::group_name;
 use crate::replica::{Held, HostStatus};
 
-/// Longest wait for the replicas' state; the page goes without it then, which shows that they are
-/// held up.
+/// Timeout of the replicas' status. On a timeout, the page lacks their gauges and
+/// `store_replicas_respond` is 0.
 const STATUS_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Gauges of one page.
+/// Registers the gauges of one page.
 struct Gauges {
     registry: Registry,
 }
@@ -20,7 +20,7 @@
 /// Returns the store's part of the metrics page.
 ///
 /// # Errors
-/// Fails when a metric cannot be written, which is a fault of the program.
+/// Fails when a metric cannot be registered or encoded, which is a bug.
 pub(crate) async fn metrics_page(state: &StoreState) -> anyhow::Result<String> {
     let status = tokio::time::timeout(STATUS_TIMEOUT, state.context.host.status()).await;
     let gauges = Gauges { registry: Registry::new() };
@@ -75,7 +75,7 @@
         let silent = self.gauge("follower_silent_seconds", "time without an answer", &labels)?;
         let snapshot = self.gauge("follower_takes_snapshot", "1 if sent a snapshot", &labels)?;
         for group in &status.groups {
-            // Program groups share a label: the worst of them counts.
+            // Program groups share a label, which shows the highest value.
             let name = [group_name(group.group)];
             let led = group.role == Role::Leader;
             set_max(&leads, &name, f64::from(u8::from(led)));
--- a/crates/gypsumglade/src/store/member_watch.rs
+++ b/crates/gypsumglade/src/store/member_watch.rs
@@ -1,4 +1,4 @@
-//! Learns from an entry VM who takes part, and tells the groups of VMs that are gone.
+//! Polls an entry VM for the membership, and reports failed entry VMs to the program groups.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
@@ -12,25 +12,27 @@
 use crate::members::{EntryMember, MemberUpdate};
 use crate::rpc::Method;
 
-/// Pause between two askings.
+/// Interval between two polls.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
-/// Longest wait for an entry's answer.
+/// Timeout of a poll.
 const POLL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time for which a VM must be seen down before its calls count as lost.
+/// Time that a VM must be down before its calls count as lost.
 ///
-/// A suspicion that is refuted in between costs nothing then; a call declared lost stays in doubt.
+/// A VM that turns out to be up within this time loses no calls, while the outcome of a lost call is
+/// unknown.
 const GRACE_PERIOD: Duration = Duration::from_secs(2);
 
-/// Lives of the entry VMs as last told.
+/// State of the entry VMs according to the last update.
 #[derive(Default)]
 struct MemberWatch {
     boot_ids: HashMap<VmId, u32>,
+    /// Since when each VM is down; [`Time::MAX`] once it was reported.
     down: HashMap<VmId, Time>,
     members: Vec<EntryMember>,
     digest: u64,
 }
 
-/// Asks until the process ends: the entry on the same VM first, then any other.
+/// Polls until `halt` is cancelled: the entry on the same VM first, and the others once a poll fails.
 pub async fn watch(context: Arc<StoreContext>, halt: CancellationToken) {
     let mut watch = MemberWatch::default();
     let mut attempt = 0;
@@ -39,7 +41,7 @@
             Some(update) => {
                 let members = watch.update(update);
                 for vm in watch.gone(&members, context.clock.now()) {
-                    slog::warn!(context.log, "an entry VM is gone"; "gone" => vm.0);
+                    slog::warn!(context.log, "entry VM has failed or restarted"; "gone" => vm.0);
                     context.feed_all(|| GroupInput::VmGone(vm)).await;
                 }
                 context.set_dead(watch.dead());
@@ -66,7 +68,7 @@
     parameters.insert(known).ok()?;
     let call = context.peers.call(entry.peers, Method::Members, parameters, POLL_TIMEOUT);
     let update: MemberUpdate = serde_json::from_str(&call.await.ok()?).ok()?;
-    // An entry that knows itself alone has not joined yet.
+    // An entry that lists only itself has not joined the others yet.
     let alone = update.members.as_ref().is_some_and(|members| members.len() < 2);
     (!alone).then_some(update)
 }
@@ -80,7 +82,7 @@
         self.members.clone()
     }
 
-    /// Returns the VMs whose calls nobody carries any more: down for a while, or restarted.
+    /// Returns the VMs whose calls are lost: newly down for the grace period, or restarted.
     fn gone(&mut self, members: &[EntryMember], now: Time) -> Vec<VmId> {
         let mut gone = Vec::new();
         for member in members {
@@ -94,13 +96,13 @@
         gone
     }
 
-    /// Returns the VMs that have been down for the grace time.
+    /// Returns the VMs that have been down for the grace period.
     fn dead(&self) -> BTreeSet<VmId> {
         let dead = self.down.iter().filter(|(_, since)| **since == Time::MAX);
         dead.map(|(vm, _)| *vm).collect()
     }
 
-    /// Tells once that a VM has been down for the grace time.
+    /// Returns `true` once, when a VM has been down for the grace period.
     fn is_dead(&mut self, member: &EntryMember, now: Time) -> bool {
         if member.up {
             self.down.remove(&member.vm);
--- a/crates/gypsumglade/src/store/mod.rs
+++ b/crates/gypsumglade/src/store/mod.rs
@@ -1,4 +1,4 @@
-//! The store daemon: control and program groups on durable replicas.
+//! The store process: durable replicas of the control, program and turn groups, and texts of kept turns.
 
 pub mod context;
 pub mod control_group;
--- a/crates/gypsumglade/src/store/outbound.rs
+++ b/crates/gypsumglade/src/store/outbound.rs
@@ -1,4 +1,4 @@
-//! Carries replication batches to the other stores.
+//! Sends replication batches to the other stores.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -12,47 +12,47 @@
 use crate::replica::Outbound;
 use crate::rpc::Link;
 
-/// Batches that may wait to be told apart by peer; beyond it they are dropped. Each is of 256 KB at
-/// most, so they hold 16 MB even while no thread of the runtime gets to run.
+/// Batches that wait to be moved to the queue of their peer. Further ones are dropped, so that memory
+/// stays bounded while the runtime is blocked.
 pub(super) const CHANNEL_CAPACITY: usize = 64;
-/// Bytes that may wait for one peer; beyond it batches are dropped, and replication repeats them.
+/// Bytes of batches queued for one peer. Further batches are dropped, and replication repeats them.
 const QUEUE_BYTES: usize = 1024 * 1024;
-/// Bytes of pieces of snapshots that may wait for one peer.
+/// Bytes of snapshot chunks queued for one peer.
 const BULK_BYTES: usize = 512 * 1024;
-/// Bytes that only small batches may use of the queue: heartbeats and votes must get through to a
-/// peer that is behind, or its leader is deposed on top.
+/// Additional bytes reserved for small batches: heartbeats and votes must reach a peer that is behind,
+/// or it would start an election.
 const RESERVE_BYTES: usize = 128 * 1024;
-/// Bytes up to which a batch is small.
+/// Largest size of a small batch.
 const SMALL_BYTES: usize = 4 * 1024;
-/// Longest wait for a peer to take a batch, before another link is opened.
+/// Longest wait for a peer to accept or acknowledge a frame before the link is reopened.
 const PEER_TIMEOUT: Duration = Duration::from_secs(1);
-/// Pause after a link could not be opened.
+/// Pause after a failed attempt to open a link.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(100);
-/// Frames under way to one peer.
+/// Frames in flight to one peer.
 ///
-/// With one at a time, a link between regions carries fewer batches a second than a leader under load
-/// makes: they queue for seconds, heartbeats come late and every election is lost again.
+/// With a single frame, the round trip between regions would limit throughput below what a loaded leader
+/// produces, and queued heartbeats would arrive too late to prevent elections.
 const MAX_IN_FLIGHT: usize = 32;
-/// Bytes after which waiting batches go out in more than one frame.
+/// Size from which no further batch is joined to a frame.
 const FRAME_BYTES: usize = 256 * 1024;
-/// Bytes under way to one peer. What is handed to the kernel can't be overtaken any more: at this
-/// size it delays a heartbeat by less than a tenth of a second on a link between regions.
+/// Bytes in flight to one peer. Heartbeats queue behind them in the kernel's buffers, so this bounds
+/// the delay of a heartbeat on a link between regions.
 const MAX_IN_FLIGHT_BYTES: usize = 512 * 1024;
 
-/// Batches that wait for each peer.
+/// Queues of batches, one for each peer.
 #[derive(Clone, Debug, Default)]
 pub struct Queues {
     peers: Arc<Mutex<BTreeMap<VmId, Arc<PeerQueue>>>>,
 }
 
 impl Queues {
-    /// Returns how many bytes wait for each peer.
+    /// Returns the number of queued bytes for each peer.
     pub fn waiting(&self) -> Vec<(VmId, usize)> {
         let peers = self.peers.lock().expect("no panic while held");
         peers.iter().map(|(&vm, queue)| (vm, queue.bytes())).collect()
     }
 
-    /// Returns a peer's queue, and whether it is a new one.
+    /// Returns a peer's queue, and whether it was newly created.
     fn peer(&self, vm: VmId) -> (Arc<PeerQueue>, bool) {
         let mut peers = self.peers.lock().expect("no panic while held");
         let new = !peers.contains_key(&vm);
@@ -60,8 +60,9 @@
     }
 }
 
-/// Batches that wait for one peer, bounded by bytes. Pieces of snapshots wait apart, so that
-/// heartbeats, votes and entries never stand behind them.
+/// Queue of batches for one peer, bounded by bytes.
+///
+/// Snapshot chunks are queued apart, so that heartbeats, votes and entries never wait behind them.
 #[derive(Debug, Default)]
 pub struct PeerQueue {
     waiting: Mutex<Waiting>,
@@ -76,17 +77,17 @@
     bulk_bytes: usize,
 }
 
-/// What goes to a peer at one time.
+/// Bytes sent to a peer as one message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Frame {
-    /// One batch, or several that were joined.
+    /// One or more encoded batches.
     pub bytes: Bytes,
-    /// Whether it is a piece of a snapshot.
+    /// Whether the frame is a snapshot chunk.
     pub bulk: bool,
 }
 
 impl PeerQueue {
-    /// Adds a batch, and tells whether there was room for it.
+    /// Adds a batch. Returns `false` if the queue is full and the batch was dropped.
     pub fn push(&self, batch: Bytes, bulk: bool) -> bool {
         let mut waiting = self.waiting();
         let (taken, limit) = match (bulk, batch.len() <= SMALL_BYTES) {
@@ -109,10 +110,10 @@
         true
     }
 
-    /// Takes what goes next: all that waits but pieces of snapshots, or one of these, if `bulk` may go.
+    /// Removes the next frame: queued batches first, or a snapshot chunk if `bulk` is set.
     ///
-    /// Batches are joined, which their encoding allows: messages written one after another read as one
-    /// that holds the lists of both, and the later of two pulses.
+    /// Batches are joined by concatenation. Protocol Buffers decode the result as one batch with the
+    /// messages of all and the last pulse.
     pub fn take(&self, bulk: bool) -> Option<Frame> {
         let mut waiting = self.waiting();
         if waiting.regular.is_empty() {
@@ -124,18 +125,18 @@
         Some(Frame { bytes, bulk: false })
     }
 
-    /// Returns the bytes that wait.
+    /// Returns the number of queued bytes.
     pub fn bytes(&self) -> usize {
         let waiting = self.waiting();
         waiting.regular_bytes + waiting.bulk_bytes
     }
 
-    /// Drops all that waits.
+    /// Drops all queued batches.
     fn clear(&self) {
         *self.waiting() = Waiting::default();
     }
 
-    /// Resolves with what goes next.
+    /// Waits for the next frame.
     async fn next(&self, bulk: bool) -> Frame {
         loop {
             let ready = self.ready.notified();
@@ -168,7 +169,7 @@
     }
 }
 
-/// Sends batches, none waiting for another peer's.
+/// Moves batches to the queues of their peers, each of which is sent by a task of its own.
 pub(super) async fn send_batches(
     context: Arc<StoreContext>,
     mut batches: mpsc::Receiver<Outbound>,
@@ -178,16 +179,16 @@
         if new {
             tokio::spawn(send_to_peer(Arc::clone(&context), batch.to, Arc::clone(&queue)));
         }
-        // A full queue means a slow or silent peer; what is dropped is repeated.
+        // A full queue means a slow or unresponsive peer; replication repeats dropped batches.
         queue.push(batch.batch, batch.bulk);
     }
 }
 
-/// Keeps a link to one peer and sends it what comes, until the process ends.
+/// Keeps a link to one peer and sends its queue, until the process ends.
 async fn send_to_peer(context: Arc<StoreContext>, to: VmId, queue: Arc<PeerQueue>) {
     loop {
         let Some(address) = context.directory.store(to) else {
-            // Replication repeats what it can't send now; what waits would be old by then.
+            // Replication repeats dropped batches; queued ones would be stale once the address is known.
             queue.next(true).await;
             continue;
         };
@@ -199,7 +200,7 @@
     }
 }
 
-/// A frame that the peer hasn't taken yet.
+/// A frame that the peer has not acknowledged yet.
 #[derive(Clone, Copy, Debug)]
 struct SentFrame {
     at: Instant,
@@ -207,15 +208,16 @@
     bulk: bool,
 }
 
-/// Sends batches until the link breaks or the peer falls silent on it. Connections may go silent
-/// without a reset; only the answers that stay away show it.
+/// Sends frames until the link fails or an acknowledgement times out.
+///
+/// A connection can fail without a reset, which only missing acknowledgements show.
 async fn send_frames(mut link: Link, queue: &PeerQueue) {
     let mut in_flight: VecDeque<SentFrame> = VecDeque::new();
     loop {
         let oldest = in_flight.front().map_or_else(Instant::now, |sent| sent.at);
         let in_flight_bytes: usize = in_flight.iter().map(|sent| sent.bytes).sum();
         let has_room = in_flight.len() < MAX_IN_FLIGHT && in_flight_bytes < MAX_IN_FLIGHT_BYTES;
-        // A second piece on its way would only stand before heartbeats for longer.
+        // A second chunk in flight would delay heartbeats for longer.
         let bulk = !in_flight.iter().any(|sent| sent.bulk);
         tokio::select! {
             frame = queue.next(bulk), if has_room => {
--- a/crates/gypsumglade/src/store/peer_calls.rs
+++ b/crates/gypsumglade/src/store/peer_calls.rs
@@ -1,4 +1,4 @@
-//! Calls that other processes of the system make to a store.
+//! RPC methods that a store serves to other processes of the deployment.
 
 use std::sync::Arc;
 
@@ -17,13 +17,13 @@
 use crate::entry::groups::group_of;
 use crate::rpc::{Method, decode, encode, invalid_payload};
 
-/// Answer to a call that has nothing to tell.
+/// Answer of methods without a result.
 const DONE: &str = "done";
 
-/// Returns the methods of a store.
+/// Returns the RPC module of a store.
 ///
 /// # Errors
-/// Fails when a name is registered twice, which is a fault of the program.
+/// Fails when a method name is registered twice, which is a bug.
 pub fn methods(state: Arc<StoreState>) -> anyhow::Result<RpcModule<Arc<StoreState>>> {
     let mut module = RpcModule::new(state);
     module.register_async_method(Method::Program.name(), |parameters, state, _| async move {
@@ -31,7 +31,8 @@
         let request: Request = decode(&text).map_err(|error| invalid_payload(&error))?;
         let group = checked_group(&state, group, &request)?;
         let reply = group.ask(from, request).await;
-        let reply = reply.ok_or_else(|| invalid_payload(&anyhow::anyhow!("the store stops")))?;
+        let reply =
+            reply.ok_or_else(|| invalid_payload(&anyhow::anyhow!("the store is shutting down")))?;
         Ok::<_, ErrorObjectOwned>(encode(&reply))
     })?;
     module.register_async_method(Method::Control.name(), |parameters, state, _| async move {
@@ -63,7 +64,7 @@
     module.register_async_method(Method::PutTexts.name(), |parameters, state, _| async move {
         let text: String = parameters.one()?;
         let put: turn::TextPut = decode(&text).map_err(|error| invalid_payload(&error))?;
-        // An entry VM that hasn't heard yet that this store is to be emptied chooses another one.
+        // An entry VM that doesn't know yet that this store is retiring chooses another one.
         let stored = match is_retiring(&state) {
             true => turn::TextStored { stored: false, vm: state.context.vm.0 },
             false => state.texts.put(put).await,
@@ -94,18 +95,18 @@
     Ok(module)
 }
 
-/// Tells whether this store is to be emptied, as far as it knows.
+/// Returns `true` if this store knows that it is retiring.
 fn is_retiring(state: &StoreState) -> bool {
     let vm = state.context.vm;
     let told = state.discovery.as_ref().is_some_and(|known| known.retiring().contains(&vm));
     told || state.control.is_retiring(vm)
 }
 
-/// Returns the group that a request was sent to, if its program lives there.
+/// Returns the group that a request was sent to, if all its programs belong to that group.
 ///
-/// VMs whose settings name another count of groups send one program to two groups. Its caller
-/// would see turns forgotten, and a deposit could run in each. The store works the group out
-/// itself and refuses, so that nothing is granted in the wrong one.
+/// VMs whose settings differ in the number of groups would send a program to two groups, which would lose
+/// turns and could grant the same work in both. The store therefore computes the group itself and refuses
+/// a mismatch.
 fn checked_group(
     state: &StoreState,
     group: GroupId,
@@ -117,11 +118,13 @@
         .all(|name| group_of(&name.org, &name.program, groups) == group);
     let found = state.context.group(group).filter(|_| own);
     found.ok_or_else(|| {
-        let wrong = "not the group of this program: set `groups` alike on every VM";
+        let wrong =
+            "the program belongs to another group: set `groups` to the same number on every VM";
         invalid_payload(&anyhow::anyhow!("{group}: {wrong}"))
     })
 }
 
+/// Returns the programs that a request names.
 fn programs_of(request: &Request) -> Vec<&ProgramRef> {
     let one = match &request.body {
         Some(Body::BeginTurn(turn)) => turn.program.as_ref(),
--- a/crates/gypsumglade/src/store/pending_answers.rs
+++ b/crates/gypsumglade/src/store/pending_answers.rs
@@ -1,14 +1,14 @@
-//! Answers of a state machine on their way to the askers whose commands it applied.
+//! Delivers a state machine's answers to the callers that proposed the commands.
 
 use std::collections::VecDeque;
 
 use gypsumglade_core::replication::LogIndex;
 use tokio::sync::oneshot;
 
-/// Answers kept for askers that learn their entry's place after it was applied.
+/// Answers kept for callers that learn the index of their log entry after it was applied.
 const MAX_RECENT: usize = 256;
 
-/// Who waits for which entry's answer.
+/// Callers that wait for the answer of a log entry, and recent answers.
 #[derive(Debug)]
 pub(super) struct PendingAnswers<A> {
     applied: LogIndex,
@@ -16,17 +16,17 @@
     recent: VecDeque<(LogIndex, A)>,
 }
 
-/// What an asker gets for an entry's place.
+/// Result of a lookup by log index.
 #[derive(Debug)]
 pub(super) enum Lookup<A> {
-    /// The answer, or nothing where it is no longer kept.
+    /// The entry was applied; `None` if its answer is no longer kept.
     Known(Option<A>),
-    /// The entry is not applied yet; a dropped sender means that nobody can tell.
+    /// The entry is not applied yet. The sender is dropped if its answer can't be known.
     Pending(oneshot::Receiver<A>),
 }
 
 impl<A> Lookup<A> {
-    /// Waits until the entry is applied; nothing where nobody can tell its answer.
+    /// Waits until the entry is applied. Returns `None` if its answer can't be known.
     pub(super) async fn wait(self) -> Option<A> {
         match self {
             Lookup::Known(answer) => answer,
@@ -46,12 +46,12 @@
 }
 
 impl<A: Clone> PendingAnswers<A> {
-    /// Returns the last index applied.
+    /// Returns the last applied index.
     pub(super) fn applied(&self) -> LogIndex {
         self.applied
     }
 
-    /// Looks for the answer of the entry at `index`.
+    /// Looks up the answer of the entry at `index`.
     pub(super) fn lookup(&mut self, index: LogIndex) -> Lookup<A> {
         if self.applied >= index {
             let found = self.recent.iter().find(|(at, _)| *at == index);
@@ -62,7 +62,7 @@
         Lookup::Pending(receiver)
     }
 
-    /// Notes that the entry at `index` was applied, with its answer if it has one.
+    /// Records that the entry at `index` was applied, with its answer if it has one.
     pub(super) fn record(&mut self, index: LogIndex, answer: Option<&A>) {
         self.applied = index;
         let Some(answer) = answer else { return };
@@ -73,16 +73,16 @@
         let waiting = std::mem::take(&mut self.waiting);
         for (wanted, sender) in waiting {
             match wanted.cmp(&index) {
-                // The asker may have given up.
+                // The caller may have given up.
                 std::cmp::Ordering::Equal => drop(sender.send(answer.clone())),
-                // Applied before the asker got here; it learns `uncertain` and asks again.
+                // The entry had no answer or was skipped; the caller gets `uncertain` and retries.
                 std::cmp::Ordering::Less => drop(sender),
                 std::cmp::Ordering::Greater => self.waiting.push((wanted, sender)),
             }
         }
     }
 
-    /// Notes that a snapshot replaced the state; nobody can tell what it skipped.
+    /// Records that a snapshot replaced the state. Answers of the entries that it covers are unknown.
     pub(super) fn restored(&mut self, index: LogIndex) {
         self.applied = index;
         self.waiting.clear();
--- a/crates/gypsumglade/src/store/program_group.rs
+++ b/crates/gypsumglade/src/store/program_group.rs
@@ -1,4 +1,4 @@
-//! One program group on this store: its sequencer, fed by requests and the replicated log.
+//! A program group on this store: a task that feeds requests and the replicated log to a sequencer.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -16,41 +16,41 @@
 use super::context::StoreContext;
 use crate::replica::Event;
 
-/// Pause between two looks for what is due in a group.
+/// Interval at which the sequencer handles timeouts.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
-/// Inputs that may wait before askers are slowed down.
+/// Inputs that may be queued before senders have to wait.
 const INPUT_BUFFER: usize = 4_096;
 
-/// What reaches a group's task.
+/// Input to a group's task.
 #[expect(clippy::large_enum_variant, reason = "requests are the bulk of all inputs")]
 pub enum GroupInput {
-    /// An entry VM asks.
+    /// A request from an entry VM.
     Request {
-        /// The VM.
+        /// The entry VM.
         from: VmId,
-        /// What it asks.
+        /// The request.
         request: Request,
-        /// Where the answer goes.
+        /// Receives the reply.
         reply: oneshot::Sender<Reply>,
     },
-    /// The replicated log has news.
+    /// An event of the group's replica.
     Log(Event),
-    /// A proposal of this process came to nothing.
+    /// A proposal by this process failed.
     ProposalFailed(ProposalId),
     /// A bundle revision was committed.
     Config {
-        /// Its number.
+        /// Number of the revision.
         revision: RevisionNumber,
-        /// Request digests that it lifts from quarantine.
+        /// Digests of requests that it releases from quarantine.
         lifted: Vec<Bytes>,
     },
-    /// Membership declared a VM dead.
+    /// An entry VM failed or restarted.
     VmGone(VmId),
-    /// An endpoint's lease ran out.
+    /// An engine no longer exists, and its memory with it.
     EndpointGone(EndpointName),
     /// Crash scores from other groups.
     Scores(Vec<Score>),
-    /// Asks for the group's state, for a dump.
+    /// Requests the group's state for a dump.
     Dump(oneshot::Sender<serde_json::Value>),
 }
 
@@ -79,20 +79,20 @@
         handle
     }
 
-    /// Feeds the group; waits while it is behind.
+    /// Sends an input to the group, waiting while its queue is full.
     pub async fn feed(&self, input: GroupInput) {
         // The task ends only with the process.
         let _ = self.inputs.send(input).await;
     }
 
-    /// Asks on behalf of an entry VM.
+    /// Serves an entry VM's request. Returns `None` if the store is shutting down.
     pub async fn ask(&self, from: VmId, request: Request) -> Option<Reply> {
         let (reply, answer) = oneshot::channel();
         self.feed(GroupInput::Request { from, request, reply }).await;
         answer.await.ok()
     }
 
-    /// Returns the group's state for a dump.
+    /// Returns the group's state for a dump, or `None` if the store is shutting down.
     pub async fn dump(&self) -> Option<serde_json::Value> {
         let (sender, dump) = oneshot::channel();
         self.feed(GroupInput::Dump(sender)).await;
@@ -147,14 +147,14 @@
             GroupInput::EndpointGone(endpoint) => Some(Input::EndpointGone { endpoint }),
             GroupInput::Scores(scores) => Some(Input::Scores { scores }),
             GroupInput::Dump(sender) => {
-                // The asker may have given up.
+                // The caller may have given up.
                 let _ = sender.send(self.dump());
                 None
             }
         }
     }
 
-    /// Records a program's latency when its caller ends it, on the replica that leads.
+    /// Records a program's latency when its caller ends it, on the leader only.
     fn record_latency(&self, request: &Request) {
         let Some(RequestBody::EndProgram(end)) = &request.body else { return };
         let name = QualifiedName::from_wire(end.program.as_ref());
@@ -167,9 +167,9 @@
     fn log_input(&mut self, event: Event) -> Option<Input> {
         match event {
             Event::Leader { term, .. } => {
-                slog::info!(self.context.log, "leads a program group";
+                slog::info!(self.context.log, "became leader of a program group";
                     "group" => self.group.0, "term" => term.0);
-                // The last leader may not have heard who is dead; their calls must not wait.
+                // The previous leader may not have handled the VMs that are down.
                 for vm in self.context.dead() {
                     let (inputs, gone) = (self.inputs.clone(), GroupInput::VmGone(vm));
                     tokio::spawn(async move { inputs.send(gone).await });
@@ -200,7 +200,7 @@
             Effect::Propose { proposal, data } => self.propose(proposal, data),
             Effect::Reply { token, reply } => {
                 if let Some(waiting) = self.replies.remove(&token) {
-                    // An asker that gave up asks again.
+                    // A caller that gave up retries.
                     let _ = waiting.send(reply);
                 }
             }
@@ -208,7 +208,7 @@
             Effect::Cancel { dispatch, vm } => self.context.cancel(dispatch, vm),
             Effect::Scored { score } => self.context.broadcast_score(score),
             Effect::Halt { reason } => slog::crit!(self.context.log,
-                "a program group stopped: replace this replica's data folder";
+                "program group stopped: replace this replica's data folder";
                 "group" => self.group.0, "reason" => reason),
         }
     }
@@ -222,7 +222,7 @@
         });
     }
 
-    /// Has an entry VM free an engine's memory, and confirms it to the group.
+    /// Frees an engine's memory through an entry VM, and reports the outcome to the group.
     fn release(&self, release: Release) {
         let (context, inputs) = (Arc::clone(&self.context), self.inputs.clone());
         tokio::spawn(async move {
--- a/crates/gypsumglade/src/store/registrar.rs
+++ b/crates/gypsumglade/src/store/registrar.rs
@@ -1,6 +1,6 @@
-//! What endpoints and operators may ask of any store, whatever dialect they speak.
+//! Operations for endpoints and operators, independent of the dialect that they use.
 //!
-//! Each request is taken to the control group's leader, so that a caller may ask any store.
+//! Requests are forwarded to the control group's leader, so every store accepts them.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -21,22 +21,22 @@
 use crate::control_client::{ControlGroupClient, PROGRAM_LIMITS};
 use crate::settings::StoreSettings;
 
-/// Times that an order is tried again because another one was accepted in between.
+/// Attempts to put an order in force while other orders are accepted in between.
 const MAX_ACCEPT_ATTEMPTS: usize = 16;
 
-/// Why a request to the registrar has no answer.
+/// Reason why a request to the registrar failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RegistrarError {
-    /// No leader answered; the request may or may not take effect. Ask again, at any store.
+    /// No leader answered. The request may or may not take effect, and can be retried at any store.
     #[error("no store leads the control group just now; ask again")]
     Unavailable,
-    /// The order's content can't be put in force.
+    /// The bundle is invalid, or this store has no key to sign it with.
     #[error("the bundle has findings")]
     Invalid,
 }
 
 impl RegistrarError {
-    /// Returns the name that logs use.
+    /// Returns the name used in logs.
     const fn name(self) -> &'static str {
         match self {
             RegistrarError::Unavailable => "unavailable",
@@ -45,24 +45,24 @@
     }
 }
 
-/// Why a store can't be emptied.
+/// Reason why a store can't be retired.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RetireError {
     /// No store has this name.
     #[error("no store has this name")]
     Unknown,
-    /// The others could not bear the losses that they must.
+    /// The remaining stores could not tolerate the configured number of failures.
     #[error("too few stores would be left")]
     TooFew,
-    /// No leader took the order; ask again.
+    /// No leader answered; the request can be retried.
     #[error("no store leads the control group just now; ask again")]
     Unavailable,
 }
 
-/// Age past which what a leader told of its group's members no longer counts.
+/// Age from which a leader's report on its group, or a hello from a store, is ignored.
 const LEADER_REPORT_MAX_AGE: Duration = Duration::from_secs(2);
 
-/// A store's registrar.
+/// Registrar of a store.
 #[derive(Clone)]
 pub struct Registrar {
     state: Arc<StoreState>,
@@ -86,17 +86,16 @@
         &self.state.context.log
     }
 
-    /// Takes an endpoint's announcement.
+    /// Registers an endpoint, or renews its lease.
     ///
     /// # Errors
-    /// Fails when no leader took it; the endpoint asks another store.
+    /// Fails when no leader answered; the endpoint should try another store.
     pub async fn announce(&self, endpoint: EndpointRecord) -> Result<(), RegistrarError> {
         let register = Register { endpoint: Some(endpoint) };
         self.command(CommandBody::Register(register)).await.map(drop)
     }
 
-    /// Takes an endpoint's word that it is leaving for good. Without an incarnation, the one that
-    /// is known is meant.
+    /// Removes an endpoint that is shutting down. Without an incarnation, the registered one is removed.
     ///
     /// # Errors
     /// As [`Registrar::announce`].
@@ -106,18 +105,17 @@
         self.command(CommandBody::Deregister(deregister)).await.map(drop)
     }
 
-    /// Puts a bundle in force, unless one of this version or a higher one is.
+    /// Puts a bundle in force, unless its version or a higher one already is.
     ///
-    /// The order is signed here with the key that the settings give to orders at the registrar, so
-    /// that every entry VM checks it like any other bundle. An order of a version that is in force
-    /// or overtaken is acknowledged without effect.
+    /// The order is signed with the store's registrar key, so that entry VMs verify it like any other
+    /// bundle. An order for a version that is in force or superseded succeeds without effect.
     ///
     /// # Errors
-    /// Says whether the bundle has findings, or whether nobody could tell the outcome.
+    /// Fails when the bundle is invalid or the outcome is unknown, see [`RegistrarError`].
     pub async fn order(&self, bundle: &Bundle) -> Result<(), RegistrarError> {
         let content = serde_json::to_vec(bundle).map_err(|_| RegistrarError::Invalid)?;
         if let Err(findings) = Bundle::parse(&content) {
-            slog::info!(self.log(), "order refused"; "version" => %bundle.version,
+            slog::info!(self.log(), "order rejected"; "version" => %bundle.version,
                 "findings" => %findings);
             return Err(RegistrarError::Invalid);
         }
@@ -139,10 +137,10 @@
         taken
     }
 
-    /// Asks that a store be emptied, so that it can be taken away.
+    /// Starts to drain a store of its replicas and texts, so that it can be removed.
     ///
     /// # Errors
-    /// Says whether the store is not known, or too few would be left without it.
+    /// Fails when the store is not known, too few stores would be left, or no leader answered.
     pub async fn retire(&self, name: &str) -> Result<(), RetireError> {
         let vm = self.store_named(name).ok_or(RetireError::Unknown)?;
         if self.state.control.is_retiring(vm) {
@@ -155,11 +153,12 @@
         self.command(retire).await.map(drop).map_err(|_| RetireError::Unavailable)
     }
 
-    /// Tells whether a store that was to be emptied holds nothing any more. Each group's leader must
-    /// say so: a group whose leader is not heard of may still count on the store.
+    /// Returns `true` once a retiring store is no longer needed by any group.
+    ///
+    /// Each group's leader must report this: a group without a recent report may still need the store.
     ///
     /// # Errors
-    /// Says whether the store is not known.
+    /// Fails when the store is not known.
     pub fn is_retired(&self, name: &str) -> Result<bool, RetireError> {
         let discovery = self.state.discovery.as_ref().ok_or(RetireError::Unknown)?;
         let vm = self.store_named(name).ok_or(RetireError::Unknown)?;
@@ -194,11 +193,12 @@
         own.map_or(1, |own| 2 * own.tolerate as usize + 1)
     }
 
-    /// Returns the operator's text of the bundle in force, read so that no acknowledged order is
-    /// missed. `None` before the first bundle, and for one that came another way.
+    /// Returns the bundle in force as the operator wrote it, including every acknowledged order.
+    ///
+    /// Returns `None` before the first bundle, and for a bundle without an original text.
     ///
     /// # Errors
-    /// Fails when no leader could vouch for being current.
+    /// Fails when no leader answered, or this store has not applied the current revision in time.
     pub async fn original(&self) -> Result<Option<CompactString>, RegistrarError> {
         let status = self.status().await?;
         let wanted = RevisionNumber(status.current);
@@ -222,7 +222,7 @@
                 Some(AnswerBody::Stale(_)) => {}
                 Some(AnswerBody::Rejected(rejected)) => {
                     return match rejected.fault() {
-                        // A higher version is in force, and this one is too old to be remembered.
+                        // A higher version is in force.
                         Fault::VersionTooOld => Ok(()),
                         _ => Err(RegistrarError::Invalid),
                     };
@@ -252,17 +252,16 @@
     }
 }
 
-/// Tells whether texts of kept turns may be on too few stores without this one. Another may lose its disk
-/// right after this one is gone.
+/// Returns `true` if texts of kept turns may be on too few stores without this one.
 ///
-/// A leader that has just begun to lead, or has not heard yet that the store is to be emptied, has not
-/// looked for such texts: its silence says nothing.
+/// That is also the case while the turn group's leader has not reported the store as retiring: it has not
+/// checked for such texts yet.
 fn is_required_holder(vm: VmId, led: &[Led]) -> bool {
     let mut reports = led.iter().filter(|led| led.group == GroupId::TURNS.0);
     reports.any(|led| led.holders.contains(&vm.0) || !led.retiring.contains(&vm.0))
 }
 
-/// Tells whether a version is not above the one in force.
+/// Returns `true` if a version is not higher than the one in force.
 fn is_superseded(version: &str, current: &str) -> bool {
     use gypsumglade_core::bundle::Version;
     match (version.parse::<Version>(), current.parse::<Version>()) {
--- a/crates/gypsumglade/src/store/repair.rs
+++ b/crates/gypsumglade/src/store/repair.rs
@@ -1,4 +1,4 @@
-//! Brings the groups that this store leads back to full strength.
+//! Restores the members of the groups that this store leads after stores have failed or moved.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -17,35 +17,33 @@
 use super::turn_group::TurnGroup;
 use crate::discovery::Discovery;
 
-/// Pause between two looks. A repair takes three steps, and a newcomer must have caught up some
-/// four seconds after its start.
+/// Interval between two checks. A repair takes several, since each makes at most one change.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// Silence after which a store counts as lost: three rounds of introductions. A store that is
-/// counted out too early comes back as a learner; nothing is lost by it.
+/// Silence after which a store counts as failed: three rounds of hellos. A store that is removed too
+/// early rejoins as a learner, without loss of data.
 pub(super) const STORE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Pause between two hand-overs of one group's leadership, so that one that can't succeed costs
-/// little: commits wait while it is tried.
+/// Pause between two attempts to transfer a group's leadership, since commits wait during an attempt.
 const TRANSFER_BACKOFF: Duration = Duration::from_secs(3);
 
-/// How long the same swap of voters must be due before it is begun: longer than restarts take, which make
-/// a region look smaller for a while.
+/// Time for which the same swap of voters must be due before it begins. Longer than a restart, during
+/// which a region seems to have fewer stores.
 const SWAP_DELAY: Duration = Duration::from_secs(10);
 
-/// What a repair needs to know.
+/// Checks the led groups' members and changes them where needed.
 pub(super) struct Repair {
     pub(super) context: Arc<StoreContext>,
     pub(super) control: Arc<ControlGroup>,
     pub(super) turns: Arc<TurnGroup>,
     pub(super) copies: Arc<TextCopies>,
     pub(super) discovery: Arc<Discovery>,
-    /// Voters that each group should have.
+    /// Number of voters that each group should have.
     pub(super) target_voters: usize,
 }
 
-/// Returns the stores heard of within `age`.
+/// Returns the stores that were heard of within `age`.
 ///
-/// Which of them are to be emptied is known to members of the control group first, and told to others.
+/// Members of the control group know of a retiring store before discovery reports it.
 pub(super) fn live_stores(
     discovery: &Discovery,
     control: &ControlGroup,
@@ -58,20 +56,19 @@
     stores
 }
 
-/// What the loop remembers between two looks.
+/// State that is kept between two checks.
 #[derive(Default)]
 struct RepairHistory {
-    /// Where a member's identity was last heard; the roster forgets it once another takes its
-    /// address.
+    /// Address of each store, kept after another store has taken it and the roster has dropped the first.
     addresses: BTreeMap<VmId, CompactString>,
-    /// When each group's leadership was last to be handed over.
+    /// Time of each group's last attempt to transfer leadership.
     transfers: BTreeMap<GroupId, Time>,
-    /// The swap that each group is due, and since when.
+    /// Swap of voters that is due in each group, and since when.
     pending_swaps: BTreeMap<GroupId, (MemberChange, Time)>,
 }
 
 impl Repair {
-    /// Looks after the groups until `halt`.
+    /// Repairs the led groups until `halt` is cancelled.
     pub(super) async fn run(self, halt: CancellationToken) {
         let mut history = RepairHistory::default();
         while !halt.is_cancelled() {
@@ -102,13 +99,13 @@
         match self.context.host.change_members(group.group, change).await {
             Ok(_) => slog::info!(self.context.log, "group membership changed";
                 "group" => number, "change" => ?change),
-            // Most often a learner that has not caught up yet; the next look tries again.
+            // Usually a learner that has not caught up yet; the next check tries again.
             Err(error) => slog::debug!(self.context.log, "group membership not changed";
                 "group" => number, "change" => ?change, "error" => %error),
         }
     }
 
-    /// Returns the change that begins a swap of voters once it has been due for long.
+    /// Returns the first change of a swap of voters that has been due for [`SWAP_DELAY`].
     fn due_swap(
         &self,
         group: &Status,
@@ -130,7 +127,7 @@
         (now.since(due.1) >= SWAP_DELAY).then_some(change)
     }
 
-    /// Hands a group's leadership over if it belongs elsewhere, and tells whether it does so.
+    /// Transfers a group's leadership if another store should lead. Returns `true` if a transfer began.
     fn transfer_leadership(
         &self,
         group: &Status,
@@ -146,7 +143,7 @@
             return false;
         }
         history.transfers.insert(group.group, now);
-        slog::info!(self.context.log, "leadership is handed over"; "group" => group.group.0);
+        slog::info!(self.context.log, "transferring leadership"; "group" => group.group.0);
         self.context.host.transfer(group.group);
         true
     }
@@ -166,7 +163,7 @@
         ClusterView { leader: self.context.vm, alive, replaced, target_voters: self.target_voters }
     }
 
-    /// Returns what to tell others of a group that this store leads.
+    /// Returns the report on a led group that hellos carry to other processes.
     fn leader_report(&self, group: &Status) -> Led {
         let members = group.members.all().map(|vm| vm.0).collect();
         let mut led =
