--- a/crates/gypsumglade/src/store/registrar.rs
+++ b/crates/gypsumglade/src/store/registrar.rs
@@ -193,7 +193,9 @@
         own.map_or(1, |own| 2 * own.tolerate as usize + 1)
     }
 
-    /// Returns the bundle in force as the operator wrote it, including every acknowledged order.
+    /// Returns the operator's order that the bundle in force was generated from.
+    ///
+    /// Every order that was acknowledged before the call is taken into account.
     ///
     /// Returns `None` before the first bundle, and for a bundle without an original text.
     ///
--- a/crates/gypsumglade/src/store/serve.rs
+++ b/crates/gypsumglade/src/store/serve.rs
@@ -38,35 +38,35 @@
 use crate::texts::{TextLimits, TextOptions, TextStore};
 use crate::tls;
 
-/// Most entry bytes in one message to a follower.
+/// Largest size of the entries in one message to a follower.
 ///
-/// Two of them to a follower that has to catch up are under way at a time, see [`MAX_IN_FLIGHT_BYTES`].
-/// What the core allows by itself would depose the leader, for heartbeats come behind it.
+/// Heartbeats queue behind messages in flight, and the core's default would delay them for longer than an
+/// election timeout.
 const BATCH_BYTES: usize = 64 * 1024;
-/// Most entry messages on their way to one follower; see [`BATCH_BYTES`].
+/// Entry messages in flight to one follower.
 const MAX_IN_FLIGHT: usize = 8;
-/// Bytes of entries on their way to one follower: a round trip between regions with a sync, at what
-/// that way carries. More only stands before the entries that commits wait for.
+/// Bytes of entries in flight to one follower: about the bandwidth-delay product of a link between
+/// regions. More would only delay new entries.
 const MAX_IN_FLIGHT_BYTES: usize = 128 * 1024;
-/// Bytes of one piece of a snapshot. One is under way at a time, so smaller ones would leave a link
-/// between regions idle for half of the time.
+/// Size of a snapshot chunk. Only one is in flight at a time, so smaller chunks would leave a link between
+/// regions idle.
 const CHUNK_BYTES: usize = 256 * 1024;
 /// Entries that a learner may lack and still be promoted.
 ///
-/// A learner in another region always lacks what is on its way there: half a second of a busy turn
-/// group's entries. Allowed less, one that had all the rest would wait for a quiet moment to vote.
+/// A learner in another region always lacks the entries in flight, so a lower limit would delay its
+/// promotion in a busy group.
 const PROMOTE_LAG: u64 = 200;
-/// Bytes of proposals that wait for a commit before more are refused: seconds of a busy turn group's
-/// entries, for which nobody would wait any more.
+/// Bytes of uncommitted proposals above which further ones are refused. Callers of proposals behind a
+/// larger backlog would already have timed out.
 const BACKLOG_BYTES: usize = 4 * 1024 * 1024;
-/// Folder of kept turns' texts, below the data folder.
+/// Folder of the texts of kept turns, within the data folder.
 const TEXTS_FOLDER: &str = "texts";
-/// Events that may wait for the control group.
+/// Replication events that may be queued for the control group, and for the turn group.
 const EVENT_BUFFER: usize = 1_024;
 
-/// What the listeners of a store share.
+/// State that the listeners of a store share.
 pub struct StoreState {
-    /// Shared with the groups.
+    /// State shared with the groups.
     pub context: Arc<StoreContext>,
     /// The control group.
     pub control: Arc<ControlGroup>,
@@ -74,7 +74,7 @@
     pub turns: Arc<TurnGroup>,
     /// Texts of kept turns on this store's disk.
     pub texts: Arc<TextHolder>,
-    /// Who else is there, where nobody hands out a list.
+    /// Discovery of the other processes, unless the settings list them.
     pub discovery: Option<Arc<Discovery>>,
     /// Settings of the process.
     pub settings: Settings,
@@ -91,12 +91,12 @@
     halt: CancellationToken,
 }
 
-/// Addresses in use, with the ports that the kernel chose.
+/// Addresses of a store's listeners, with the ports that the kernel has chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct StoreAddresses {
-    /// Calls from other VMs.
+    /// Listener for calls from other VMs.
     pub peers: SocketAddr,
-    /// Operators' interface.
+    /// Listener for operators.
     pub admin: SocketAddr,
 }
 
@@ -104,7 +104,8 @@
     /// Opens the data folder, restores every group and binds the listeners.
     ///
     /// # Errors
-    /// Fails when the folder is damaged, in use or of another format, or an address is taken.
+    /// Fails when the settings have no `store` section, the folder is damaged, in use or of another
+    /// format, or an address is taken.
     pub async fn start(
         settings: Settings,
         directory: Arc<Directory>,
@@ -113,7 +114,7 @@
         Store::start_with(settings, directory, log, Faults::default()).await
     }
 
-    /// As [`Store::start`], on a disk that fails as a test wants it to.
+    /// Like [`Store::start`], with disk faults injected by a test.
     #[doc(hidden)]
     pub async fn start_with(
         settings: Settings,
@@ -176,22 +177,22 @@
         Ok(Store { state, addresses, admin, registrar: None, metrics, _rpc: rpc, halt })
     }
 
-    /// Returns the addresses in use.
+    /// Returns the addresses of the listeners.
     pub fn addresses(&self) -> StoreAddresses {
         self.addresses
     }
 
-    /// Returns what its listeners share, for dumps and embedding.
+    /// Returns the state that the listeners share, for dumps and embedding.
     pub fn state(&self) -> &Arc<StoreState> {
         &self.state
     }
 
-    /// Returns what endpoints and operators may ask of this store.
+    /// Returns the registrar, which serves endpoints and operators.
     pub fn registrar(&self) -> Registrar {
         Registrar::new(&self.state)
     }
 
-    /// Serves the registrar's interface in some dialect, on the address that the settings name.
+    /// Serves a dialect of the registrar on the address `store.registrar` of the settings.
     ///
     /// # Errors
     /// Fails when the settings name no address, or it cannot be bound.
@@ -206,28 +207,28 @@
         Ok(address)
     }
 
-    /// Takes what changed in the settings.
+    /// Applies changed discovery settings.
     pub fn reload(&self, settings: &DiscoverySettings) {
         if let Some(discovery) = &self.state.discovery {
             discovery.set_seeds(settings);
         }
     }
 
-    /// Stops as planned: leadership is handed over first, so that no group waits for an election.
+    /// Stops the store. Leadership is transferred first, so that no group waits for an election.
     pub async fn stop(self) {
-        slog::info!(self.state.context.log, "store stops");
+        slog::info!(self.state.context.log, "store is stopping");
         self.state.context.host.transfer_all().await;
         self.halt.cancel();
         self.admin.drained().await;
         for listener in self.registrar.into_iter().chain(self.metrics) {
             listener.drained().await;
         }
-        // Whoever embeds a store may open its folder again once this returns.
+        // Once this returns, an embedding process may open the folder again.
         self.state.context.host.stop().await;
     }
 }
 
-/// Returns who this store is: as its settings say, as its data folder says, or someone new.
+/// Returns this store's identity: from the settings, from the data folder, or a new one.
 fn identity(settings: &Settings, own: &StoreSettings) -> anyhow::Result<VmId> {
     let Some(discovery) = &settings.discovery else { return Ok(settings.vm.vm()) };
     if let Some(owner) = disk::owner(&own.folder)? {
@@ -322,10 +323,10 @@
     Ok(())
 }
 
-/// Returns the first members of each group; `None` on a store that joins groups that others formed.
+/// Returns the initial members of each group, or `None` on a store that joins existing groups.
 ///
-/// A store whose disk was wiped must not form a group again: two groups would each acknowledge
-/// orders that the other never sees.
+/// A store with a wiped disk must not form a group again: there would be two groups, each acknowledging
+/// orders unknown to the other.
 fn initial_members(state: &StoreState) -> Option<Vec<VmId>> {
     let (settings, vm) = (&state.settings, state.context.vm);
     if let Some(discovery) = &settings.discovery {
@@ -337,13 +338,13 @@
     Some(if listed.is_empty() { vec![vm] } else { listed })
 }
 
-/// Where the groups other than program groups take their news.
+/// Senders of replication events to the control group and the turn group.
 struct GroupSenders {
     control: mpsc::Sender<Event>,
     turns: mpsc::Sender<Event>,
 }
 
-/// Hands each replica's news to its group, in order.
+/// Forwards each replica's events to its group, in order.
 async fn route_events(
     context: Arc<StoreContext>,
     senders: GroupSenders,
--- a/crates/gypsumglade/src/store/text_copies.rs
+++ b/crates/gypsumglade/src/store/text_copies.rs
@@ -1,4 +1,4 @@
-//! Keeps the text of each kept turn on as many stores as must bear losses; see docs/design/texts.md.
+//! Keeps the text of each kept turn on the configured number of stores; see docs/design/texts.md.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -16,67 +16,67 @@
 use crate::discovery::Discovery;
 use crate::rpc::{Method, RpcError};
 
-/// Pause between two looks while nothing is to be copied.
+/// Interval between two checks while no copy finishes.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// Silence after which a store counts as lost: a restart takes one or two seconds and brings the disk
-/// back. An identity that another one replaced is lost at once, for the roster drops it.
+/// Silence after which a store counts as lost; longer than a restart, after which the texts are back.
+///
+/// A store whose identity was replaced is lost at once, since the roster drops it.
 const LOST_AFTER: Duration = Duration::from_secs(3);
-/// What one store is asked to fetch before the next look. It works through it by itself, so that the
-/// kept turns aren't looked through for each batch.
+/// Texts planned for one store at a time. Several batches are planned together, since planning scans all
+/// kept turns.
 const PLAN_LIMITS: Limits = Limits {
     same_region: BatchSize { texts: 4_096, bytes: 8 * 1024 * 1024 },
     cross_region: BatchSize { texts: 256, bytes: 512 * 1024 },
 };
-/// What one store fetches at one time: little enough that the few that are under way don't fill its memory
-/// or that of the store that gives them.
+/// Size of a batch, which bounds the memory that it takes at its source and its target.
 const SAME_REGION_BATCH: BatchSize = BatchSize { texts: 256, bytes: 512 * 1024 };
-/// What one store fetches at one time from another region: little enough that a heartbeat behind it on a
-/// narrow link isn't late.
+/// Size of a batch from another region, which bounds the delay of heartbeats behind it.
 const CROSS_REGION_BATCH: BatchSize = BatchSize { texts: 64, bytes: 128 * 1024 };
-/// Pause after each batch from another region, so that copies take a part of the link and not all of it.
+/// Pause after a batch from another region, so that copies use only a part of the link.
 const CROSS_REGION_PAUSE: Duration = Duration::from_millis(50);
-/// Batches under way to one store: while one is synced, the next one is fetched.
+/// Batches in flight to one store: one is synced while the next one is fetched.
 const MAX_IN_FLIGHT: usize = 2;
-/// Longest wait for a store to fetch a batch.
+/// Timeout of a batch.
 const COPY_TIMEOUT: Duration = Duration::from_secs(3);
-/// How long a store that took no text is passed over, where another one can take its place.
+/// Time for which other stores are preferred over one that failed to fetch texts.
 const FAILURE_BACKOFF: Duration = Duration::from_secs(1);
-/// How long a text that could not be copied is left out.
+/// Time for which a text that could not be copied is skipped.
 const DEFER_FOR: Duration = Duration::from_secs(2);
-/// How long a store is told to be relied on after it was found to be, or to be emptied at all. Entry VMs
-/// learn within some rounds of introductions that it is to be emptied, and may put texts there meanwhile.
+/// Time for which a store is reported as a required holder after it was found to be one or began to retire.
+///
+/// Entry VMs may store texts there until a round of hellos tells them that it is retiring.
 const REQUIRED_FOR: Duration = Duration::from_secs(3);
 
-/// Copies texts that are on too few stores, while this store leads the turn group.
+/// Copies texts that are on too few stores while this store leads the turn group.
 pub(super) struct TextCopies {
     context: Arc<StoreContext>,
     control: Arc<ControlGroup>,
     turns: Arc<TurnGroup>,
     discovery: Arc<Discovery>,
-    /// Stores that each text should be on.
+    /// Number of stores that each text should be on.
     copies: usize,
     history: Mutex<CopyHistory>,
 }
 
-/// What is remembered between two looks, while this store leads.
+/// State that is kept between two checks while this store leads.
 #[derive(Debug, Default)]
 struct CopyHistory {
-    /// When each store was last found to be relied on.
+    /// When each store was last found to be a required holder.
     required: BTreeMap<VmId, Time>,
-    /// Stores that were to be emptied at the last look.
+    /// Stores that were retiring at the last check.
     retiring: BTreeSet<VmId>,
-    /// When each store last took no text.
+    /// When each store last failed to fetch texts.
     failing: BTreeMap<VmId, Time>,
-    /// When each turn's text could last not be copied.
+    /// When copying each turn's text last failed.
     deferred: BTreeMap<CompactString, Time>,
 }
 
-/// What the turn group's leader tells of stores that are to be emptied.
+/// Report by the turn group's leader on the stores that hold texts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct HolderReport {
-    /// Stores with texts that are on too few others.
+    /// Stores with texts that would be on too few stores without them.
     pub(super) holders: Vec<u32>,
-    /// Stores that are to be emptied, as far as the leader knows and has looked.
+    /// Retiring stores that the leader has checked for such texts.
     pub(super) retiring: Vec<u32>,
 }
 
@@ -92,13 +92,13 @@
         Arc::new(TextCopies { context, control, turns, discovery, copies, history })
     }
 
-    /// Copies what must be copied until `halt`.
+    /// Copies texts until `halt` is cancelled.
     pub(super) async fn run(self: Arc<Self>, halt: CancellationToken) {
         let began = self.discovery.now();
         let mut fetching: JoinSet<VmId> = JoinSet::new();
         let mut busy: BTreeSet<VmId> = BTreeSet::new();
         while !halt.is_cancelled() {
-            // A process that has just started has heard of few stores, and would take the others for lost.
+            // After a start, stores that were not heard of yet would count as lost.
             let settled = self.discovery.now().since(began) >= LOST_AFTER;
             if settled && self.turns.leads() {
                 for (target, copies) in self.plan_transfers(&busy) {
@@ -112,7 +112,7 @@
                 () = halt.cancelled() => {}
                 Some(filled) = fetching.join_next() => match filled {
                     Ok(target) => drop(busy.remove(&target)),
-                    // Which one it was is not known; the others' stores are looked at again as well.
+                    // The target of a task that panicked is not known.
                     Err(_) => busy.clear(),
                 },
                 () = tokio::time::sleep(CHECK_INTERVAL) => {}
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Returns what others are told of stores that are to be emptied.
+    /// Returns the report on required holders and retiring stores.
     pub(super) fn holder_report(&self) -> HolderReport {
         let history = self.history();
         HolderReport {
@@ -129,9 +129,9 @@
         }
     }
 
-    /// Returns what the stores that have nothing to do should fetch, each in batches.
+    /// Returns the batches that each idle store should fetch.
     fn plan_transfers(&self, busy: &BTreeSet<VmId>) -> BTreeMap<VmId, Vec<Transfer>> {
-        // Read first: a store must be looked after as one to be emptied before that is told.
+        // Read before planning: a store may be reported as retiring only after it was planned as such.
         let mut retiring = self.discovery.retiring();
         retiring.extend(self.control.retiring().into_iter().map(VmId));
         let survey = self.survey();
@@ -148,7 +148,7 @@
         targets
     }
 
-    /// Has one store fetch what it should hold, until it fails.
+    /// Makes a store fetch its batches, until one fails.
     async fn copy_to(self: Arc<Self>, target: VmId, copies: Vec<Transfer>) -> VmId {
         let mut in_flight: JoinSet<bool> = JoinSet::new();
         let mut copies = copies.into_iter();
@@ -173,7 +173,7 @@
         }
     }
 
-    /// Has a store fetch a batch. Returns whether it may be asked for the next one.
+    /// Makes a store fetch a batch. Returns `true` if it may go on with the next one.
     async fn copy_batch(self: Arc<Self>, copy: Transfer) -> bool {
         let order = TextCopy {
             turns: copy.turns.iter().map(|holding| holding.turn.to_string()).collect(),
@@ -182,7 +182,7 @@
         let held = match self.request_copy(copy.target, &order).await {
             Ok(held) => held,
             Err(error) => {
-                slog::info!(self.context.log, "texts were not copied"; "store" => %copy.target,
+                slog::info!(self.context.log, "texts could not be copied"; "store" => %copy.target,
                     "texts" => order.turns.len(), "error" => %error);
                 return false;
             }
@@ -241,16 +241,16 @@
     }
 }
 
-/// Why a store fetched nothing.
+/// Reason why a store fetched nothing.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 enum CopyError {
-    /// Its address is not known, or not yet.
-    #[error("its address is not known")]
+    /// The store's address is not known.
+    #[error("the address of the store is not known")]
     Unknown,
-    /// Another store answers at its address. The texts are not on the disk that was meant.
-    #[error("{0} answers at its address")]
+    /// Another store answers at the store's address, so the texts are on the wrong disk.
+    #[error("{0} answers at the address of the store")]
     Replaced(VmId),
-    /// It didn't answer.
+    /// The call failed.
     #[error(transparent)]
     Call(#[from] RpcError),
 }
--- a/crates/gypsumglade/src/store/text_holder.rs
+++ b/crates/gypsumglade/src/store/text_holder.rs
@@ -1,4 +1,4 @@
-//! Texts of kept turns on this store's disk, as others use them.
+//! Serves the texts of kept turns on this store's disk, and drops those that are no longer needed.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -14,22 +14,22 @@
 use crate::rpc::Method;
 use crate::texts::{TextStatus, TextStore};
 
-/// Longest wait for one store to give texts.
+/// Timeout of fetching texts from another store.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(1);
-/// Pause between two looks for texts whose time is over.
+/// Interval between two checks for texts whose retention has ended.
 const DUE_INTERVAL: Duration = Duration::from_secs(1);
-/// Turns that the turn group's leader is asked about at one time.
+/// Turns in one query to the turn group's leader.
 const DUE_BATCH: usize = 512;
-/// How long the turn group is asked which turns are still kept, before the next look.
+/// Limits of a query for the turns that are still kept.
 const KEPT_QUERY_LIMITS: RetryLimits = RetryLimits {
     per_call: Duration::from_secs(1),
     total: Duration::from_secs(3),
     pause: Duration::from_millis(100),
 };
-/// How long a copied text is held before it is asked about.
+/// Retention of a copied text, after which the turn group is queried.
 const COPY_RETENTION: Duration = Duration::from_secs(60);
 
-/// Puts, gives, copies and drops this store's texts.
+/// Stores, returns, copies and drops the texts on this store's disk.
 pub struct TextHolder {
     context: Arc<StoreContext>,
     texts: TextStore,
@@ -44,27 +44,27 @@
         Arc::new(TextHolder { context, texts, group })
     }
 
-    /// Puts texts on the disk.
+    /// Stores texts on disk.
     pub async fn put(&self, put: TextPut) -> TextStored {
         let retention = Duration::from_millis(put.retention_ms);
         let stored = self.texts.put(put.texts, retention).await;
         if let Err(error) = stored {
-            slog::warn!(self.context.log, "texts refused"; "error" => %error);
+            slog::warn!(self.context.log, "texts could not be stored"; "error" => %error);
         }
         TextStored { stored: stored.is_ok(), vm: self.context.vm.0 }
     }
 
-    /// Returns the texts that are here.
+    /// Returns those of the queried texts that this store holds.
     pub async fn get(&self, query: &TextQuery) -> Texts {
         Texts { texts: self.texts.get(&query.turns).await }
     }
 
-    /// Returns what this store holds, for a dump.
+    /// Returns statistics of the held texts, for a dump.
     pub fn status(&self) -> TextStatus {
         self.texts.status()
     }
 
-    /// Fetches texts that other stores hold.
+    /// Fetches texts from other stores, and returns which of them this store then holds.
     pub async fn copy(&self, order: TextCopy) -> TextsHeld {
         let here = self.texts.get(&order.turns).await;
         let mut held: Vec<String> = here.into_iter().map(|text| text.turn).collect();
@@ -79,7 +79,7 @@
             match self.texts.put(texts, COPY_RETENTION).await {
                 Ok(()) => held.extend(names),
                 Err(error) => {
-                    slog::warn!(self.context.log, "copied texts refused"; "error" => %error);
+                    slog::warn!(self.context.log, "copied texts could not be stored"; "error" => %error);
                     break;
                 }
             }
@@ -87,7 +87,7 @@
         TextsHeld { turns: held, vm: self.context.vm.0 }
     }
 
-    /// Drops texts whose turns are not kept any more, until `halt`.
+    /// Drops texts whose turns are no longer kept, until `halt` is cancelled.
     pub(super) async fn drop_expired(self: Arc<Self>, halt: CancellationToken) {
         while !halt.is_cancelled() {
             let due = self.texts.due(DUE_BATCH);
@@ -110,15 +110,16 @@
         match texts {
             Ok(texts) => texts.texts,
             Err(error) => {
-                slog::info!(self.context.log, "a store gave no text";
+                slog::info!(self.context.log, "texts could not be fetched";
                     "store" => %address, "error" => %error);
                 Vec::new()
             }
         }
     }
 
-    /// Asks which of these turns are still kept, and drops the texts of the others. Returns whether the
-    /// group could tell.
+    /// Queries which turns are still kept, extends their texts' retention and drops the other texts.
+    ///
+    /// Returns `false` if there are no turns or the query failed.
     async fn check_due(&self, due: Vec<CompactString>) -> bool {
         if due.is_empty() {
             return false;
--- a/crates/gypsumglade/src/store/turn_group.rs
+++ b/crates/gypsumglade/src/store/turn_group.rs
@@ -20,7 +20,7 @@
 use crate::clock::Clock;
 use crate::replica::{Event, ProposeError, ReadError};
 
-/// The turn group's state on one store.
+/// The turn group's state machine on one store.
 pub struct TurnGroup {
     context: Arc<StoreContext>,
     state: Mutex<TurnState>,
@@ -29,16 +29,16 @@
 #[derive(Default)]
 struct TurnState {
     turns: Turns,
-    /// Set once this store leads and has applied what earlier leaders committed.
+    /// Set once this store leads and has applied the entries of earlier leaders.
     leader_clock: Option<LeaderClock>,
-    /// True while the state lacks what a snapshot held that could not be read. What is applied meanwhile
-    /// proves nothing: a turn that isn't in it may be kept all the same.
+    /// True if a snapshot could not be read. The state is incomplete then: a turn that it lacks may still
+    /// be kept.
     unusable: bool,
     answers: PendingAnswers<Reply>,
 }
 
 impl TurnState {
-    /// Tells whether this store can answer for the group.
+    /// Returns `true` if this store can answer for the group.
     fn leads(&self) -> bool {
         self.leader_clock.is_some() && !self.unusable
     }
@@ -50,7 +50,7 @@
         Arc::new(TurnGroup { context, state: Mutex::default() })
     }
 
-    /// Applies the log's news until the process ends.
+    /// Applies replication events until the process ends.
     pub async fn run(self: Arc<Self>, mut events: mpsc::Receiver<Event>) {
         while let Some(event) = events.recv().await {
             match event {
@@ -58,7 +58,7 @@
                 Event::Follower { leader, .. } => {
                     self.state().leader_clock = None;
                     let leader = leader.map(|vm| vm.0);
-                    slog::info!(self.context.log, "follows in the turn group"; "leader" => leader);
+                    slog::info!(self.context.log, "became follower in the turn group"; "leader" => leader);
                 }
                 Event::Committed { index, data, .. } => self.apply_committed(index, data),
                 Event::Restore { index, data, .. } => self.restore(index, &data),
@@ -68,11 +68,13 @@
         }
     }
 
-    /// Serves an entry VM's command. The answer comes once the command is committed, and is worked
-    /// out where it stands in the log, so no two entry VMs are given the same tokens.
+    /// Serves an entry VM's command and answers once it is committed.
+    ///
+    /// Answers are computed in log order, so the same tokens are never granted to two entry VMs.
     pub async fn ask(&self, mut command: Command) -> Reply {
         let Some(time) = self.command_time() else {
-            // A follower names its leader; asked again, a leader has handed over.
+            // A follower redirects to its leader. A leader without a usable state answers
+            // `uncertain`, and has transferred its leadership by the time of a retry.
             return Reply { body: Some(self.not_ready_reply().await) };
         };
         set_time(&mut command, time);
@@ -85,10 +87,10 @@
         Reply { body: Some(body) }
     }
 
-    /// Returns the group's time for a command, in milliseconds; nothing where none may be proposed.
+    /// Returns the group's time for a command in milliseconds, or `None` if none may be proposed.
     ///
-    /// Between its election and the first look at what earlier leaders committed, a leader has none of
-    /// its own and gives the latest that it knows, with which the group's stands still.
+    /// A store without a leader clock returns the latest time in the log, so that the group's time stands
+    /// still until a leader has applied the entries of earlier ones.
     fn command_time(&self) -> Option<u64> {
         let state = self.state();
         if state.unusable {
@@ -98,8 +100,8 @@
         state.leader_clock.map(|clock| clock.millis(now)).or_else(|| state.turns.time())
     }
 
-    /// Returns the answer of a store that must not propose: its state is unusable, or knows no time of
-    /// the group, since what it would propose might be the group's first command or not.
+    /// Returns the answer of a store that must not propose: its state is unusable, or it knows neither a
+    /// leader clock nor a time in the log.
     async fn not_ready_reply(&self) -> ReplyBody {
         match self.context.host.read_barrier(GroupId::TURNS).await {
             Ok(_) => uncertain(),
@@ -118,7 +120,7 @@
         })
     }
 
-    /// Returns how much the state holds.
+    /// Returns the number of turns and programs in the state.
     pub fn sizes(&self) -> TurnSizes {
         let state = self.state();
         TurnSizes { turns: state.turns.kept(), programs: state.turns.programs() }
@@ -132,9 +134,9 @@
                 Some(LeaderClock::start(state.turns.time(), Clock::wall_millis(), now));
             state.unusable
         };
-        slog::info!(self.context.log, "leads the turn group"; "term" => term.0);
+        slog::info!(self.context.log, "became leader of the turn group"; "term" => term.0);
         if unusable {
-            // Repair tries again where this one can't succeed yet.
+            // Repair retries the transfer if this one fails.
             self.context.host.transfer(GroupId::TURNS);
         }
     }
@@ -164,14 +166,14 @@
             Ok(turns) => (state.turns, state.unusable) = (turns, false),
             Err(error) => {
                 (state.turns, state.unusable) = (Turns::default(), true);
-                slog::crit!(self.context.log, "a turn snapshot cannot be read; replace this \
-                    store's data folder"; "error" => %error);
+                slog::crit!(self.context.log, "turn group snapshot cannot be read; replace \
+                    this store's data folder"; "error" => %error);
             }
         }
         state.answers.restored(index);
     }
 
-    /// Takes a snapshot, unless it would pass a state that lacks turns for the whole of them.
+    /// Takes a snapshot, unless the state is incomplete.
     fn take_snapshot(&self) {
         if self.is_unusable() || !self.context.begin_snapshot(GroupId::TURNS) {
             return;
@@ -188,8 +190,8 @@
         let barrier = self.context.host.read_barrier(GroupId::TURNS).await;
         let state = self.state();
         match barrier {
-            // Only a leader that has applied what earlier ones committed can say that a turn is not
-            // kept: its text is dropped then.
+            // Texts of turns that are missing in the reply are dropped, so only a leader with the entries
+            // of earlier ones may answer.
             Ok(_) if state.leads() => KeptReply {
                 leads: true,
                 turns: state.turns.still_kept(&query.turns),
@@ -202,7 +204,7 @@
         }
     }
 
-    /// Returns what to copy next, and which stores texts rely on.
+    /// Returns the next transfers, and the stores that must keep their texts.
     pub(super) fn plan_copies(&self, survey: &CopySurvey, limits: &Limits) -> CopyPlan {
         let state = self.state();
         if state.unusable {
@@ -214,7 +216,7 @@
         }
     }
 
-    /// Notes where copied texts are, and returns once that is committed.
+    /// Records the new holders of copied texts. Returns `true` once that is committed.
     pub(super) async fn record_copied(&self, copied: &[Holding]) -> bool {
         let turns = copied.iter().map(Holding::to_wire).collect();
         let body = CommandBody::Copied(Copied { turns, now_ms: 0 });
@@ -222,12 +224,12 @@
         matches!(reply.body, Some(ReplyBody::Settled(_)))
     }
 
-    /// Tells whether this store leads the group and has applied what earlier leaders committed.
+    /// Returns `true` if this store leads the group and has applied the entries of earlier leaders.
     pub(super) fn leads(&self) -> bool {
         self.state().leads()
     }
 
-    /// Tells whether the state lacks what a snapshot held, so that another store should lead.
+    /// Returns `true` if the state is incomplete, so that another store should lead.
     pub(super) fn is_unusable(&self) -> bool {
         self.state().unusable
     }
@@ -237,24 +239,24 @@
     }
 }
 
-/// How much the turn group's state holds.
+/// Numbers of turns and programs in the turn group's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TurnSizes {
-    /// Kept turns.
+    /// Number of kept turns.
     pub turns: usize,
-    /// Programs with a token budget.
+    /// Number of programs with a token budget.
     pub programs: usize,
 }
 
-/// What the turn group's leader is to do about texts on too few stores.
+/// Transfers of texts that are on too few stores.
 #[derive(Default)]
 pub(super) struct CopyPlan {
     pub(super) copies: Vec<Transfer>,
-    /// Stores that hold such texts.
+    /// Stores whose texts would be on too few stores without them.
     pub(super) required_holders: BTreeSet<VmId>,
 }
 
-/// Sets the time of a command. The leader's counts, so that entry VMs' clocks don't matter.
+/// Sets the time of a command to the leader's, so that entry VMs' clocks don't matter.
 fn set_time(command: &mut Command, now: u64) {
     match &mut command.body {
         Some(CommandBody::Reserve(reserve)) => reserve.now_ms = now,
