--- a/crates/gypsumglade/src/discovery.rs
+++ b/crates/gypsumglade/src/discovery.rs
@@ -80,10 +80,10 @@
         peers: PeerClients,
         clock: Clock,
     ) -> Option<Arc<Discovery>> {
-        let discovery = settings.discovery.as_ref()?;
+        let options = settings.discovery.as_ref()?;
         let node = Node {
             vm: process.vm.0,
-            name: discovery.name.to_string(),
+            name: options.name.to_string(),
             domain: settings.vm.domain.to_string(),
             region: settings.vm.region.to_string(),
             peers: process.address.to_string(),
@@ -92,7 +92,7 @@
             sequence: 0,
             led: Vec::new(),
         };
-        let seeds = RwLock::new(discovery.peers(process.address.port()));
+        let seeds = RwLock::new(options.peers(process.address.port()));
         let (roster, known) = (Mutex::default(), Mutex::default());
         let sequence = AtomicU64::new(0);
         let led = Mutex::default();
--- a/crates/gypsumglade/src/store/member_watch.rs
+++ b/crates/gypsumglade/src/store/member_watch.rs
@@ -37,10 +37,10 @@
     let mut watch = MemberWatch::default();
     let mut attempt = 0;
     while !halt.is_cancelled() {
-        match ask(&context, attempt, watch.digest).await {
+        match poll(&context, attempt, watch.digest).await {
             Some(update) => {
                 let members = watch.update(update);
-                for vm in watch.gone(&members, context.clock.now()) {
+                for vm in watch.lost_vms(&members, context.clock.now()) {
                     slog::warn!(context.log, "entry VM has failed or restarted"; "gone" => vm.0);
                     context.feed_all(|| GroupInput::VmGone(vm)).await;
                 }
@@ -57,7 +57,7 @@
     }
 }
 
-async fn ask(context: &StoreContext, attempt: usize, known: u64) -> Option<MemberUpdate> {
+async fn poll(context: &StoreContext, attempt: usize, known: u64) -> Option<MemberUpdate> {
     let entries = context.directory.entries();
     let own = entries.iter().find(|entry| entry.vm == context.vm && attempt == 0);
     let entry = own.or_else(|| entries.get(attempt % entries.len().max(1)))?;
@@ -83,17 +83,17 @@
     }
 
     /// Returns the VMs whose calls are lost: newly down for the grace period, or restarted.
-    fn gone(&mut self, members: &[EntryMember], now: Time) -> Vec<VmId> {
-        let mut gone = Vec::new();
+    fn lost_vms(&mut self, members: &[EntryMember], now: Time) -> Vec<VmId> {
+        let mut lost = Vec::new();
         for member in members {
             let boot_id = self.boot_ids.insert(member.vm, member.life);
             let restarted = boot_id.is_some_and(|boot_id| boot_id != member.life);
-            let dead = self.is_dead(member, now);
+            let dead = self.is_newly_dead(member, now);
             if restarted || dead {
-                gone.push(member.vm);
+                lost.push(member.vm);
             }
         }
-        gone
+        lost
     }
 
     /// Returns the VMs that have been down for the grace period.
@@ -103,7 +103,7 @@
     }
 
     /// Returns `true` once, when a VM has been down for the grace period.
-    fn is_dead(&mut self, member: &EntryMember, now: Time) -> bool {
+    fn is_newly_dead(&mut self, member: &EntryMember, now: Time) -> bool {
         if member.up {
             self.down.remove(&member.vm);
             return false;
