--- a/crates/gypsumglade/src/discovery.rs
+++ b/crates/gypsumglade/src/discovery.rs
@@ -112,7 +112,8 @@
         Some(Arc::new(discovery))
     }
 
-    /// Adds the sender of a hello to the roster, and returns the list of stores if it differs from the sender's.
+    /// Adds the sender of a hello to the roster, and returns the list of stores if it differs from
+    /// the sender's.
     pub fn handle_hello(&self, hello: Hello) -> Nodes {
         self.observe(hello.node.into_iter().collect());
         self.roster().nodes(self.clock.now(), hello.known)
@@ -150,7 +151,8 @@
 
     /// Returns the retiring stores that this process has been told of.
     ///
-    /// The control group decides which stores retire; other processes learn it from hellos of its leader.
+    /// The control group decides which stores retire; other processes learn it from hellos of its
+    /// leader.
     pub fn retiring(&self) -> BTreeSet<VmId> {
         let own = self.retiring.lock().expect("no panic while held").clone();
         let led = self.roster().led_groups(self.now(), LEADER_REPORT_MAX_AGE);
@@ -184,8 +186,8 @@
 
     /// Returns the addresses for a round of hellos: some known stores and a seed.
     ///
-    /// Seeds are always included: after a long partition, in which all known stores may have moved, they
-    /// can be the only ones to reach. A process that knows no other store tries every seed.
+    /// Seeds are always included: after a long partition, in which all known stores may have moved,
+    /// they can be the only ones to reach. A process that knows no other store tries every seed.
     fn targets(&self) -> Vec<SocketAddr> {
         let own = self.own.peers.parse().ok();
         let stores = self.directory.stores();
@@ -219,7 +221,8 @@
 
     /// Returns the last received list of stores if the roster still has all of them.
     ///
-    /// Stores always request the whole list, since repair depends on when each store was last heard of.
+    /// Stores always request the whole list, since repair depends on when each store was last heard
+    /// of.
     fn known_stores(&self) -> KnownStores {
         if self.own.role() == Role::Store {
             return KnownStores::default();
@@ -236,9 +239,9 @@
 
     /// Returns the description of this process that its next hello carries.
     ///
-    /// Sequence numbers follow the wall clock, so that they increase across restarts. Within one run they
-    /// don't decrease if the clock is set back; after a restart, others ignore the process until the clock
-    /// has caught up.
+    /// Sequence numbers follow the wall clock, so that they increase across restarts. Within one
+    /// run they don't decrease if the clock is set back; after a restart, others ignore the process
+    /// until the clock has caught up.
     fn own_node(&self) -> Node {
         let wall = Clock::wall_millis();
         let before = self.sequence.fetch_max(wall, Ordering::Relaxed);
@@ -265,8 +268,8 @@
 /// Returns the identity of a seed at the first start of a deployment.
 ///
 /// It is derived from the address, so all seeds agree on the initial members of each group without
-/// communication. Any later process at the same address draws a random identity: a store with a wiped
-/// disk must not vote under an identity that has already voted.
+/// communication. Any later process at the same address draws a random identity: a store with a
+/// wiped disk must not vote under an identity that has already voted.
 pub fn seed_identity(address: SocketAddr) -> VmId {
     let hash = xxh3_64(address.to_string().as_bytes());
     VmId(((hash >> 32) as u32).max(1))
--- a/crates/gypsumglade/src/leader_hint.rs
+++ b/crates/gypsumglade/src/leader_hint.rs
@@ -14,9 +14,10 @@
 
 /// The believed leader of a group, corrected by redirects and timeouts.
 ///
-/// A suspended store keeps its connections open and answers nothing, while its followers redirect to it
-/// until they have elected another leader. Each call to it costs a whole timeout, during which an entry
-/// VM may act on a bundle that has been replaced, so unresponsive stores are avoided for a while.
+/// A suspended store keeps its connections open and answers nothing, while its followers redirect
+/// to it until they have elected another leader. Each call to it costs a whole timeout, during
+/// which an entry VM may act on a bundle that has been replaced, so unresponsive stores are avoided
+/// for a while.
 #[derive(Clone, Debug, Default)]
 pub struct LeaderHint {
     leader: Option<VmId>,
--- a/crates/gypsumglade/src/store/context.rs
+++ b/crates/gypsumglade/src/store/context.rs
@@ -148,14 +148,14 @@
         *self.dead.lock().expect("no panic while held") = dead;
     }
 
-    /// Marks a group's snapshot as begun. Returns `false` if the one before is still being written, since
-    /// each snapshot in progress takes memory.
+    /// Marks a group's snapshot as begun. Returns `false` if the one before is still being written,
+    /// since each snapshot in progress takes memory.
     pub(super) fn begin_snapshot(&self, group: GroupId) -> bool {
         self.snapshotting.lock().expect("no panic while held").insert(group)
     }
 
-    /// Writes a snapshot begun with [`StoreContext::begin_snapshot`] in the background, so that commits
-    /// don't wait for a slow disk.
+    /// Writes a snapshot begun with [`StoreContext::begin_snapshot`] in the background, so that
+    /// commits don't wait for a slow disk.
     pub(super) fn write_snapshot(self: &Arc<Self>, group: GroupId, index: LogIndex, data: Bytes) {
         let context = Arc::clone(self);
         tokio::spawn(async move {
--- a/crates/gypsumglade/src/store/control_group.rs
+++ b/crates/gypsumglade/src/store/control_group.rs
@@ -114,9 +114,10 @@
 
     /// Renews an entry VM's configuration lease.
     ///
-    /// Leadership in the term of the answer is confirmed before the answer is sent. A store that was paused,
-    /// or lost leadership and regained it, could otherwise grant a lease next to another leader's, and a
-    /// bundle could be reported in force while a VM still acts on the previous one.
+    /// Leadership in the term of the answer is confirmed before the answer is sent. A store that
+    /// was paused, or lost leadership and regained it, could otherwise grant a lease next to
+    /// another leader's, and a bundle could be reported in force while a VM still acts on the
+    /// previous one.
     pub async fn renew(&self, request: &ConfirmRequest) -> ConfirmReply {
         let (reply, term) = self.work_out_renewal(request);
         let grants = matches!(reply.body, Some(ConfirmBody::Grant(_)));
@@ -176,8 +177,9 @@
 
     /// Waits until all VMs with a lease have an accepted revision, up to [`IN_FORCE_TIMEOUT`].
     ///
-    /// An acknowledged revision must be in force within seconds, also if this store fails right after the
-    /// acknowledgement. VMs that don't have the revision by then would have to wait for a new leader.
+    /// An acknowledged revision must be in force within seconds, also if this store fails right
+    /// after the acknowledgement. VMs that don't have the revision by then would have to wait for a
+    /// new leader.
     async fn await_in_force(&self, answer: &Answer) {
         let Some(AnswerBody::Accepted(accepted)) = &answer.body else { return };
         let revision = RevisionNumber(accepted.revision);
@@ -199,7 +201,8 @@
         }
     }
 
-    /// Returns the answer to a command that need not or must not be proposed, and `None` for all others.
+    /// Returns the answer to a command that need not or must not be proposed, and `None` for all
+    /// others.
     fn reject_early(&self, command: &Command) -> Option<ReplyBody> {
         let state = self.state();
         if let Role::Follower(leader) = state.role {
@@ -299,7 +302,8 @@
         self.context.write_snapshot(GroupId::CONTROL, index, data);
     }
 
-    /// Sends the current revision to the program groups, so that they grant nothing under an older one.
+    /// Sends the current revision to the program groups, so that they grant nothing under an older
+    /// one.
     async fn notify_groups(&self) {
         let found = self.state().control.current().cloned();
         let Some(revision) = found else { return };
@@ -361,8 +365,9 @@
 
 /// Answers a renewal on a follower.
 ///
-/// Only the leader grants leases, but every applied revision is committed, so a follower may send a newer
-/// one. Without a leader, VMs would otherwise act on an older revision until their leases expire.
+/// Only the leader grants leases, but every applied revision is committed, so a follower may send a
+/// newer one. Without a leader, VMs would otherwise act on an older revision until their leases
+/// expire.
 fn follower_reply(
     control: &Control,
     request: &ConfirmRequest,
--- a/crates/gypsumglade/src/store/control_group/endpoints.rs
+++ b/crates/gypsumglade/src/store/control_group/endpoints.rs
@@ -35,8 +35,8 @@
 
     /// Returns `true` if an endpoint has not announced itself for longer than `lease`.
     ///
-    /// For an endpoint that this leader has never heard from, the time starts at the first check: a new
-    /// leader must not remove endpoints that announced themselves to the previous one.
+    /// For an endpoint that this leader has never heard from, the time starts at the first check: a
+    /// new leader must not remove endpoints that announced themselves to the previous one.
     fn is_expired(&mut self, name: &str, now: Time, lease: Duration) -> bool {
         let at = *self.0.entry(name.into()).or_insert(now);
         now.since(at) > lease
@@ -46,8 +46,9 @@
 impl ControlGroup {
     /// Handles an endpoint's announcement.
     ///
-    /// Changes are committed before they are acknowledged: an endpoint whose draining is acknowledged relies
-    /// on all entry VMs to honour it, also under a new leader. A repeated announcement only renews the lease.
+    /// Changes are committed before they are acknowledged: an endpoint whose draining is
+    /// acknowledged relies on all entry VMs to honour it, also under a new leader. A repeated
+    /// announcement only renews the lease.
     pub(super) async fn register(&self, register: Register) -> ReplyBody {
         let Some(record) = &register.endpoint else { return not_leader(None) };
         let now = self.context.clock.now();
@@ -85,10 +86,11 @@
         self.command(Command { body: Some(CommandBody::Deregister(gone)) }).await
     }
 
-    /// Returns the endpoint changes since the query's last one, and waits for a change if there is none.
+    /// Returns the endpoint changes since the query's last one, and waits for a change if there is
+    /// none.
     ///
-    /// Only a leader with a valid lease answers: a partitioned store would report no changes while endpoints
-    /// drain and are replaced.
+    /// Only a leader with a valid lease answers: a partitioned store would report no changes while
+    /// endpoints drain and are replaced.
     pub async fn watch_endpoints(&self, query: &EndpointQuery) -> EndpointNews {
         let wait = Duration::from_millis(query.wait_ms).min(MAX_WAIT);
         let deadline = Instant::now() + wait;
@@ -123,8 +125,8 @@
         while !halt.is_cancelled() {
             let now = self.context.clock.now();
             if now.since(last_check) > PAUSE_THRESHOLD {
-                // The process was paused and received no announcements. Removing all endpoints would leave
-                // callers without any.
+                // The process was paused and received no announcements. Removing all endpoints
+                // would leave callers without any.
                 self.state().last_announced = LastAnnounced::default();
             }
             last_check = now;
--- a/crates/gypsumglade/src/store/control_group/order_lease.rs
+++ b/crates/gypsumglade/src/store/control_group/order_lease.rs
@@ -25,9 +25,9 @@
 impl ControlGroup {
     /// Grants or renews the order lease, or returns the lease that another VM holds.
     ///
-    /// A renewal counts from the time of the request. Before it is answered, leadership is confirmed and all
-    /// entries committed until then are applied: a leader that was paused could otherwise renew a lease that
-    /// its successor has granted to another VM.
+    /// A renewal counts from the time of the request. Before it is answered, leadership is
+    /// confirmed and all entries committed until then are applied: a leader that was paused could
+    /// otherwise renew a lease that its successor has granted to another VM.
     pub(super) async fn take_order_lease(&self, take: TakeOrderLease) -> ReplyBody {
         // A new leader that has not applied the log yet could mistake a held lease for a free one.
         let unheld = self.state().control.order_lease().is_none();
--- a/crates/gypsumglade/src/store/follower_watch.rs
+++ b/crates/gypsumglade/src/store/follower_watch.rs
@@ -13,7 +13,8 @@
 
 /// Interval between two checks.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// Minimum time between two log lines about one follower, so that a flapping one can't fill the log.
+/// Minimum time between two log lines about one follower, so that a flapping one can't fill the
+/// log.
 const MIN_LOG_INTERVAL: Duration = Duration::from_secs(2);
 /// Silence from which a follower counts as unresponsive; longer than an election timeout.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_500);
--- a/crates/gypsumglade/src/store/gauges.rs
+++ b/crates/gypsumglade/src/store/gauges.rs
@@ -1,4 +1,5 @@
-//! Gauges of a store's memory and its followers' lag, computed for each request of the metrics page.
+//! Gauges of a store's memory and its followers' lag, computed for each request of the metrics
+//! page.
 
 use gypsumglade_core::prelude::*;
 use gypsumglade_core::replication::Role;
--- a/crates/gypsumglade/src/store/member_watch.rs
+++ b/crates/gypsumglade/src/store/member_watch.rs
@@ -18,8 +18,8 @@
 const POLL_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time that a VM must be down before its calls count as lost.
 ///
-/// A VM that turns out to be up within this time loses no calls, while the outcome of a lost call is
-/// unknown.
+/// A VM that turns out to be up within this time loses no calls, while the outcome of a lost call
+/// is unknown.
 const GRACE_PERIOD: Duration = Duration::from_secs(2);
 
 /// State of the entry VMs according to the last update.
@@ -32,7 +32,8 @@
     digest: u64,
 }
 
-/// Polls until `halt` is cancelled: the entry on the same VM first, and the others once a poll fails.
+/// Polls until `halt` is cancelled: the entry on the same VM first, and the others once a poll
+/// fails.
 pub async fn watch(context: Arc<StoreContext>, halt: CancellationToken) {
     let mut watch = MemberWatch::default();
     let mut attempt = 0;
--- a/crates/gypsumglade/src/store/mod.rs
+++ b/crates/gypsumglade/src/store/mod.rs
@@ -1,4 +1,5 @@
-//! The store process: durable replicas of the control, program and turn groups, and texts of kept turns.
+//! The store process: durable replicas of the control, program and turn groups, and texts of kept
+//! turns.
 
 pub mod context;
 pub mod control_group;
--- a/crates/gypsumglade/src/store/outbound.rs
+++ b/crates/gypsumglade/src/store/outbound.rs
@@ -12,15 +12,15 @@
 use crate::replica::Outbound;
 use crate::rpc::Link;
 
-/// Batches that wait to be moved to the queue of their peer. Further ones are dropped, so that memory
-/// stays bounded while the runtime is blocked.
+/// Batches that wait to be moved to the queue of their peer. Further ones are dropped, so that
+/// memory stays bounded while the runtime is blocked.
 pub(super) const CHANNEL_CAPACITY: usize = 64;
 /// Bytes of batches queued for one peer. Further batches are dropped, and replication repeats them.
 const QUEUE_BYTES: usize = 1024 * 1024;
 /// Bytes of snapshot chunks queued for one peer.
 const BULK_BYTES: usize = 512 * 1024;
-/// Additional bytes reserved for small batches: heartbeats and votes must reach a peer that is behind,
-/// or it would start an election.
+/// Additional bytes reserved for small batches: heartbeats and votes must reach a peer that is
+/// behind, or it would start an election.
 const RESERVE_BYTES: usize = 128 * 1024;
 /// Largest size of a small batch.
 const SMALL_BYTES: usize = 4 * 1024;
@@ -30,13 +30,13 @@
 const RECONNECT_PAUSE: Duration = Duration::from_millis(100);
 /// Frames in flight to one peer.
 ///
-/// With a single frame, the round trip between regions would limit throughput below what a loaded leader
-/// produces, and queued heartbeats would arrive too late to prevent elections.
+/// With a single frame, the round trip between regions would limit throughput below what a loaded
+/// leader produces, and queued heartbeats would arrive too late to prevent elections.
 const MAX_IN_FLIGHT: usize = 32;
 /// Size from which no further batch is joined to a frame.
 const FRAME_BYTES: usize = 256 * 1024;
-/// Bytes in flight to one peer. Heartbeats queue behind them in the kernel's buffers, so this bounds
-/// the delay of a heartbeat on a link between regions.
+/// Bytes in flight to one peer. Heartbeats queue behind them in the kernel's buffers, so this
+/// bounds the delay of a heartbeat on a link between regions.
 const MAX_IN_FLIGHT_BYTES: usize = 512 * 1024;
 
 /// Queues of batches, one for each peer.
@@ -112,8 +112,8 @@
 
     /// Removes the next frame: queued batches first, or a snapshot chunk if `bulk` is set.
     ///
-    /// Batches are joined by concatenation. Protocol Buffers decode the result as one batch with the
-    /// messages of all and the last pulse.
+    /// Batches are joined by concatenation. Protocol Buffers decode the result as one batch with
+    /// the messages of all and the last pulse.
     pub fn take(&self, bulk: bool) -> Option<Frame> {
         let mut waiting = self.waiting();
         if waiting.regular.is_empty() {
@@ -188,7 +188,8 @@
 async fn send_to_peer(context: Arc<StoreContext>, to: VmId, queue: Arc<PeerQueue>) {
     loop {
         let Some(address) = context.directory.store(to) else {
-            // Replication repeats dropped batches; queued ones would be stale once the address is known.
+            // Replication repeats dropped batches; queued ones would be stale once the address is
+            // known.
             queue.next(true).await;
             continue;
         };
--- a/crates/gypsumglade/src/store/peer_calls.rs
+++ b/crates/gypsumglade/src/store/peer_calls.rs
@@ -104,9 +104,9 @@
 
 /// Returns the group that a request was sent to, if all its programs belong to that group.
 ///
-/// VMs whose settings differ in the number of groups would send a program to two groups, which would lose
-/// turns and could grant the same work in both. The store therefore computes the group itself and refuses
-/// a mismatch.
+/// VMs whose settings differ in the number of groups would send a program to two groups, which
+/// would lose turns and could grant the same work in both. The store therefore computes the group
+/// itself and refuses a mismatch.
 fn checked_group(
     state: &StoreState,
     group: GroupId,
--- a/crates/gypsumglade/src/store/pending_answers.rs
+++ b/crates/gypsumglade/src/store/pending_answers.rs
@@ -82,7 +82,8 @@
         }
     }
 
-    /// Records that a snapshot replaced the state. Answers of the entries that it covers are unknown.
+    /// Records that a snapshot replaced the state. Answers of the entries that it covers are
+    /// unknown.
     pub(super) fn restored(&mut self, index: LogIndex) {
         self.applied = index;
         self.waiting.clear();
--- a/crates/gypsumglade/src/store/registrar.rs
+++ b/crates/gypsumglade/src/store/registrar.rs
@@ -95,7 +95,8 @@
         self.command(CommandBody::Register(register)).await.map(drop)
     }
 
-    /// Removes an endpoint that is shutting down. Without an incarnation, the registered one is removed.
+    /// Removes an endpoint that is shutting down. Without an incarnation, the registered one is
+    /// removed.
     ///
     /// # Errors
     /// As [`Registrar::announce`].
@@ -107,8 +108,8 @@
 
     /// Puts a bundle in force, unless its version or a higher one already is.
     ///
-    /// The order is signed with the store's registrar key, so that entry VMs verify it like any other
-    /// bundle. An order for a version that is in force or superseded succeeds without effect.
+    /// The order is signed with the store's registrar key, so that entry VMs verify it like any
+    /// other bundle. An order for a version that is in force or superseded succeeds without effect.
     ///
     /// # Errors
     /// Fails when the bundle is invalid or the outcome is unknown, see [`RegistrarError`].
@@ -155,7 +156,8 @@
 
     /// Returns `true` once a retiring store is no longer needed by any group.
     ///
-    /// Each group's leader must report this: a group without a recent report may still need the store.
+    /// Each group's leader must report this: a group without a recent report may still need the
+    /// store.
     ///
     /// # Errors
     /// Fails when the store is not known.
@@ -256,8 +258,8 @@
 
 /// Returns `true` if texts of kept turns may be on too few stores without this one.
 ///
-/// That is also the case while the turn group's leader has not reported the store as retiring: it has not
-/// checked for such texts yet.
+/// That is also the case while the turn group's leader has not reported the store as retiring: it
+/// has not checked for such texts yet.
 fn is_required_holder(vm: VmId, led: &[Led]) -> bool {
     let mut reports = led.iter().filter(|led| led.group == GroupId::TURNS.0);
     reports.any(|led| led.holders.contains(&vm.0) || !led.retiring.contains(&vm.0))
--- a/crates/gypsumglade/src/store/repair.rs
+++ b/crates/gypsumglade/src/store/repair.rs
@@ -19,15 +19,16 @@
 
 /// Interval between two checks. A repair takes several, since each makes at most one change.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// Silence after which a store counts as failed: three rounds of hellos. A store that is removed too
-/// early rejoins as a learner, without loss of data.
+/// Silence after which a store counts as failed: three rounds of hellos. A store that is removed
+/// too early rejoins as a learner, without loss of data.
 pub(super) const STORE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Pause between two attempts to transfer a group's leadership, since commits wait during an attempt.
+/// Pause between two attempts to transfer a group's leadership, since commits wait during an
+/// attempt.
 const TRANSFER_BACKOFF: Duration = Duration::from_secs(3);
 
-/// Time for which the same swap of voters must be due before it begins. Longer than a restart, during
-/// which a region seems to have fewer stores.
+/// Time for which the same swap of voters must be due before it begins. Longer than a restart,
+/// during which a region seems to have fewer stores.
 const SWAP_DELAY: Duration = Duration::from_secs(10);
 
 /// Checks the led groups' members and changes them where needed.
@@ -59,7 +60,8 @@
 /// State that is kept between two checks.
 #[derive(Default)]
 struct RepairHistory {
-    /// Address of each store, kept after another store has taken it and the roster has dropped the first.
+    /// Address of each store, kept after another store has taken it and the roster has dropped the
+    /// first.
     addresses: BTreeMap<VmId, CompactString>,
     /// Time of each group's last attempt to transfer leadership.
     transfers: BTreeMap<GroupId, Time>,
@@ -127,7 +129,8 @@
         (now.since(due.1) >= SWAP_DELAY).then_some(change)
     }
 
-    /// Transfers a group's leadership if another store should lead. Returns `true` if a transfer began.
+    /// Transfers a group's leadership if another store should lead. Returns `true` if a transfer
+    /// began.
     fn transfer_leadership(
         &self,
         group: &Status,
--- a/crates/gypsumglade/src/store/serve.rs
+++ b/crates/gypsumglade/src/store/serve.rs
@@ -40,24 +40,24 @@
 
 /// Largest size of the entries in one message to a follower.
 ///
-/// Heartbeats queue behind messages in flight, and the core's default would delay them for longer than an
-/// election timeout.
+/// Heartbeats queue behind messages in flight, and the core's default would delay them for longer
+/// than an election timeout.
 const BATCH_BYTES: usize = 64 * 1024;
 /// Entry messages in flight to one follower.
 const MAX_IN_FLIGHT: usize = 8;
 /// Bytes of entries in flight to one follower: about the bandwidth-delay product of a link between
 /// regions. More would only delay new entries.
 const MAX_IN_FLIGHT_BYTES: usize = 128 * 1024;
-/// Size of a snapshot chunk. Only one is in flight at a time, so smaller chunks would leave a link between
-/// regions idle.
+/// Size of a snapshot chunk. Only one is in flight at a time, so smaller chunks would leave a link
+/// between regions idle.
 const CHUNK_BYTES: usize = 256 * 1024;
 /// Entries that a learner may lack and still be promoted.
 ///
 /// A learner in another region always lacks the entries in flight, so a lower limit would delay its
 /// promotion in a busy group.
 const PROMOTE_LAG: u64 = 200;
-/// Bytes of uncommitted proposals above which further ones are refused. Callers of proposals behind a
-/// larger backlog would already have timed out.
+/// Bytes of uncommitted proposals above which further ones are refused. Callers of proposals behind
+/// a larger backlog would already have timed out.
 const BACKLOG_BYTES: usize = 4 * 1024 * 1024;
 /// Folder of the texts of kept turns, within the data folder.
 const TEXTS_FOLDER: &str = "texts";
@@ -325,8 +325,8 @@
 
 /// Returns the initial members of each group, or `None` on a store that joins existing groups.
 ///
-/// A store with a wiped disk must not form a group again: there would be two groups, each acknowledging
-/// orders unknown to the other.
+/// A store with a wiped disk must not form a group again: there would be two groups, each
+/// acknowledging orders unknown to the other.
 fn initial_members(state: &StoreState) -> Option<Vec<VmId>> {
     let (settings, vm) = (&state.settings, state.context.vm);
     if let Some(discovery) = &settings.discovery {
--- a/crates/gypsumglade/src/store/text_copies.rs
+++ b/crates/gypsumglade/src/store/text_copies.rs
@@ -18,12 +18,13 @@
 
 /// Interval between two checks while no copy finishes.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// Silence after which a store counts as lost; longer than a restart, after which the texts are back.
+/// Silence after which a store counts as lost; longer than a restart, after which the texts are
+/// back.
 ///
 /// A store whose identity was replaced is lost at once, since the roster drops it.
 const LOST_AFTER: Duration = Duration::from_secs(3);
-/// Texts planned for one store at a time. Several batches are planned together, since planning scans all
-/// kept turns.
+/// Texts planned for one store at a time. Several batches are planned together, since planning
+/// scans all kept turns.
 const PLAN_LIMITS: Limits = Limits {
     same_region: BatchSize { texts: 4_096, bytes: 8 * 1024 * 1024 },
     cross_region: BatchSize { texts: 256, bytes: 512 * 1024 },
@@ -42,7 +43,8 @@
 const FAILURE_BACKOFF: Duration = Duration::from_secs(1);
 /// Time for which a text that could not be copied is skipped.
 const DEFER_FOR: Duration = Duration::from_secs(2);
-/// Time for which a store is reported as a required holder after it was found to be one or began to retire.
+/// Time for which a store is reported as a required holder after it was found to be one or began to
+/// retire.
 ///
 /// Entry VMs may store texts there until a round of hellos tells them that it is retiring.
 const REQUIRED_FOR: Duration = Duration::from_secs(3);
@@ -131,7 +133,8 @@
 
     /// Returns the batches that each idle store should fetch.
     fn plan_transfers(&self, busy: &BTreeSet<VmId>) -> BTreeMap<VmId, Vec<Transfer>> {
-        // Read before planning: a store may be reported as retiring only after it was planned as such.
+        // Read before planning: a store may be reported as retiring only after it was planned as
+        // such.
         let mut retiring = self.discovery.retiring();
         retiring.extend(self.control.retiring().into_iter().map(VmId));
         let survey = self.survey();
--- a/crates/gypsumglade/src/store/text_holder.rs
+++ b/crates/gypsumglade/src/store/text_holder.rs
@@ -117,7 +117,8 @@
         }
     }
 
-    /// Queries which turns are still kept, extends their texts' retention and drops the other texts.
+    /// Queries which turns are still kept, extends their texts' retention and drops the other
+    /// texts.
     ///
     /// Returns `false` if there are no turns or the query failed.
     async fn check_due(&self, due: Vec<CompactString>) -> bool {
--- a/crates/gypsumglade/src/store/turn_group.rs
+++ b/crates/gypsumglade/src/store/turn_group.rs
@@ -31,8 +31,8 @@
     turns: Turns,
     /// Set once this store leads and has applied the entries of earlier leaders.
     leader_clock: Option<LeaderClock>,
-    /// True if a snapshot could not be read. The state is incomplete then: a turn that it lacks may still
-    /// be kept.
+    /// True if a snapshot could not be read. The state is incomplete then: a turn that it lacks may
+    /// still be kept.
     unusable: bool,
     answers: PendingAnswers<Reply>,
 }
@@ -89,8 +89,8 @@
 
     /// Returns the group's time for a command in milliseconds, or `None` if none may be proposed.
     ///
-    /// A store without a leader clock returns the latest time in the log, so that the group's time stands
-    /// still until a leader has applied the entries of earlier ones.
+    /// A store without a leader clock returns the latest time in the log, so that the group's time
+    /// stands still until a leader has applied the entries of earlier ones.
     fn command_time(&self) -> Option<u64> {
         let state = self.state();
         if state.unusable {
@@ -100,8 +100,8 @@
         state.leader_clock.map(|clock| clock.millis(now)).or_else(|| state.turns.time())
     }
 
-    /// Returns the answer of a store that must not propose: its state is unusable, or it knows neither a
-    /// leader clock nor a time in the log.
+    /// Returns the answer of a store that must not propose: its state is unusable, or it knows
+    /// neither a leader clock nor a time in the log.
     async fn not_ready_reply(&self) -> ReplyBody {
         match self.context.host.read_barrier(GroupId::TURNS).await {
             Ok(_) => uncertain(),
@@ -190,8 +190,8 @@
         let barrier = self.context.host.read_barrier(GroupId::TURNS).await;
         let state = self.state();
         match barrier {
-            // Texts of turns that are missing in the reply are dropped, so only a leader with the entries
-            // of earlier ones may answer.
+            // Texts of turns that are missing in the reply are dropped, so only a leader with the
+            // entries of earlier ones may answer.
             Ok(_) if state.leads() => KeptReply {
                 leads: true,
                 turns: state.turns.still_kept(&query.turns),
