--- a/crates/gypsumglade/src/store/control_group/endpoints.rs
+++ b/crates/gypsumglade/src/store/control_group/endpoints.rs
@@ -75,15 +75,15 @@
     }
 
     /// Removes an endpoint that has shut down or is about to.
-    pub(super) async fn deregister(&self, mut gone: Deregister) -> ReplyBody {
-        if gone.incarnation == 0 {
+    pub(super) async fn deregister(&self, mut deregister: Deregister) -> ReplyBody {
+        if deregister.incarnation == 0 {
             let state = self.state();
-            let known = state.control.endpoints().get(&gone.name);
-            gone.incarnation = known.map(|record| record.incarnation).unwrap_or_default();
+            let known = state.control.endpoints().get(&deregister.name);
+            deregister.incarnation = known.map(|record| record.incarnation).unwrap_or_default();
         }
-        slog::info!(self.context.log, "endpoint deregistered"; "endpoint" => &gone.name,
-            "incarnation" => gone.incarnation);
-        self.command(Command { body: Some(CommandBody::Deregister(gone)) }).await
+        slog::info!(self.context.log, "endpoint deregistered"; "endpoint" => &deregister.name,
+            "incarnation" => deregister.incarnation);
+        self.command(Command { body: Some(CommandBody::Deregister(deregister)) }).await
     }
 
     /// Returns the endpoint changes since the query's last one, and waits for a change if there is
@@ -154,11 +154,11 @@
         let endpoints = control.endpoints().iter();
         let expired =
             endpoints.filter(|record| last_announced.is_expired(&record.name, now, lease));
-        let gone = expired.map(|record| Deregister {
+        let deregister = expired.map(|record| Deregister {
             name: record.name.clone(),
             incarnation: record.incarnation,
         });
-        gone.collect()
+        deregister.collect()
     }
 }
 
