--- a/crates/gypsumglade/src/store/control_group/endpoints.rs
+++ b/crates/gypsumglade/src/store/control_group/endpoints.rs
@@ -62,7 +62,7 @@
             (state.control.endpoints().is_update(record), term)
         };
         if update {
-            slog::info!(self.context.log, "endpoint registered"; "endpoint" => &record.name,
+            slog::info!(self.context.log, "registering endpoint"; "endpoint" => &record.name,
                 "address" => &record.address, "pool" => &record.pool,
                 "incarnation" => record.incarnation, "leaving" => record.leaving);
             return self.command(Command { body: Some(CommandBody::Register(register)) }).await;
@@ -81,7 +81,7 @@
             let known = state.control.endpoints().get(&deregister.name);
             deregister.incarnation = known.map(|record| record.incarnation).unwrap_or_default();
         }
-        slog::info!(self.context.log, "endpoint deregistered"; "endpoint" => &deregister.name,
+        slog::info!(self.context.log, "deregistering endpoint"; "endpoint" => &deregister.name,
             "incarnation" => deregister.incarnation);
         self.command(Command { body: Some(CommandBody::Deregister(deregister)) }).await
     }
@@ -131,7 +131,7 @@
             }
             last_check = now;
             for deregister in self.expired_endpoints(lease) {
-                slog::warn!(self.context.log, "endpoint expired and is removed";
+                slog::warn!(self.context.log, "removing expired endpoint";
                     "endpoint" => &deregister.name, "incarnation" => deregister.incarnation);
                 let command = Command { body: Some(CommandBody::Deregister(deregister)) };
                 // If leadership is lost, the next leader removes the endpoint.
--- a/crates/gypsumglade/src/store/text_copies.rs
+++ b/crates/gypsumglade/src/store/text_copies.rs
@@ -133,8 +133,8 @@
 
     /// Returns the batches that each idle store should fetch.
     fn plan_transfers(&self, busy: &BTreeSet<VmId>) -> BTreeMap<VmId, Vec<Transfer>> {
-        // Read before planning: a store may be reported as retiring only after it was planned as
-        // such.
+        // Read before planning: a store may be reported as retiring only once a plan has taken that
+        // into account.
         let mut retiring = self.discovery.retiring();
         retiring.extend(self.control.retiring().into_iter().map(VmId));
         let survey = self.survey();
