--- a/crates/gypsumglade/src/leader_client.rs
+++ b/crates/gypsumglade/src/leader_client.rs
@@ -1,7 +1,7 @@
-//! Asks the leader of a group that every store has a replica of, across redirects and losses.
+//! Client of a replicated group's leader, which follows redirects and retries lost requests.
 
 use std::sync::{Arc, Mutex, MutexGuard};
-use std::time::Instant as Now;
+use std::time::Instant as StdInstant;
 
 use gypsumglade_core::prelude::*;
 use prost::Message;
@@ -11,29 +11,29 @@
 use crate::leader_hint::LeaderHint;
 use crate::rpc::{Method, PeerClients};
 
-/// How long a client goes on asking.
+/// Timeouts and pause of a request that is retried until a leader answers.
 #[derive(Clone, Copy, Debug)]
-pub struct Patience {
-    /// Longest wait for one store's answer.
-    pub call: Duration,
-    /// Time after which no further store is asked.
-    pub whole: Duration,
-    /// Pause before another store is asked, so that an election isn't waited out in a spin.
+pub struct RetryLimits {
+    /// Timeout of a call to one store.
+    pub per_call: Duration,
+    /// Time limit of the request with all its retries.
+    pub total: Duration,
+    /// Pause between two calls, so that a client doesn't spin while an election is held.
     pub pause: Duration,
 }
 
-/// What a store's reply says of who leads.
+/// Meaning of a store's reply to a request for the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    /// The store leads, and this is its answer.
-    Leads,
-    /// Another one does, if the store knows which.
-    Redirects(VmId),
-    /// It can't be told whether the question took effect.
+pub enum ReplyKind {
+    /// The leader's answer to the request.
+    Answer,
+    /// The store doesn't lead; names the leader that it knows of, or VM 0 if it knows none.
+    Redirect(VmId),
+    /// The request may or may not have taken effect.
     Uncertain,
 }
 
-/// Finds a group's leader; clones share what they learn.
+/// Finds a group's leader and sends it requests; clones share the known leader.
 #[derive(Clone)]
 pub struct LeaderClient {
     directory: Arc<Directory>,
@@ -43,60 +43,60 @@
 }
 
 impl LeaderClient {
-    /// Creates a client of the group that `method` asks; it knows no leader yet.
+    /// Creates a client for the group that serves `method`, without a known leader.
     pub fn new(directory: Arc<Directory>, peers: PeerClients, method: Method) -> LeaderClient {
         LeaderClient { directory, peers, method, leader: Arc::default() }
     }
 
-    /// Asks until the leader answers; `None` when none did in time.
+    /// Sends a request until the leader answers. Returns `None` if no leader did within the limits.
     ///
-    /// A question may reach a leader more than once, so it must be idempotent.
+    /// A request may reach a leader more than once, so it must be idempotent.
     pub async fn ask<Q, A>(
         &self,
         question: &Q,
-        patience: Patience,
-        verdict: impl Fn(&A) -> Verdict,
+        limits: RetryLimits,
+        classify: impl Fn(&A) -> ReplyKind,
     ) -> Option<A>
     where
         Q: Message,
         A: Message + Default,
     {
-        let until = Instant::now() + patience.whole;
+        let deadline = Instant::now() + limits.total;
         loop {
-            let left = until.saturating_duration_since(Instant::now());
-            let answer = self.ask_one(question, left.min(patience.call), &verdict).await;
+            let left = deadline.saturating_duration_since(Instant::now());
+            let answer = self.ask_once(question, left.min(limits.per_call), &classify).await;
             if answer.is_some() {
                 return answer;
             }
-            if Instant::now() + patience.pause >= until {
+            if Instant::now() + limits.pause >= deadline {
                 return None;
             }
-            tokio::time::sleep(patience.pause).await;
+            tokio::time::sleep(limits.pause).await;
         }
     }
 
-    /// Asks the store that is believed to lead, and notes what its reply says of the leader.
-    async fn ask_one<Q, A>(
+    /// Calls the store that is believed to lead, and updates the known leader from the reply.
+    async fn ask_once<Q, A>(
         &self,
         question: &Q,
         timeout: Duration,
-        verdict: impl Fn(&A) -> Verdict,
+        classify: impl Fn(&A) -> ReplyKind,
     ) -> Option<A>
     where
         Q: Message,
         A: Message + Default,
     {
-        let (vm, address) = self.leader().target(&self.directory, Now::now())?;
+        let (vm, address) = self.leader().target(&self.directory, StdInstant::now())?;
         let reply = self.peers.ask::<Q, A>(address, self.method, question, timeout).await.ok();
         let mut leader = self.leader();
-        match reply.as_ref().map(verdict) {
-            Some(Verdict::Leads) => {
+        match reply.as_ref().map(classify) {
+            Some(ReplyKind::Answer) => {
                 leader.confirm(vm);
                 return reply;
             }
-            Some(Verdict::Redirects(other)) => leader.redirect(Some(vm), Some(other)),
-            Some(Verdict::Uncertain) => leader.forget(),
-            None => leader.lost(vm, Now::now()),
+            Some(ReplyKind::Redirect(other)) => leader.redirect(Some(vm), Some(other)),
+            Some(ReplyKind::Uncertain) => leader.clear(),
+            None => leader.mark_unresponsive(vm, StdInstant::now()),
         }
         None
     }
--- a/crates/gypsumglade/src/store/control_group.rs
+++ b/crates/gypsumglade/src/store/control_group.rs
@@ -1,4 +1,4 @@
-//! The control group on this store: bundles and configuration leases.
+//! The control group on this store: bundles, endpoints, and configuration and order leases.
 
 mod endpoints;
 mod order_lease;
@@ -24,42 +24,40 @@
 use prost::Message as _;
 use tokio::sync::{mpsc, watch};
 
-use super::answers::Answers;
 use super::context::StoreContext;
+use super::pending_answers::PendingAnswers;
 use super::program_group::GroupInput;
 use crate::replica::{Event, ProposeError};
-use endpoints::Heard;
+use endpoints::LastAnnounced;
 
-/// The control group's state on one store, and its leases while it leads.
+/// The control group's state machine on one store, and the leases that it grants while it leads.
 pub struct ControlGroup {
     context: Arc<StoreContext>,
     keys: OperatorKeys,
     lease: LeaseSettings,
     state: Mutex<ControlState>,
-    /// Number of the last change to the endpoints.
-    changes: watch::Sender<u64>,
-    /// Number of the revision that this store has applied.
-    revisions: watch::Sender<u64>,
+    /// Sequence number of the last change to the endpoints.
+    endpoint_changes: watch::Sender<u64>,
+    /// Number of the last revision that this store has applied.
+    applied_revision: watch::Sender<u64>,
 }
 
 struct ControlState {
     control: Control,
-    answers: Answers<Answer>,
+    answers: PendingAnswers<Answer>,
     role: Role,
-    heard: Heard,
-    /// Renewals of the order lease, from this leader's first asker on.
-    orders: Option<OrderGrants>,
+    last_announced: LastAnnounced,
+    /// Renewals of the order lease; set by the first request for it to this leader.
+    order_grants: Option<OrderGrants>,
 }
 
-/// Longest wait of a reader for a follower to apply what the leader has committed: several
-/// heartbeats.
-const APPLY_WAIT: Duration = Duration::from_millis(600);
+/// Time that a read on a follower waits for a committed revision to be applied: several heartbeats.
+const APPLY_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Longest wait of an order's answer for the VMs to have its revision: a renewal's interval, and some
-/// time for the answer to get there. Operators count answers from a second on.
-const SPREAD_WAIT: Duration = Duration::from_millis(500);
-/// Pause between two looks at which VMs have it.
-const SPREAD_PAUSE: Duration = Duration::from_millis(20);
+/// Longest delay of an order's answer until its revision is in force: about one renewal interval.
+const IN_FORCE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Interval at which [`ControlGroup::await_in_force`] checks the leases.
+const IN_FORCE_POLL: Duration = Duration::from_millis(20);
 
 enum Role {
     Leader { term: Term, grants: Box<ConfigGrants> },
@@ -75,37 +73,37 @@
     ) -> Arc<ControlGroup> {
         let state = ControlState {
             control: Control::new(),
-            answers: Answers::default(),
+            answers: PendingAnswers::default(),
             role: Role::Follower(None),
-            heard: Heard::default(),
-            orders: None,
+            last_announced: LastAnnounced::default(),
+            order_grants: None,
         };
-        let (changes, revisions) = (watch::Sender::new(0), watch::Sender::new(0));
+        let (endpoint_changes, applied_revision) = (watch::Sender::new(0), watch::Sender::new(0));
         let state = Mutex::new(state);
-        Arc::new(ControlGroup { context, keys, lease, state, changes, revisions })
+        Arc::new(ControlGroup { context, keys, lease, state, endpoint_changes, applied_revision })
     }
 
-    /// Applies the log's news until the process ends.
+    /// Applies replication events until the process ends.
     pub async fn run(self: Arc<Self>, mut events: mpsc::Receiver<Event>) {
         while let Some(event) = events.recv().await {
             match event {
-                Event::Leader { term, .. } => self.lead(term),
+                Event::Leader { term, .. } => self.become_leader(term),
                 Event::Follower { leader, .. } => self.state().role = Role::Follower(leader),
-                Event::Committed { index, data, .. } => self.committed(index, &data).await,
+                Event::Committed { index, data, .. } => self.apply_committed(index, &data).await,
                 Event::Restore { index, data, .. } => self.restore(index, &data).await,
-                Event::NeedSnapshot { .. } => self.snapshot(),
+                Event::NeedSnapshot { .. } => self.take_snapshot(),
                 Event::Failed { .. } => {}
             }
         }
     }
 
-    /// Serves an operator's command or question.
+    /// Serves a command or a status query.
     pub async fn ask(&self, request: ControlRequest) -> ControlReply {
         let body = match request.body {
             Some(RequestBody::Command(command)) => match command.body {
-                Some(CommandBody::TakeOrders(take)) => self.take_orders(take).await,
+                Some(CommandBody::TakeOrders(take)) => self.take_order_lease(take).await,
                 Some(CommandBody::Register(register)) => self.register(register).await,
-                Some(CommandBody::Deregister(gone)) => self.deregister(gone).await,
+                Some(CommandBody::Deregister(deregister)) => self.deregister(deregister).await,
                 _ => self.command(command).await,
             },
             Some(RequestBody::Status(query)) => self.status(&query).await,
@@ -114,14 +112,14 @@
         ControlReply { body: Some(body) }
     }
 
-    /// Serves an entry VM that renews its lease.
+    /// Renews an entry VM's configuration lease.
     ///
-    /// Leadership is confirmed after the answer was worked out and before it leaves, and in the
-    /// term that the answer was worked out in: a store that was paused, or lost leadership and got
-    /// it back, would otherwise grant next to another leader, and a bundle could be called in
-    /// force while a VM still acts on the one before.
+    /// Leadership in the term of the answer is confirmed before the answer is sent. A store that
+    /// was paused, or lost leadership and regained it, could otherwise grant a lease next to
+    /// another leader's, and a bundle could be reported in force while a VM still acts on the
+    /// previous one.
     pub async fn renew(&self, request: &ConfirmRequest) -> ConfirmReply {
-        let (reply, term) = self.renewal(request);
+        let (reply, term) = self.work_out_renewal(request);
         let grants = matches!(reply.body, Some(ConfirmBody::Grant(_)));
         if grants && self.context.host.lease_term(GroupId::CONTROL).await != term {
             return unavailable(request, None);
@@ -145,8 +143,8 @@
         })
     }
 
-    /// Works an answer out, with the term that it holds in.
-    fn renewal(&self, request: &ConfirmRequest) -> (ConfirmReply, Option<Term>) {
+    /// Returns the answer to a renewal, and the term that it is valid in.
+    fn work_out_renewal(&self, request: &ConfirmRequest) -> (ConfirmReply, Option<Term>) {
         let now = self.context.clock.now();
         let mut state = self.state();
         let ControlState { control, role, .. } = &mut *state;
@@ -155,19 +153,19 @@
                 let length = self.lease.length();
                 (serve(control.history(), grants, length, request, now), Some(*term))
             }
-            Role::Follower(leader) => (told(control, request, *leader), None),
+            Role::Follower(leader) => (follower_reply(control, request, *leader), None),
         }
     }
 
     async fn command(&self, command: Command) -> ReplyBody {
-        if let Some(body) = self.refusal(&command) {
+        if let Some(body) = self.reject_early(&command) {
             return body;
         }
         let data = Bytes::from(command.encode_to_vec());
         match self.context.host.propose(GroupId::CONTROL, data).await {
             Ok(index) => match self.answer_at(index).await {
                 Some(answer) => {
-                    self.spread(&answer).await;
+                    self.await_in_force(&answer).await;
                     ReplyBody::Answer(answer)
                 }
                 None => ReplyBody::Uncertain(Uncertain {}),
@@ -177,22 +175,22 @@
         }
     }
 
-    /// Waits until the VMs that renew their leases here have a new revision, or for a moment.
+    /// Waits until all VMs with a lease have an accepted revision, up to [`IN_FORCE_TIMEOUT`].
     ///
-    /// Once an order is acknowledged, its revision must be in force within seconds. If this store died
-    /// right after that, VMs would have to wait for another leader, and followers may not even know
-    /// that the revision is committed.
-    async fn spread(&self, answer: &Answer) {
+    /// An acknowledged revision must be in force within seconds, also if this store fails right
+    /// after the acknowledgement. VMs that don't have the revision by then would have to wait for a
+    /// new leader.
+    async fn await_in_force(&self, answer: &Answer) {
         let Some(AnswerBody::Accepted(accepted)) = &answer.body else { return };
         let revision = RevisionNumber(accepted.revision);
-        let until = self.context.clock.now() + SPREAD_WAIT;
-        while self.is_awaited(revision) && self.context.clock.now() < until {
-            tokio::time::sleep(SPREAD_PAUSE).await;
+        let deadline = self.context.clock.now() + IN_FORCE_TIMEOUT;
+        while self.is_pending(revision) && self.context.clock.now() < deadline {
+            tokio::time::sleep(IN_FORCE_POLL).await;
         }
     }
 
-    /// Tells whether a VM with a lease of this leader may still act on an older revision.
-    fn is_awaited(&self, revision: RevisionNumber) -> bool {
+    /// Returns `true` if a VM with a lease from this leader may still act on an older revision.
+    fn is_pending(&self, revision: RevisionNumber) -> bool {
         let now = self.context.clock.now();
         match &self.state().role {
             Role::Leader { grants, .. } => match grants.in_force(revision, now) {
@@ -203,8 +201,9 @@
         }
     }
 
-    /// Answers at once what need not, or must not, go into the log.
-    fn refusal(&self, command: &Command) -> Option<ReplyBody> {
+    /// Returns the answer to a command that need not or must not be proposed, and `None` for all
+    /// others.
+    fn reject_early(&self, command: &Command) -> Option<ReplyBody> {
         let state = self.state();
         if let Role::Follower(leader) = state.role {
             return Some(not_leader(leader));
@@ -212,7 +211,7 @@
         state.control.check(command, &self.keys).err().map(ReplyBody::Answer)
     }
 
-    /// Waits until the entry at `index` is applied here, and returns its answer.
+    /// Waits until the entry at `index` is applied here and returns its answer, if it is known.
     async fn answer_at(&self, index: LogIndex) -> Option<Answer> {
         let found = self.state().answers.lookup(index);
         found.wait().await
@@ -244,34 +243,34 @@
         })
     }
 
-    fn lead(&self, term: Term) {
-        slog::info!(self.context.log, "leads the control group"; "term" => term.0);
+    fn become_leader(&self, term: Term) {
+        slog::info!(self.context.log, "became leader of the control group"; "term" => term.0);
         let now = self.context.clock.now();
         let grants = ConfigGrants::for_leader(self.lease, now);
         let mut state = self.state();
         state.role = Role::Leader { term, grants: Box::new(grants) };
-        state.orders = None;
-        state.heard = Heard::default();
+        state.order_grants = None;
+        state.last_announced = LastAnnounced::default();
     }
 
-    async fn committed(&self, index: LogIndex, data: &Bytes) {
+    async fn apply_committed(&self, index: LogIndex, data: &Bytes) {
         let changed = {
             let mut state = self.state();
             let before = state.control.history().number();
             if data.is_empty() {
-                state.answers.note(index, None);
+                state.answers.record(index, None);
                 false
             } else {
                 // Every entry was encoded by a leader of this group.
                 let command = Command::decode(data.clone()).unwrap_or_default();
                 let answer = state.control.apply(&command);
-                state.answers.note(index, Some(&answer));
-                self.tell_followers(&state);
+                state.answers.record(index, Some(&answer));
+                self.notify_watchers(&state);
                 state.control.history().number() != before
             }
         };
         if changed {
-            self.tell_groups().await;
+            self.notify_groups().await;
         }
     }
 
@@ -281,18 +280,18 @@
             match Control::restore(data) {
                 Ok(control) => state.control = control,
                 Err(error) => {
-                    slog::crit!(self.context.log, "a control snapshot cannot be read; replace \
-                        this store's data folder"; "error" => %error);
+                    slog::crit!(self.context.log, "control group snapshot cannot be read; \
+                        replace this store's data folder"; "error" => %error);
                     return;
                 }
             }
             state.answers.restored(index);
-            self.tell_followers(&state);
+            self.notify_watchers(&state);
         }
-        self.tell_groups().await;
+        self.notify_groups().await;
     }
 
-    fn snapshot(&self) {
+    fn take_snapshot(&self) {
         if !self.context.begin_snapshot(GroupId::CONTROL) {
             return;
         }
@@ -303,8 +302,9 @@
         self.context.write_snapshot(GroupId::CONTROL, index, data);
     }
 
-    /// Tells the program groups of the revision, so that no grant is given under an older one.
-    async fn tell_groups(&self) {
+    /// Sends the current revision to the program groups, so that they grant nothing under an older
+    /// one.
+    async fn notify_groups(&self) {
         let found = self.state().control.current().cloned();
         let Some(revision) = found else { return };
         let bundle = Bundle::parse(&revision.content);
@@ -314,27 +314,28 @@
         self.context.feed_all(input).await;
     }
 
-    /// Wakes whoever waits for a change of the endpoints or a revision.
-    fn tell_followers(&self, state: &ControlState) {
-        self.changes.send_replace(state.control.endpoints().change());
-        self.revisions.send_replace(state.control.history().number().0);
+    /// Wakes the tasks that wait for an endpoint change or a revision.
+    fn notify_watchers(&self, state: &ControlState) {
+        self.endpoint_changes.send_replace(state.control.endpoints().change());
+        self.applied_revision.send_replace(state.control.history().number().0);
     }
 
-    /// Returns the current revision once this store has applied `wanted`; `None` if it does not in
-    /// time, and nothing in it before the first bundle.
+    /// Returns the current revision once this store has applied the revision `wanted`.
+    ///
+    /// The outer `Option` is `None` on a timeout, the inner one before the first bundle.
     pub async fn await_revision(&self, wanted: RevisionNumber) -> Option<Option<Revision>> {
-        let mut revisions = self.revisions.subscribe();
-        let applied = revisions.wait_for(|applied| *applied >= wanted.0);
-        tokio::time::timeout(APPLY_WAIT, applied).await.ok()?.ok()?;
+        let mut applied_revision = self.applied_revision.subscribe();
+        let applied = applied_revision.wait_for(|applied| *applied >= wanted.0);
+        tokio::time::timeout(APPLY_TIMEOUT, applied).await.ok()?.ok()?;
         Some(self.state().control.current().cloned())
     }
 
-    /// Tells whether a store is to be emptied, as far as this store has applied the log.
+    /// Returns `true` if a store is retiring, according to the log applied here.
     pub fn is_retiring(&self, vm: VmId) -> bool {
         self.state().control.is_retiring(vm)
     }
 
-    /// Returns the stores that are to be emptied, as far as this store has applied the log.
+    /// Returns the retiring stores, according to the log applied here.
     pub(super) fn retiring(&self) -> Vec<u32> {
         self.state().control.retiring().map(|vm| vm.0).collect()
     }
@@ -362,12 +363,16 @@
     ReplyBody::NotLeader(NotLeader { leader: leader.unwrap_or_default().0 })
 }
 
-/// Answers a VM that asks a store that doesn't lead.
+/// Answers a renewal on a follower.
 ///
-/// What a follower has applied is committed, so a newer revision may be told by anyone; only a lease
-/// needs the leader. While there is none, VMs would otherwise act on an older revision for as long as
-/// their leases last, next to stores that know better.
-fn told(control: &Control, request: &ConfirmRequest, leader: Option<VmId>) -> ConfirmReply {
+/// Only the leader grants leases, but every applied revision is committed, so a follower may send a
+/// newer one. Without a leader, VMs would otherwise act on an older revision until their leases
+/// expire.
+fn follower_reply(
+    control: &Control,
+    request: &ConfirmRequest,
+    leader: Option<VmId>,
+) -> ConfirmReply {
     match control.history().update(RevisionNumber(request.applied)) {
         Some(update) => ConfirmReply { ask: request.ask, body: Some(ConfirmBody::Update(update)) },
         None => unavailable(request, leader),
--- a/crates/gypsumglade/src/store/control_group/endpoints.rs
+++ b/crates/gypsumglade/src/store/control_group/endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoints' announcements at the control group, and the entry VMs that follow them.
+//! Registration of endpoints at the control group, and queries by entry VMs that watch them.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -14,54 +14,55 @@
 
 use super::{ControlGroup, Role, not_leader};
 
-/// Longest time that a question for news may wait.
+/// Longest time that a query waits for a change.
 const MAX_WAIT: Duration = Duration::from_secs(5);
-/// Pause between two looks for endpoints that fell silent.
-const LAPSE_PAUSE: Duration = Duration::from_millis(500);
-/// Time between two looks past which the process counts as paused.
-const LONGEST_LOOK: Duration = Duration::from_millis(1_500);
+/// Interval between two checks for expired endpoints.
+const EXPIRY_INTERVAL: Duration = Duration::from_millis(500);
+/// Time between two checks from which the process counts as paused.
+const PAUSE_THRESHOLD: Duration = Duration::from_millis(1_500);
 
-/// When endpoints were last heard, in the memory of the leader.
+/// Time of each endpoint's last announcement to this leader.
 #[derive(Debug, Default)]
-pub(super) struct Heard(HashMap<CompactString, Time>);
+pub(super) struct LastAnnounced(HashMap<CompactString, Time>);
 
-impl Heard {
-    fn note(&mut self, name: &str, now: Time) {
+impl LastAnnounced {
+    fn record(&mut self, name: &str, now: Time) {
         match self.0.get_mut(name) {
             Some(at) => *at = now,
             None => drop(self.0.insert(name.into(), now)),
         }
     }
 
-    /// Tells whether an endpoint has been silent for `lease`. One that this leader never heard is
-    /// silent from the first time that it is asked about: a new leader must not drop endpoints
-    /// that announced themselves to the one before.
-    fn is_silent(&mut self, name: &str, now: Time, lease: Duration) -> bool {
+    /// Returns `true` if an endpoint has not announced itself for longer than `lease`.
+    ///
+    /// For an endpoint that this leader has never heard from, the time starts at the first check: a
+    /// new leader must not remove endpoints that announced themselves to the previous one.
+    fn is_expired(&mut self, name: &str, now: Time, lease: Duration) -> bool {
         let at = *self.0.entry(name.into()).or_insert(now);
         now.since(at) > lease
     }
 }
 
 impl ControlGroup {
-    /// Takes an endpoint's announcement.
+    /// Handles an endpoint's announcement.
     ///
-    /// What changes anything is committed before it is acknowledged, since an endpoint that was
-    /// told that its draining is known relies on all entry VMs, whoever leads next. The rest only
-    /// proves that it is alive.
+    /// Changes are committed before they are acknowledged: an endpoint whose draining is
+    /// acknowledged relies on all entry VMs to honour it, also under a new leader. A repeated
+    /// announcement only renews the lease.
     pub(super) async fn register(&self, register: Register) -> ReplyBody {
         let Some(record) = &register.endpoint else { return not_leader(None) };
         let now = self.context.clock.now();
-        let (news, term) = {
+        let (update, term) = {
             let mut state = self.state();
             let term = match &state.role {
                 Role::Follower(leader) => return not_leader(*leader),
                 Role::Leader { term, .. } => *term,
             };
-            state.heard.note(&record.name, now);
+            state.last_announced.record(&record.name, now);
             (state.control.endpoints().is_update(record), term)
         };
-        if news {
-            slog::info!(self.context.log, "endpoint announced"; "endpoint" => &record.name,
+        if update {
+            slog::info!(self.context.log, "registering endpoint"; "endpoint" => &record.name,
                 "address" => &record.address, "pool" => &record.pool,
                 "incarnation" => record.incarnation, "leaving" => record.leaving);
             return self.command(Command { body: Some(CommandBody::Register(register)) }).await;
@@ -73,93 +74,95 @@
         ReplyBody::Answer(Answer { body: Some(body) })
     }
 
-    /// Takes an endpoint's word that it is gone, or about to go without a further word.
-    pub(super) async fn deregister(&self, mut gone: Deregister) -> ReplyBody {
-        if gone.incarnation == 0 {
+    /// Removes an endpoint that has shut down or is about to.
+    pub(super) async fn deregister(&self, mut deregister: Deregister) -> ReplyBody {
+        if deregister.incarnation == 0 {
             let state = self.state();
-            let known = state.control.endpoints().get(&gone.name);
-            gone.incarnation = known.map(|record| record.incarnation).unwrap_or_default();
+            let known = state.control.endpoints().get(&deregister.name);
+            deregister.incarnation = known.map(|record| record.incarnation).unwrap_or_default();
         }
-        slog::info!(self.context.log, "endpoint departs"; "endpoint" => &gone.name,
-            "incarnation" => gone.incarnation);
-        self.command(Command { body: Some(CommandBody::Deregister(gone)) }).await
+        slog::info!(self.context.log, "deregistering endpoint"; "endpoint" => &deregister.name,
+            "incarnation" => deregister.incarnation);
+        self.command(Command { body: Some(CommandBody::Deregister(deregister)) }).await
     }
 
-    /// Tells an entry VM of the endpoints, once they differ from what it knows.
+    /// Returns the endpoint changes since the query's last one, and waits for a change if there is
+    /// none.
     ///
-    /// Only a leader with its lease answers: a store that was cut off would tell an entry VM that
-    /// reaches it that nothing changed, while endpoints drain and are replaced.
-    pub async fn follow(&self, query: &EndpointQuery) -> EndpointNews {
+    /// Only a leader with a valid lease answers: a partitioned store would report no changes while
+    /// endpoints drain and are replaced.
+    pub async fn watch_endpoints(&self, query: &EndpointQuery) -> EndpointNews {
         let wait = Duration::from_millis(query.wait_ms).min(MAX_WAIT);
-        let until = Instant::now() + wait;
-        let mut changes = self.changes.subscribe();
+        let deadline = Instant::now() + wait;
+        let mut changes = self.endpoint_changes.subscribe();
         loop {
             let seen = *changes.borrow_and_update();
             if seen != query.seen {
                 break;
             }
-            if tokio::time::timeout_at(until, changes.changed()).await.is_err() {
+            if tokio::time::timeout_at(deadline, changes.changed()).await.is_err() {
                 break;
             }
         }
-        let (news, term) = {
+        let (update, term) = {
             let state = self.state();
             match &state.role {
-                Role::Follower(leader) => return no_news(*leader),
+                Role::Follower(leader) => return no_update(*leader),
                 Role::Leader { term, .. } => {
                     (state.control.endpoints().changes_since(query.seen), *term)
                 }
             }
         };
         if self.context.host.lease_term(GroupId::CONTROL).await != Some(term) {
-            return no_news(None);
+            return no_update(None);
         }
-        news
+        update
     }
 
-    /// Removes endpoints that fell silent, for as long as this store leads.
-    pub async fn lapse_endpoints(self: Arc<Self>, lease: Duration, halt: CancellationToken) {
-        let mut looked = self.context.clock.now();
+    /// Removes expired endpoints while this store leads, until `halt` is cancelled.
+    pub async fn expire_endpoints(self: Arc<Self>, lease: Duration, halt: CancellationToken) {
+        let mut last_check = self.context.clock.now();
         while !halt.is_cancelled() {
             let now = self.context.clock.now();
-            if now.since(looked) > LONGEST_LOOK {
-                // The process was paused. Endpoints were silent only because nobody listened, and
-                // dropping them all would leave callers without any.
-                self.state().heard = Heard::default();
+            if now.since(last_check) > PAUSE_THRESHOLD {
+                // The process was paused and received no announcements. Removing all endpoints
+                // would leave callers without any.
+                self.state().last_announced = LastAnnounced::default();
             }
-            looked = now;
-            for gone in self.silent_endpoints(lease) {
-                slog::warn!(self.context.log, "endpoint fell silent and is removed";
-                    "endpoint" => &gone.name, "incarnation" => gone.incarnation);
-                let command = Command { body: Some(CommandBody::Deregister(gone)) };
-                // A leader that is deposed meanwhile leaves it to the next one.
+            last_check = now;
+            for deregister in self.expired_endpoints(lease) {
+                slog::warn!(self.context.log, "removing expired endpoint";
+                    "endpoint" => &deregister.name, "incarnation" => deregister.incarnation);
+                let command = Command { body: Some(CommandBody::Deregister(deregister)) };
+                // If leadership is lost, the next leader removes the endpoint.
                 self.command(command).await;
             }
             tokio::select! {
                 () = halt.cancelled() => {}
-                () = tokio::time::sleep(LAPSE_PAUSE) => {}
+                () = tokio::time::sleep(EXPIRY_INTERVAL) => {}
             }
         }
     }
 
-    fn silent_endpoints(&self, lease: Duration) -> Vec<Deregister> {
+    fn expired_endpoints(&self, lease: Duration) -> Vec<Deregister> {
         let now = self.context.clock.now();
         let mut state = self.state();
-        let super::ControlState { control, heard, role, .. } = &mut *state;
+        let super::ControlState { control, last_announced, role, .. } = &mut *state;
         if matches!(role, Role::Follower(_)) {
             return Vec::new();
         }
         let endpoints = control.endpoints().iter();
-        let silent = endpoints.filter(|record| heard.is_silent(&record.name, now, lease));
-        let gone = silent.map(|record| Deregister {
+        let expired =
+            endpoints.filter(|record| last_announced.is_expired(&record.name, now, lease));
+        let deregister = expired.map(|record| Deregister {
             name: record.name.clone(),
             incarnation: record.incarnation,
         });
-        gone.collect()
+        deregister.collect()
     }
 }
 
-fn no_news(leader: Option<VmId>) -> EndpointNews {
+fn no_update(leader: Option<VmId>) -> EndpointNews {
     EndpointNews {
         unavailable: true,
         leader: leader.unwrap_or_default().0,
--- a/crates/gypsumglade/src/store/control_group/order_lease.rs
+++ b/crates/gypsumglade/src/store/control_group/order_lease.rs
@@ -1,4 +1,4 @@
-//! The granting side of the order lease, on the store that leads the control group.
+//! Grants and renewals of the order lease by the control group's leader.
 
 use gypsumglade_core::orders::{OrderGrants, OrderSettings};
 use gypsumglade_core::prelude::*;
@@ -10,44 +10,44 @@
 
 use super::{ControlGroup, Role, not_leader};
 
-/// What the leader may do about an asker.
-enum Asked {
-    /// Renewed, if leadership is confirmed afterwards.
+/// Decision on a request for the order lease.
+enum LeaseDecision {
+    /// Renewed, provided that leadership is confirmed afterwards.
     Renewed,
-    /// The log may give it the lease.
+    /// The lease may be granted to the caller through the log.
     Free,
-    /// Another VM holds it.
+    /// Another VM holds the lease.
     Held(OrderLease),
-    /// This store does not lead.
-    Follower(Option<VmId>),
+    /// This store does not lead; names the leader if it is known.
+    NotLeader(Option<VmId>),
 }
 
 impl ControlGroup {
-    /// Gives or renews the order lease; an asker that is answered another VM's lease waits.
+    /// Grants or renews the order lease, or returns the lease that another VM holds.
     ///
-    /// An answer that names the asker is a renewal from the moment it asked. It leaves only once
-    /// the leader was confirmed after the renewal, and has applied all that was committed until
-    /// then: a paused leader would otherwise renew a lease that its successor has given away.
-    pub(super) async fn take_orders(&self, take: TakeOrderLease) -> ReplyBody {
-        // A new leader that has not applied the log yet would take a held lease for a free one.
-        let first = self.state().control.order_lease().is_none();
-        if first && !self.caught_up().await {
+    /// A renewal counts from the time of the request. Before it is answered, leadership is
+    /// confirmed and all entries committed until then are applied: a leader that was paused could
+    /// otherwise renew a lease that its successor has granted to another VM.
+    pub(super) async fn take_order_lease(&self, take: TakeOrderLease) -> ReplyBody {
+        // A new leader that has not applied the log yet could mistake a held lease for a free one.
+        let unheld = self.state().control.order_lease().is_none();
+        if unheld && !self.is_caught_up().await {
             return uncertain();
         }
-        if let Some(reply) = self.give_orders(&take).await {
+        if let Some(reply) = self.grant_if_free(&take).await {
             return reply;
         }
-        match self.ask_orders(&take) {
-            Asked::Renewed => self.confirm_orders(&take).await,
-            Asked::Held(held) => answer(held),
-            Asked::Free => uncertain(),
-            Asked::Follower(leader) => not_leader(leader),
+        match self.try_renew(&take) {
+            LeaseDecision::Renewed => self.confirm_renewal(&take).await,
+            LeaseDecision::Held(held) => answer(held),
+            LeaseDecision::Free => uncertain(),
+            LeaseDecision::NotLeader(leader) => not_leader(leader),
         }
     }
 
-    /// Has the log give a free lease to the asker; answers only if that came to nothing.
-    async fn give_orders(&self, take: &TakeOrderLease) -> Option<ReplyBody> {
-        let Asked::Free = self.ask_orders(take) else { return None };
+    /// Proposes a grant to the caller if the lease is free. Returns a reply only if that failed.
+    async fn grant_if_free(&self, take: &TakeOrderLease) -> Option<ReplyBody> {
+        let LeaseDecision::Free = self.try_renew(take) else { return None };
         let command = Command { body: Some(CommandBody::TakeOrders(*take)) };
         match self.command(command).await {
             ReplyBody::Answer(_) => None,
@@ -55,35 +55,36 @@
         }
     }
 
-    fn ask_orders(&self, take: &TakeOrderLease) -> Asked {
+    fn try_renew(&self, take: &TakeOrderLease) -> LeaseDecision {
         let now = self.context.clock.now();
         let mut state = self.state();
         if let Role::Follower(leader) = state.role {
-            return Asked::Follower(leader);
+            return LeaseDecision::NotLeader(leader);
         }
         let held = state.control.order_lease().copied();
         let settings = self.order_settings();
-        let grants = state.orders.get_or_insert_with(|| OrderGrants::for_leader(settings, now));
+        let grants =
+            state.order_grants.get_or_insert_with(|| OrderGrants::for_leader(settings, now));
         if held.is_some_and(|held| grants.renew(&held, take, now).is_some()) {
-            return Asked::Renewed;
+            return LeaseDecision::Renewed;
         }
         if let Some(held) = held.filter(|held| !grants.may_take(Some(held), take, now)) {
-            return Asked::Held(held);
+            return LeaseDecision::Held(held);
         }
-        // Two askers could otherwise both be let into the log, and the first renewed before the
-        // second's entry is applied: two holders at once. Until this one's entry is surely
-        // applied, the leader waits as one that knows nothing of earlier grants.
+        // Resetting the grants prevents two holders: two callers' entries could otherwise both be
+        // proposed, and the first holder renewed before the second's entry is applied. Until this
+        // entry is surely applied, the leader waits as a new leader does.
         *grants = OrderGrants::for_leader(settings, now);
-        Asked::Free
+        LeaseDecision::Free
     }
 
-    async fn caught_up(&self) -> bool {
+    async fn is_caught_up(&self) -> bool {
         let barrier = self.context.host.read_barrier(GroupId::CONTROL).await;
         barrier.is_ok_and(|barrier| self.state().answers.applied() >= barrier)
     }
 
-    async fn confirm_orders(&self, take: &TakeOrderLease) -> ReplyBody {
-        if !self.caught_up().await {
+    async fn confirm_renewal(&self, take: &TakeOrderLease) -> ReplyBody {
+        if !self.is_caught_up().await {
             return uncertain();
         }
         let state = self.state();
--- a/crates/gypsumglade/src/store/outbound.rs
+++ b/crates/gypsumglade/src/store/outbound.rs
@@ -1,4 +1,4 @@
-//! Carries replication batches to the other stores.
+//! Sends replication batches to the other stores.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -12,47 +12,47 @@
 use crate::replica::Outbound;
 use crate::rpc::Link;
 
-/// Batches that may wait to be told apart by peer; beyond it they are dropped. Each is of 256 KB at
-/// most, so they hold 16 MB even while no thread of the runtime gets to run.
-pub(super) const BUFFER: usize = 64;
-/// Bytes that may wait for one peer; beyond it batches are dropped, and replication repeats them.
+/// Batches that wait to be moved to the queue of their peer. Further ones are dropped, so that
+/// memory stays bounded while the runtime is blocked.
+pub(super) const CHANNEL_CAPACITY: usize = 64;
+/// Bytes of batches queued for one peer. Further batches are dropped, and replication repeats them.
 const QUEUE_BYTES: usize = 1024 * 1024;
-/// Bytes of pieces of snapshots that may wait for one peer.
+/// Bytes of snapshot chunks queued for one peer.
 const BULK_BYTES: usize = 512 * 1024;
-/// Bytes that only small batches may use of the queue: heartbeats and votes must get through to a
-/// peer that is behind, or its leader is deposed on top.
+/// Additional bytes reserved for small batches: heartbeats and votes must reach a peer that is
+/// behind, or it would start an election.
 const RESERVE_BYTES: usize = 128 * 1024;
-/// Bytes up to which a batch is small.
+/// Largest size of a small batch.
 const SMALL_BYTES: usize = 4 * 1024;
-/// Longest wait for a peer to take a batch, before another link is opened.
-const TIMEOUT: Duration = Duration::from_secs(1);
-/// Pause after a link could not be opened.
-const PAUSE: Duration = Duration::from_millis(100);
-/// Frames under way to one peer.
+/// Longest wait for a peer to accept or acknowledge a frame before the link is reopened.
+const PEER_TIMEOUT: Duration = Duration::from_secs(1);
+/// Pause after a failed attempt to open a link.
+const RECONNECT_PAUSE: Duration = Duration::from_millis(100);
+/// Frames in flight to one peer.
 ///
-/// With one at a time, a link between regions carries fewer batches a second than a leader under load
-/// makes: they queue for seconds, heartbeats come late and every election is lost again.
-const FRAMES: usize = 32;
-/// Bytes after which waiting batches go out in more than one frame.
+/// With a single frame, the round trip between regions would limit throughput below what a loaded
+/// leader produces, and queued heartbeats would arrive too late to prevent elections.
+const MAX_IN_FLIGHT: usize = 32;
+/// Size from which no further batch is joined to a frame.
 const FRAME_BYTES: usize = 256 * 1024;
-/// Bytes under way to one peer. What is handed to the kernel can't be overtaken any more: at this
-/// size it delays a heartbeat by less than a tenth of a second on a link between regions.
-const UNANSWERED_BYTES: usize = 512 * 1024;
+/// Bytes in flight to one peer. Heartbeats queue behind them in the kernel's buffers, so this
+/// bounds the delay of a heartbeat on a link between regions.
+const MAX_IN_FLIGHT_BYTES: usize = 512 * 1024;
 
-/// Batches that wait for each peer.
+/// Queues of batches, one for each peer.
 #[derive(Clone, Debug, Default)]
 pub struct Queues {
     peers: Arc<Mutex<BTreeMap<VmId, Arc<PeerQueue>>>>,
 }
 
 impl Queues {
-    /// Returns how many bytes wait for each peer.
+    /// Returns the number of queued bytes for each peer.
     pub fn waiting(&self) -> Vec<(VmId, usize)> {
         let peers = self.peers.lock().expect("no panic while held");
         peers.iter().map(|(&vm, queue)| (vm, queue.bytes())).collect()
     }
 
-    /// Returns a peer's queue, and whether it is a new one.
+    /// Returns a peer's queue, and whether it was newly created.
     fn peer(&self, vm: VmId) -> (Arc<PeerQueue>, bool) {
         let mut peers = self.peers.lock().expect("no panic while held");
         let new = !peers.contains_key(&vm);
@@ -60,39 +60,40 @@
     }
 }
 
-/// Batches that wait for one peer, bounded by bytes. Pieces of snapshots wait apart, so that
-/// heartbeats, votes and entries never stand behind them.
+/// Queue of batches for one peer, bounded by bytes.
+///
+/// Snapshot chunks are queued apart, so that heartbeats, votes and entries never wait behind them.
 #[derive(Debug, Default)]
 pub struct PeerQueue {
     waiting: Mutex<Waiting>,
-    news: Notify,
+    ready: Notify,
 }
 
 #[derive(Debug, Default)]
 struct Waiting {
-    small: VecDeque<Bytes>,
-    small_bytes: usize,
+    regular: VecDeque<Bytes>,
+    regular_bytes: usize,
     bulk: VecDeque<Bytes>,
     bulk_bytes: usize,
 }
 
-/// What goes to a peer at one time.
+/// Bytes sent to a peer as one message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Frame {
-    /// One batch, or several that were joined.
+    /// One or more encoded batches.
     pub bytes: Bytes,
-    /// Whether it is a piece of a snapshot.
+    /// Whether the frame is a snapshot chunk.
     pub bulk: bool,
 }
 
 impl PeerQueue {
-    /// Adds a batch, and tells whether there was room for it.
+    /// Adds a batch. Returns `false` if the queue is full and the batch was dropped.
     pub fn push(&self, batch: Bytes, bulk: bool) -> bool {
         let mut waiting = self.waiting();
         let (taken, limit) = match (bulk, batch.len() <= SMALL_BYTES) {
             (true, _) => (waiting.bulk_bytes, BULK_BYTES),
-            (false, true) => (waiting.small_bytes, QUEUE_BYTES + RESERVE_BYTES),
-            (false, false) => (waiting.small_bytes, QUEUE_BYTES),
+            (false, true) => (waiting.regular_bytes, QUEUE_BYTES + RESERVE_BYTES),
+            (false, false) => (waiting.regular_bytes, QUEUE_BYTES),
         };
         if taken > 0 && taken + batch.len() > limit {
             return false;
@@ -101,21 +102,21 @@
             waiting.bulk_bytes += batch.len();
             waiting.bulk.push_back(batch);
         } else {
-            waiting.small_bytes += batch.len();
-            waiting.small.push_back(batch);
+            waiting.regular_bytes += batch.len();
+            waiting.regular.push_back(batch);
         }
         drop(waiting);
-        self.news.notify_one();
+        self.ready.notify_one();
         true
     }
 
-    /// Takes what goes next: all that waits but pieces of snapshots, or one of these, if `bulk` may go.
+    /// Removes the next frame: queued batches first, or a snapshot chunk if `bulk` is set.
     ///
-    /// Batches are joined, which their encoding allows: messages written one after another read as one
-    /// that holds the lists of both, and the later of two pulses.
+    /// Batches are joined by concatenation. Protocol Buffers decode the result as one batch with
+    /// the messages of all and the last pulse.
     pub fn take(&self, bulk: bool) -> Option<Frame> {
         let mut waiting = self.waiting();
-        if waiting.small.is_empty() {
+        if waiting.regular.is_empty() {
             let bytes = if bulk { waiting.bulk.pop_front() } else { None }?;
             waiting.bulk_bytes -= bytes.len();
             return Some(Frame { bytes, bulk: true });
@@ -124,25 +125,25 @@
         Some(Frame { bytes, bulk: false })
     }
 
-    /// Returns the bytes that wait.
+    /// Returns the number of queued bytes.
     pub fn bytes(&self) -> usize {
         let waiting = self.waiting();
-        waiting.small_bytes + waiting.bulk_bytes
+        waiting.regular_bytes + waiting.bulk_bytes
     }
 
-    /// Drops all that waits.
+    /// Drops all queued batches.
     fn clear(&self) {
         *self.waiting() = Waiting::default();
     }
 
-    /// Resolves with what goes next.
+    /// Waits for the next frame.
     async fn next(&self, bulk: bool) -> Frame {
         loop {
-            let news = self.news.notified();
+            let ready = self.ready.notified();
             if let Some(frame) = self.take(bulk) {
                 return frame;
             }
-            news.await;
+            ready.await;
         }
     }
 
@@ -153,22 +154,22 @@
 
 impl Waiting {
     fn join(&mut self) -> Bytes {
-        let first = self.small.pop_front().unwrap_or_default();
-        self.small_bytes -= first.len();
-        if self.small.is_empty() {
+        let first = self.regular.pop_front().unwrap_or_default();
+        self.regular_bytes -= first.len();
+        if self.regular.is_empty() {
             return first;
         }
         let mut joined = BytesMut::from(first.as_ref());
         while joined.len() < FRAME_BYTES {
-            let Some(next) = self.small.pop_front() else { break };
-            self.small_bytes -= next.len();
+            let Some(next) = self.regular.pop_front() else { break };
+            self.regular_bytes -= next.len();
             joined.extend_from_slice(&next);
         }
         joined.freeze()
     }
 }
 
-/// Sends batches, none waiting for another peer's.
+/// Moves batches to the queues of their peers, each of which is sent by a task of its own.
 pub(super) async fn send_batches(
     context: Arc<StoreContext>,
     mut batches: mpsc::Receiver<Outbound>,
@@ -178,50 +179,52 @@
         if new {
             tokio::spawn(send_to_peer(Arc::clone(&context), batch.to, Arc::clone(&queue)));
         }
-        // A full queue means a slow or silent peer; what is dropped is repeated.
+        // A full queue means a slow or unresponsive peer; replication repeats dropped batches.
         queue.push(batch.batch, batch.bulk);
     }
 }
 
-/// Keeps a link to one peer and sends it what comes, until the process ends.
+/// Keeps a link to one peer and sends its queue, until the process ends.
 async fn send_to_peer(context: Arc<StoreContext>, to: VmId, queue: Arc<PeerQueue>) {
     loop {
         let Some(address) = context.directory.store(to) else {
-            // Replication repeats what it can't send now; what waits would be old by then.
+            // Replication repeats dropped batches; queued ones would be stale once the address is
+            // known.
             queue.next(true).await;
             continue;
         };
         match context.peers.open_link(address, context.vm).await {
-            Ok(link) => carry(link, &queue).await,
-            Err(_) => tokio::time::sleep(PAUSE).await,
+            Ok(link) => send_frames(link, &queue).await,
+            Err(_) => tokio::time::sleep(RECONNECT_PAUSE).await,
         }
         queue.clear();
     }
 }
 
-/// A frame that the peer hasn't taken yet.
+/// A frame that the peer has not acknowledged yet.
 #[derive(Clone, Copy, Debug)]
-struct Sent {
+struct SentFrame {
     at: Instant,
     bytes: usize,
     bulk: bool,
 }
 
-/// Sends batches until the link breaks or the peer falls silent on it. Connections may go silent
-/// without a reset; only the answers that stay away show it.
-async fn carry(mut link: Link, queue: &PeerQueue) {
-    let mut unanswered: VecDeque<Sent> = VecDeque::new();
+/// Sends frames until the link fails or an acknowledgement times out.
+///
+/// A connection can fail without a reset, which only missing acknowledgements show.
+async fn send_frames(mut link: Link, queue: &PeerQueue) {
+    let mut in_flight: VecDeque<SentFrame> = VecDeque::new();
     loop {
-        let oldest = unanswered.front().map_or_else(Instant::now, |sent| sent.at);
-        let under_way: usize = unanswered.iter().map(|sent| sent.bytes).sum();
-        let open = unanswered.len() < FRAMES && under_way < UNANSWERED_BYTES;
-        // A second piece on its way would only stand before heartbeats for longer.
-        let bulk = !unanswered.iter().any(|sent| sent.bulk);
+        let oldest = in_flight.front().map_or_else(Instant::now, |sent| sent.at);
+        let in_flight_bytes: usize = in_flight.iter().map(|sent| sent.bytes).sum();
+        let has_room = in_flight.len() < MAX_IN_FLIGHT && in_flight_bytes < MAX_IN_FLIGHT_BYTES;
+        // A second chunk in flight would delay heartbeats for longer.
+        let bulk = !in_flight.iter().any(|sent| sent.bulk);
         tokio::select! {
-            frame = queue.next(bulk), if open => {
-                let sent = Sent { at: Instant::now(), bytes: frame.bytes.len(), bulk: frame.bulk };
-                unanswered.push_back(sent);
-                match tokio::time::timeout(TIMEOUT, link.send(frame.bytes)).await {
+            frame = queue.next(bulk), if has_room => {
+                let sent = SentFrame { at: Instant::now(), bytes: frame.bytes.len(), bulk: frame.bulk };
+                in_flight.push_back(sent);
+                match tokio::time::timeout(PEER_TIMEOUT, link.send(frame.bytes)).await {
                     Ok(Ok(())) => {}
                     Ok(Err(_)) | Err(_) => return,
                 }
@@ -230,9 +233,9 @@
                 if !answered {
                     return;
                 }
-                unanswered.pop_front();
+                in_flight.pop_front();
             }
-            () = tokio::time::sleep_until(oldest + TIMEOUT), if !unanswered.is_empty() => return,
+            () = tokio::time::sleep_until(oldest + PEER_TIMEOUT), if !in_flight.is_empty() => return,
         }
     }
 }
--- a/crates/gypsumglade/src/store/program_group.rs
+++ b/crates/gypsumglade/src/store/program_group.rs
@@ -1,4 +1,4 @@
-//! One program group on this store: its sequencer, fed by requests and the replicated log.
+//! A program group on this store: a task that feeds requests and the replicated log to a sequencer.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -16,41 +16,41 @@
 use super::context::StoreContext;
 use crate::replica::Event;
 
-/// Pause between two looks for what is due in a group.
-const TICK: Duration = Duration::from_millis(100);
-/// Inputs that may wait before askers are slowed down.
+/// Interval at which the sequencer handles timeouts.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
+/// Inputs that may be queued before senders have to wait.
 const INPUT_BUFFER: usize = 4_096;
 
-/// What reaches a group's task.
+/// Input to a group's task.
 #[expect(clippy::large_enum_variant, reason = "requests are the bulk of all inputs")]
 pub enum GroupInput {
-    /// An entry VM asks.
+    /// A request from an entry VM.
     Request {
-        /// The VM.
+        /// The entry VM.
         from: VmId,
-        /// What it asks.
+        /// The request.
         request: Request,
-        /// Where the answer goes.
+        /// Receives the reply.
         reply: oneshot::Sender<Reply>,
     },
-    /// The replicated log has news.
+    /// An event of the group's replica.
     Log(Event),
-    /// A proposal of this process came to nothing.
-    Failed(ProposalId),
+    /// A proposal by this process failed.
+    ProposalFailed(ProposalId),
     /// A bundle revision was committed.
     Config {
-        /// Its number.
+        /// Number of the revision.
         revision: RevisionNumber,
-        /// Request digests that it lifts from quarantine.
+        /// Digests of requests that it releases from quarantine.
         lifted: Vec<Bytes>,
     },
-    /// Membership declared a VM dead.
-    Gone(VmId),
-    /// An endpoint's lease ran out.
+    /// An entry VM failed or restarted.
+    VmGone(VmId),
+    /// An engine no longer exists, and its memory with it.
     EndpointGone(EndpointName),
     /// Crash scores from other groups.
     Scores(Vec<Score>),
-    /// Asks for the group's state, for a dump.
+    /// Requests the group's state for a dump.
     Dump(oneshot::Sender<serde_json::Value>),
 }
 
@@ -79,20 +79,20 @@
         handle
     }
 
-    /// Feeds the group; waits while it is behind.
+    /// Sends an input to the group, waiting while its queue is full.
     pub async fn feed(&self, input: GroupInput) {
         // The task ends only with the process.
         let _ = self.inputs.send(input).await;
     }
 
-    /// Asks on behalf of an entry VM.
+    /// Serves an entry VM's request. Returns `None` if the store is shutting down.
     pub async fn ask(&self, from: VmId, request: Request) -> Option<Reply> {
         let (reply, answer) = oneshot::channel();
         self.feed(GroupInput::Request { from, request, reply }).await;
         answer.await.ok()
     }
 
-    /// Returns the group's state for a dump.
+    /// Returns the group's state for a dump, or `None` if the store is shutting down.
     pub async fn dump(&self) -> Option<serde_json::Value> {
         let (sender, dump) = oneshot::channel();
         self.feed(GroupInput::Dump(sender)).await;
@@ -112,7 +112,7 @@
 
 impl GroupTask {
     async fn run(mut self, mut inputs: mpsc::Receiver<GroupInput>) {
-        let mut tick = tokio::time::interval(TICK);
+        let mut tick = tokio::time::interval(TICK_INTERVAL);
         tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         let mut effects = Vec::new();
         loop {
@@ -126,7 +126,7 @@
             let Some(input) = input else { continue };
             self.sequencer.step(self.context.clock.now(), input, &mut effects);
             for effect in effects.drain(..) {
-                self.carry_out(effect);
+                self.execute(effect);
             }
         }
     }
@@ -134,28 +134,28 @@
     fn translate(&mut self, input: GroupInput) -> Option<Input> {
         match input {
             GroupInput::Request { from, request, reply } => {
-                self.measure(&request);
+                self.record_latency(&request);
                 self.token += 1;
                 let token = RequestToken(self.token);
                 self.replies.insert(token, reply);
                 Some(Input::Request { token, from, request })
             }
             GroupInput::Log(event) => self.log_input(event),
-            GroupInput::Failed(proposal) => Some(Input::ProposalFailed { proposal }),
+            GroupInput::ProposalFailed(proposal) => Some(Input::ProposalFailed { proposal }),
             GroupInput::Config { revision, lifted } => Some(Input::Config { revision, lifted }),
-            GroupInput::Gone(vm) => Some(Input::VmGone { vm }),
+            GroupInput::VmGone(vm) => Some(Input::VmGone { vm }),
             GroupInput::EndpointGone(endpoint) => Some(Input::EndpointGone { endpoint }),
             GroupInput::Scores(scores) => Some(Input::Scores { scores }),
             GroupInput::Dump(sender) => {
-                // The asker may have given up.
+                // The caller may have given up.
                 let _ = sender.send(self.dump());
                 None
             }
         }
     }
 
-    /// Records a program's latency when its caller ends it, on the replica that leads.
-    fn measure(&self, request: &Request) {
+    /// Records a program's latency when its caller ends it, on the leader only.
+    fn record_latency(&self, request: &Request) {
         let Some(RequestBody::EndProgram(end)) = &request.body else { return };
         let name = QualifiedName::from_wire(end.program.as_ref());
         let latency = self.sequencer.state().latency(&name).filter(|_| self.leads);
@@ -167,11 +167,11 @@
     fn log_input(&mut self, event: Event) -> Option<Input> {
         match event {
             Event::Leader { term, .. } => {
-                slog::info!(self.context.log, "leads a program group";
+                slog::info!(self.context.log, "became leader of a program group";
                     "group" => self.group.0, "term" => term.0);
-                // The last leader may not have heard who is dead; their calls must not wait.
+                // The previous leader may not have handled the VMs that are down.
                 for vm in self.context.dead() {
-                    let (inputs, gone) = (self.inputs.clone(), GroupInput::Gone(vm));
+                    let (inputs, gone) = (self.inputs.clone(), GroupInput::VmGone(vm));
                     tokio::spawn(async move { inputs.send(gone).await });
                 }
                 self.leads = true;
@@ -195,20 +195,20 @@
         }
     }
 
-    fn carry_out(&mut self, effect: Effect) {
+    fn execute(&mut self, effect: Effect) {
         match effect {
             Effect::Propose { proposal, data } => self.propose(proposal, data),
             Effect::Reply { token, reply } => {
                 if let Some(waiting) = self.replies.remove(&token) {
-                    // An asker that gave up asks again.
+                    // A caller that gave up retries.
                     let _ = waiting.send(reply);
                 }
             }
             Effect::Release { release } => self.release(release),
             Effect::Cancel { dispatch, vm } => self.context.cancel(dispatch, vm),
-            Effect::Scored { score } => self.context.spread_score(score),
+            Effect::Scored { score } => self.context.broadcast_score(score),
             Effect::Halt { reason } => slog::crit!(self.context.log,
-                "a program group stopped: replace this replica's data folder";
+                "program group stopped: replace this replica's data folder";
                 "group" => self.group.0, "reason" => reason),
         }
     }
@@ -217,12 +217,12 @@
         let (context, inputs, group) = (Arc::clone(&self.context), self.inputs.clone(), self.group);
         tokio::spawn(async move {
             if context.host.propose(group, data).await.is_err() {
-                let _ = inputs.send(GroupInput::Failed(proposal)).await;
+                let _ = inputs.send(GroupInput::ProposalFailed(proposal)).await;
             }
         });
     }
 
-    /// Has an entry VM free an engine's memory, and confirms it to the group.
+    /// Frees an engine's memory through an entry VM, and reports the outcome to the group.
     fn release(&self, release: Release) {
         let (context, inputs) = (Arc::clone(&self.context), self.inputs.clone());
         tokio::spawn(async move {
--- a/crates/gypsumglade/src/store/serve.rs
+++ b/crates/gypsumglade/src/store/serve.rs
@@ -26,7 +26,7 @@
 use crate::admin;
 use crate::clock::Clock;
 use crate::directory::Directory;
-use crate::discovery::{Discovery, Process, fresh_identity, seed_identity};
+use crate::discovery::{Discovery, Process, random_identity, seed_identity};
 use crate::disk::{self, Faults};
 use crate::entry::config::operator_keys;
 use crate::entry::listener_options;
@@ -38,35 +38,35 @@
 use crate::texts::{TextLimits, TextOptions, TextStore};
 use crate::tls;
 
-/// Most entry bytes in one message to a follower.
+/// Largest size of the entries in one message to a follower.
 ///
-/// Two of them to a follower that has to catch up are under way at a time, see [`IN_FLIGHT_BYTES`].
-/// What the core allows by itself would depose the leader, for heartbeats come behind it.
+/// Heartbeats queue behind messages in flight, and the core's default would delay them for longer
+/// than an election timeout.
 const BATCH_BYTES: usize = 64 * 1024;
-/// Most entry messages on their way to one follower; see [`BATCH_BYTES`].
-const IN_FLIGHT: usize = 8;
-/// Bytes of entries on their way to one follower: a round trip between regions with a sync, at what
-/// that way carries. More only stands before the entries that commits wait for.
-const IN_FLIGHT_BYTES: usize = 128 * 1024;
-/// Bytes of one piece of a snapshot. One is under way at a time, so smaller ones would leave a link
-/// between regions idle for half of the time.
+/// Entry messages in flight to one follower.
+const MAX_IN_FLIGHT: usize = 8;
+/// Bytes of entries in flight to one follower: about the bandwidth-delay product of a link between
+/// regions. More would only delay new entries.
+const MAX_IN_FLIGHT_BYTES: usize = 128 * 1024;
+/// Size of a snapshot chunk. Only one is in flight at a time, so smaller chunks would leave a link
+/// between regions idle.
 const CHUNK_BYTES: usize = 256 * 1024;
 /// Entries that a learner may lack and still be promoted.
 ///
-/// A learner in another region always lacks what is on its way there: half a second of a busy turn
-/// group's entries. Allowed less, one that had all the rest would wait for a quiet moment to vote.
+/// A learner in another region always lacks the entries in flight, so a lower limit would delay its
+/// promotion in a busy group.
 const PROMOTE_LAG: u64 = 200;
-/// Bytes of proposals that wait for a commit before more are refused: seconds of a busy turn group's
-/// entries, for which nobody would wait any more.
+/// Bytes of uncommitted proposals above which further ones are refused. Callers of proposals behind
+/// a larger backlog would already have timed out.
 const BACKLOG_BYTES: usize = 4 * 1024 * 1024;
-/// Folder of kept turns' texts, below the data folder.
-const TEXTS: &str = "texts";
-/// Events that may wait for the control group.
+/// Folder of the texts of kept turns, within the data folder.
+const TEXTS_FOLDER: &str = "texts";
+/// Replication events that may be queued for the control group, and for the turn group.
 const EVENT_BUFFER: usize = 1_024;
 
-/// What the listeners of a store share.
+/// State that the listeners of a store share.
 pub struct StoreState {
-    /// Shared with the groups.
+    /// State shared with the groups.
     pub context: Arc<StoreContext>,
     /// The control group.
     pub control: Arc<ControlGroup>,
@@ -74,7 +74,7 @@
     pub turns: Arc<TurnGroup>,
     /// Texts of kept turns on this store's disk.
     pub texts: Arc<TextHolder>,
-    /// Who else is there, where nobody hands out a list.
+    /// Discovery of the other processes, unless the settings list them.
     pub discovery: Option<Arc<Discovery>>,
     /// Settings of the process.
     pub settings: Settings,
@@ -91,12 +91,12 @@
     halt: CancellationToken,
 }
 
-/// Addresses in use, with the ports that the kernel chose.
+/// Addresses of a store's listeners, with the ports that the kernel has chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct StoreAddresses {
-    /// Calls from other VMs.
+    /// Listener for calls from other VMs.
     pub peers: SocketAddr,
-    /// Operators' interface.
+    /// Listener for operators.
     pub admin: SocketAddr,
 }
 
@@ -104,7 +104,8 @@
     /// Opens the data folder, restores every group and binds the listeners.
     ///
     /// # Errors
-    /// Fails when the folder is damaged, in use or of another format, or an address is taken.
+    /// Fails when the settings have no `store` section, the folder is damaged, in use or of another
+    /// format, or an address is taken.
     pub async fn start(
         settings: Settings,
         directory: Arc<Directory>,
@@ -113,7 +114,7 @@
         Store::start_with(settings, directory, log, Faults::default()).await
     }
 
-    /// As [`Store::start`], on a disk that fails as a test wants it to.
+    /// Like [`Store::start`], with disk faults injected by a test.
     #[doc(hidden)]
     pub async fn start_with(
         settings: Settings,
@@ -129,7 +130,7 @@
         let process = Process { vm, role: Role::Store, address: own.peers };
         let (shared, callers) = (Arc::clone(&directory), peers.clone());
         let discovery = Discovery::new(&settings, process, shared, callers, clock);
-        let (outbound, batches) = mpsc::channel(outbound::BUFFER);
+        let (outbound, batches) = mpsc::channel(outbound::CHANNEL_CAPACITY);
         let metrics = Metrics::new()?;
         let mut host_settings = host_settings(vm, &own);
         host_settings.commits = Some(metrics.commits());
@@ -147,7 +148,7 @@
             log,
             groups: RwLock::default(),
             dead: Mutex::default(),
-            writing: Mutex::default(),
+            snapshotting: Mutex::default(),
         });
         let keys = operator_keys(&settings.operators);
         let lease = settings.timeouts.config_lease();
@@ -155,7 +156,7 @@
         let turns = TurnGroup::new(Arc::clone(&context));
         let limits = TextLimits { disk_bytes: own.text_bytes };
         let options = TextOptions::new(limits, context.log.clone());
-        let texts = TextStore::open_with(&own.folder.join(TEXTS), options)?;
+        let texts = TextStore::open_with(&own.folder.join(TEXTS_FOLDER), options)?;
         let texts = TextHolder::new(Arc::clone(&context), texts);
         tokio::spawn(outbound::send_batches(Arc::clone(&context), batches));
         let state = Arc::new(StoreState { context, control, turns, texts, discovery, settings });
@@ -176,22 +177,22 @@
         Ok(Store { state, addresses, admin, registrar: None, metrics, _rpc: rpc, halt })
     }
 
-    /// Returns the addresses in use.
+    /// Returns the addresses of the listeners.
     pub fn addresses(&self) -> StoreAddresses {
         self.addresses
     }
 
-    /// Returns what its listeners share, for dumps and embedding.
+    /// Returns the state that the listeners share, for dumps and embedding.
     pub fn state(&self) -> &Arc<StoreState> {
         &self.state
     }
 
-    /// Returns what endpoints and operators may ask of this store.
+    /// Returns the registrar, which serves endpoints and operators.
     pub fn registrar(&self) -> Registrar {
         Registrar::new(&self.state)
     }
 
-    /// Serves the registrar's interface in some dialect, on the address that the settings name.
+    /// Serves a dialect of the registrar on the address `store.registrar` of the settings.
     ///
     /// # Errors
     /// Fails when the settings name no address, or it cannot be bound.
@@ -206,48 +207,48 @@
         Ok(address)
     }
 
-    /// Takes what changed in the settings.
+    /// Applies changed discovery settings.
     pub fn reload(&self, settings: &DiscoverySettings) {
         if let Some(discovery) = &self.state.discovery {
             discovery.set_seeds(settings);
         }
     }
 
-    /// Stops as planned: leadership is handed over first, so that no group waits for an election.
+    /// Stops the store. Leadership is transferred first, so that no group waits for an election.
     pub async fn stop(self) {
-        slog::info!(self.state.context.log, "store stops");
+        slog::info!(self.state.context.log, "store is stopping");
         self.state.context.host.transfer_all().await;
         self.halt.cancel();
         self.admin.drained().await;
         for listener in self.registrar.into_iter().chain(self.metrics) {
             listener.drained().await;
         }
-        // Whoever embeds a store may open its folder again once this returns.
+        // Once this returns, an embedding process may open the folder again.
         self.state.context.host.stop().await;
     }
 }
 
-/// Returns who this store is: as its settings say, as its data folder says, or someone new.
+/// Returns this store's identity: from the settings, from the data folder, or a new one.
 fn identity(settings: &Settings, own: &StoreSettings) -> anyhow::Result<VmId> {
     let Some(discovery) = &settings.discovery else { return Ok(settings.vm.vm()) };
     if let Some(owner) = disk::owner(&own.folder)? {
         return Ok(owner);
     }
     let seeds = discovery.peers(own.peers.port());
-    let forms_groups = discovery.first_start && seeds.contains(&own.peers);
-    Ok(if forms_groups { seed_identity(own.peers) } else { fresh_identity() })
+    let is_initial_member = discovery.first_start && seeds.contains(&own.peers);
+    Ok(if is_initial_member { seed_identity(own.peers) } else { random_identity() })
 }
 
 fn spawn_loops(state: &Arc<StoreState>, own: &StoreSettings, halt: &CancellationToken) {
     tokio::spawn(follower_watch::watch(Arc::clone(&state.context), halt.clone()));
     let context = Arc::clone(&state.context);
-    tokio::spawn(Arc::clone(&state.texts).drop_unkept(halt.clone()));
+    tokio::spawn(Arc::clone(&state.texts).drop_expired(halt.clone()));
     let Some(discovery) = &state.discovery else {
         tokio::spawn(member_watch::watch(context, halt.clone()));
         return;
     };
     tokio::spawn(Arc::clone(discovery).run(halt.clone()));
-    let wanted = 2 * own.tolerate as usize + 1;
+    let target_voters = 2 * own.tolerate as usize + 1;
     let control = Arc::clone(&state.control);
     let turns = Arc::clone(&state.turns);
     let (others, known) = (Arc::clone(&state.context), Arc::clone(discovery));
@@ -256,10 +257,10 @@
         TextCopies::new(others, Arc::clone(&control), Arc::clone(&turns), known, tolerated + 1);
     tokio::spawn(Arc::clone(&copies).run(halt.clone()));
     let discovery = Arc::clone(discovery);
-    let repair = Repair { context, control, turns, copies, discovery, wanted };
+    let repair = Repair { context, control, turns, copies, discovery, target_voters };
     tokio::spawn(repair.run(halt.clone()));
     let lease = Duration::from_millis(own.endpoint_lease_ms);
-    tokio::spawn(Arc::clone(&state.control).lapse_endpoints(lease, halt.clone()));
+    tokio::spawn(Arc::clone(&state.control).expire_endpoints(lease, halt.clone()));
 }
 
 fn host_settings(vm: VmId, own: &StoreSettings) -> HostSettings {
@@ -270,8 +271,8 @@
             heartbeat: Duration::from_millis(own.heartbeat_ms),
             lease: Duration::from_millis(own.election_ms),
             batch_bytes: BATCH_BYTES,
-            in_flight: IN_FLIGHT,
-            in_flight_bytes: IN_FLIGHT_BYTES,
+            in_flight: MAX_IN_FLIGHT,
+            in_flight_bytes: MAX_IN_FLIGHT_BYTES,
             chunk_bytes: CHUNK_BYTES,
             promote_lag: PROMOTE_LAG,
             backlog_bytes: BACKLOG_BYTES,
@@ -313,38 +314,42 @@
     tokio::spawn(Arc::clone(&state.control).run(receiver));
     let (turn_events, receiver) = mpsc::channel(EVENT_BUFFER);
     tokio::spawn(Arc::clone(&state.turns).run(receiver));
-    let feeds = Feeds { control: control_events, turns: turn_events };
-    tokio::spawn(route_events(Arc::clone(context), feeds, events));
+    let senders = GroupSenders { control: control_events, turns: turn_events };
+    tokio::spawn(route_events(Arc::clone(context), senders, events));
     for group in (0..=count).map(GroupId).chain([GroupId::TURNS]) {
-        let Some(members) = founders(state) else { break };
+        let Some(members) = initial_members(state) else { break };
         context.host.create(group, members).await?;
     }
     Ok(())
 }
 
-/// Returns the first members of each group; `None` on a store that joins groups that others formed.
+/// Returns the initial members of each group, or `None` on a store that joins existing groups.
 ///
-/// A store whose disk was wiped must not form a group again: two groups would each acknowledge
-/// orders that the other never sees.
-fn founders(state: &StoreState) -> Option<Vec<VmId>> {
+/// A store with a wiped disk must not form a group again: there would be two groups, each
+/// acknowledging orders unknown to the other.
+fn initial_members(state: &StoreState) -> Option<Vec<VmId>> {
     let (settings, vm) = (&state.settings, state.context.vm);
     if let Some(discovery) = &settings.discovery {
         let seeds = discovery.peers(settings.store.as_ref()?.peers.port());
-        let founders: Vec<VmId> = seeds.into_iter().map(seed_identity).collect();
-        return (discovery.first_start && founders.contains(&vm)).then_some(founders);
+        let initial_members: Vec<VmId> = seeds.into_iter().map(seed_identity).collect();
+        return (discovery.first_start && initial_members.contains(&vm)).then_some(initial_members);
     }
     let listed: Vec<VmId> = state.context.directory.stores().into_keys().collect();
     Some(if listed.is_empty() { vec![vm] } else { listed })
 }
 
-/// Where the groups other than program groups take their news.
-struct Feeds {
+/// Senders of replication events to the control group and the turn group.
+struct GroupSenders {
     control: mpsc::Sender<Event>,
     turns: mpsc::Sender<Event>,
 }
 
-/// Hands each replica's news to its group, in order.
-async fn route_events(context: Arc<StoreContext>, feeds: Feeds, mut events: mpsc::Receiver<Event>) {
+/// Forwards each replica's events to its group, in order.
+async fn route_events(
+    context: Arc<StoreContext>,
+    senders: GroupSenders,
+    mut events: mpsc::Receiver<Event>,
+) {
     while let Some(event) = events.recv().await {
         if let Event::Failed { reason } = &event {
             slog::crit!(context.log, "replicas stopped; see docs/OPERATING.md, \"Full disk\"";
@@ -352,8 +357,8 @@
             continue;
         }
         match group_of(&event) {
-            Some(GroupId::CONTROL) => drop(feeds.control.send(event).await),
-            Some(GroupId::TURNS) => drop(feeds.turns.send(event).await),
+            Some(GroupId::CONTROL) => drop(senders.control.send(event).await),
+            Some(GroupId::TURNS) => drop(senders.turns.send(event).await),
             Some(group) => {
                 if let Some(group) = context.group(group) {
                     group.feed(GroupInput::Log(event)).await;
--- a/crates/gypsumglade/src/store/turn_group.rs
+++ b/crates/gypsumglade/src/store/turn_group.rs
@@ -15,12 +15,12 @@
 use prost::Message as _;
 use tokio::sync::mpsc;
 
-use super::answers::Answers;
 use super::context::StoreContext;
+use super::pending_answers::PendingAnswers;
 use crate::clock::Clock;
 use crate::replica::{Event, ProposeError, ReadError};
 
-/// The turn group's state on one store.
+/// The turn group's state machine on one store.
 pub struct TurnGroup {
     context: Arc<StoreContext>,
     state: Mutex<TurnState>,
@@ -29,18 +29,18 @@
 #[derive(Default)]
 struct TurnState {
     turns: Turns,
-    /// Set once this store leads and has applied what earlier leaders committed.
-    lead: Option<LeaderClock>,
-    /// True while the state lacks what a snapshot held that could not be read. What is applied meanwhile
-    /// proves nothing: a turn that isn't in it may be kept all the same.
+    /// Set once this store leads and has applied the entries of earlier leaders.
+    leader_clock: Option<LeaderClock>,
+    /// True if a snapshot could not be read. The state is incomplete then: a turn that it lacks may
+    /// still be kept.
     unusable: bool,
-    answers: Answers<Reply>,
+    answers: PendingAnswers<Reply>,
 }
 
 impl TurnState {
-    /// Tells whether this store can answer for the group.
+    /// Returns `true` if this store can answer for the group.
     fn leads(&self) -> bool {
-        self.lead.is_some() && !self.unusable
+        self.leader_clock.is_some() && !self.unusable
     }
 }
 
@@ -50,32 +50,34 @@
         Arc::new(TurnGroup { context, state: Mutex::default() })
     }
 
-    /// Applies the log's news until the process ends.
+    /// Applies replication events until the process ends.
     pub async fn run(self: Arc<Self>, mut events: mpsc::Receiver<Event>) {
         while let Some(event) = events.recv().await {
             match event {
-                Event::Leader { term, .. } => self.lead(term),
+                Event::Leader { term, .. } => self.become_leader(term),
                 Event::Follower { leader, .. } => {
-                    self.state().lead = None;
+                    self.state().leader_clock = None;
                     let leader = leader.map(|vm| vm.0);
-                    slog::info!(self.context.log, "follows in the turn group"; "leader" => leader);
+                    slog::info!(self.context.log, "became follower in the turn group"; "leader" => leader);
                 }
-                Event::Committed { index, data, .. } => self.committed(index, data),
+                Event::Committed { index, data, .. } => self.apply_committed(index, data),
                 Event::Restore { index, data, .. } => self.restore(index, &data),
-                Event::NeedSnapshot { .. } => self.snapshot(),
+                Event::NeedSnapshot { .. } => self.take_snapshot(),
                 Event::Failed { .. } => {}
             }
         }
     }
 
-    /// Serves an entry VM's command. The answer comes once the command is committed, and is worked
-    /// out where it stands in the log, so no two entry VMs are given the same tokens.
+    /// Serves an entry VM's command and answers once it is committed.
+    ///
+    /// Answers are computed in log order, so the same tokens are never granted to two entry VMs.
     pub async fn ask(&self, mut command: Command) -> Reply {
-        let Some(time) = self.time() else {
-            // A follower names its leader; asked again, a leader has handed over.
-            return Reply { body: Some(self.not_ready().await) };
+        let Some(time) = self.command_time() else {
+            // A follower redirects to its leader. A leader without a usable state answers
+            // `uncertain`, and has transferred its leadership by the time of a retry.
+            return Reply { body: Some(self.not_ready_reply().await) };
         };
-        stamp(&mut command, time);
+        set_time(&mut command, time);
         let data = Bytes::from(command.encode_to_vec());
         let body = match self.context.host.propose(GroupId::TURNS, data).await {
             Ok(index) => return self.answer_at(index).await,
@@ -85,22 +87,22 @@
         Reply { body: Some(body) }
     }
 
-    /// Returns the group's time for a command, in milliseconds; nothing where none may be proposed.
+    /// Returns the group's time for a command in milliseconds, or `None` if none may be proposed.
     ///
-    /// Between its election and the first look at what earlier leaders committed, a leader has none of
-    /// its own and gives the latest that it knows, with which the group's stands still.
-    fn time(&self) -> Option<u64> {
+    /// A store without a leader clock returns the latest time in the log, so that the group's time
+    /// stands still until a leader has applied the entries of earlier ones.
+    fn command_time(&self) -> Option<u64> {
         let state = self.state();
         if state.unusable {
             return None;
         }
         let now = self.context.clock.now();
-        state.lead.map(|lead| lead.millis(now)).or_else(|| state.turns.time())
+        state.leader_clock.map(|clock| clock.millis(now)).or_else(|| state.turns.time())
     }
 
-    /// Returns the answer of a store that must not propose: its state is unusable, or knows no time of
-    /// the group, since what it would propose might be the group's first command or not.
-    async fn not_ready(&self) -> ReplyBody {
+    /// Returns the answer of a store that must not propose: its state is unusable, or it knows
+    /// neither a leader clock nor a time in the log.
+    async fn not_ready_reply(&self) -> ReplyBody {
         match self.context.host.read_barrier(GroupId::TURNS).await {
             Ok(_) => uncertain(),
             Err(ReadError::NotLeader { hint }) => not_leader(hint),
@@ -118,22 +120,23 @@
         })
     }
 
-    /// Returns how much the state holds.
+    /// Returns the number of turns and programs in the state.
     pub fn sizes(&self) -> TurnSizes {
         let state = self.state();
         TurnSizes { turns: state.turns.kept(), programs: state.turns.programs() }
     }
 
-    fn lead(&self, term: Term) {
+    fn become_leader(&self, term: Term) {
         let unusable = {
             let mut state = self.state();
             let now = self.context.clock.now();
-            state.lead = Some(LeaderClock::start(state.turns.time(), Clock::wall_millis(), now));
+            state.leader_clock =
+                Some(LeaderClock::start(state.turns.time(), Clock::wall_millis(), now));
             state.unusable
         };
-        slog::info!(self.context.log, "leads the turn group"; "term" => term.0);
+        slog::info!(self.context.log, "became leader of the turn group"; "term" => term.0);
         if unusable {
-            // Repair tries again where this one can't succeed yet.
+            // Repair retries the transfer if this one fails.
             self.context.host.transfer(GroupId::TURNS);
         }
     }
@@ -143,18 +146,18 @@
         found.wait().await.unwrap_or_else(|| Reply { body: Some(uncertain()) })
     }
 
-    fn committed(&self, index: LogIndex, data: Bytes) {
+    fn apply_committed(&self, index: LogIndex, data: Bytes) {
         let mut state = self.state();
         if state.unusable {
-            return state.answers.note(index, Some(&Reply { body: Some(uncertain()) }));
+            return state.answers.record(index, Some(&Reply { body: Some(uncertain()) }));
         }
         if data.is_empty() {
-            return state.answers.note(index, None);
+            return state.answers.record(index, None);
         }
         // Every entry was encoded by a leader of this group.
         let command = Command::decode(data).unwrap_or_default();
         let reply = state.turns.apply(&command);
-        state.answers.note(index, Some(&reply));
+        state.answers.record(index, Some(&reply));
     }
 
     fn restore(&self, index: LogIndex, data: &Bytes) {
@@ -163,15 +166,15 @@
             Ok(turns) => (state.turns, state.unusable) = (turns, false),
             Err(error) => {
                 (state.turns, state.unusable) = (Turns::default(), true);
-                slog::crit!(self.context.log, "a turn snapshot cannot be read; replace this \
-                    store's data folder"; "error" => %error);
+                slog::crit!(self.context.log, "turn group snapshot cannot be read; replace \
+                    this store's data folder"; "error" => %error);
             }
         }
         state.answers.restored(index);
     }
 
-    /// Takes a snapshot, unless it would pass a state that lacks turns for the whole of them.
-    fn snapshot(&self) {
+    /// Takes a snapshot, unless the state is incomplete.
+    fn take_snapshot(&self) {
         if self.is_unusable() || !self.context.begin_snapshot(GroupId::TURNS) {
             return;
         }
@@ -187,8 +190,8 @@
         let barrier = self.context.host.read_barrier(GroupId::TURNS).await;
         let state = self.state();
         match barrier {
-            // Only a leader that has applied what earlier ones committed can say that a turn is not
-            // kept: its text is dropped then.
+            // Texts of turns that are missing in the reply are dropped, so only a leader with the
+            // entries of earlier ones may answer.
             Ok(_) if state.leads() => KeptReply {
                 leads: true,
                 turns: state.turns.still_kept(&query.turns),
@@ -201,7 +204,7 @@
         }
     }
 
-    /// Returns what to copy next, and which stores texts rely on.
+    /// Returns the next transfers, and the stores that must keep their texts.
     pub(super) fn plan_copies(&self, survey: &CopySurvey, limits: &Limits) -> CopyPlan {
         let state = self.state();
         if state.unusable {
@@ -209,24 +212,24 @@
         }
         CopyPlan {
             copies: state.turns.plan_copies(survey, limits),
-            relied: state.turns.required_holders(survey),
+            required_holders: state.turns.required_holders(survey),
         }
     }
 
-    /// Notes where copied texts are, and returns once that is committed.
-    pub(super) async fn note_copied(&self, copied: &[Holding]) -> bool {
+    /// Records the new holders of copied texts. Returns `true` once that is committed.
+    pub(super) async fn record_copied(&self, copied: &[Holding]) -> bool {
         let turns = copied.iter().map(Holding::to_wire).collect();
         let body = CommandBody::Copied(Copied { turns, now_ms: 0 });
         let reply = self.ask(Command { body: Some(body) }).await;
         matches!(reply.body, Some(ReplyBody::Settled(_)))
     }
 
-    /// Tells whether this store leads the group and has applied what earlier leaders committed.
+    /// Returns `true` if this store leads the group and has applied the entries of earlier leaders.
     pub(super) fn leads(&self) -> bool {
         self.state().leads()
     }
 
-    /// Tells whether the state lacks what a snapshot held, so that another store should lead.
+    /// Returns `true` if the state is incomplete, so that another store should lead.
     pub(super) fn is_unusable(&self) -> bool {
         self.state().unusable
     }
@@ -236,25 +239,25 @@
     }
 }
 
-/// How much the turn group's state holds.
+/// Numbers of turns and programs in the turn group's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TurnSizes {
-    /// Kept turns.
+    /// Number of kept turns.
     pub turns: usize,
-    /// Programs with a token budget.
+    /// Number of programs with a token budget.
     pub programs: usize,
 }
 
-/// What the turn group's leader is to do about texts on too few stores.
+/// Transfers of texts that are on too few stores.
 #[derive(Default)]
 pub(super) struct CopyPlan {
     pub(super) copies: Vec<Transfer>,
-    /// Stores that hold such texts.
-    pub(super) relied: BTreeSet<VmId>,
+    /// Stores whose texts would be on too few stores without them.
+    pub(super) required_holders: BTreeSet<VmId>,
 }
 
-/// Sets the time of a command. The leader's counts, so that entry VMs' clocks don't matter.
-fn stamp(command: &mut Command, now: u64) {
+/// Sets the time of a command to the leader's, so that entry VMs' clocks don't matter.
+fn set_time(command: &mut Command, now: u64) {
     match &mut command.body {
         Some(CommandBody::Reserve(reserve)) => reserve.now_ms = now,
         Some(CommandBody::Settle(settle)) => settle.now_ms = now,
