--- a/crates/gypsumglade/src/store/control_group/endpoints.rs
+++ b/crates/gypsumglade/src/store/control_group/endpoints.rs
@@ -154,11 +154,11 @@
         let endpoints = control.endpoints().iter();
         let expired =
             endpoints.filter(|record| last_announced.is_expired(&record.name, now, lease));
-        let deregister = expired.map(|record| Deregister {
+        let expired = expired.map(|record| Deregister {
             name: record.name.clone(),
             incarnation: record.incarnation,
         });
-        deregister.collect()
+        expired.collect()
     }
 }
 
