--- a/crates/gypsumglade/src/disk/inspect.rs
+++ b/crates/gypsumglade/src/disk/inspect.rs
@@ -75,7 +75,7 @@
     }
 }
 
-/// Reads a whole data folder and reports its content. Changes nothing and takes no lock.
+/// Reads a whole data folder and reports its content. Changes nothing, and works on a locked folder too.
 pub fn inspect(folder: &Path) -> anyhow::Result<Report> {
     let vm = folder::owner(folder)?;
     let Replay { segments, groups, findings, .. } = replay(folder)?;
--- a/crates/gypsumglade/src/texts/shared.rs
+++ b/crates/gypsumglade/src/texts/shared.rs
@@ -222,7 +222,7 @@
             if state.closed {
                 return None;
             }
-            state = self.work.wait(state).expect("no panic while held");
+            state = self.work.wait(state).expect("the lock of the text store is poisoned");
         }
     }
 
@@ -323,7 +323,7 @@
     pub(super) fn wait_for_retry(&self) -> bool {
         let pause = self.options.retry_delay;
         let waiting = self.work.wait_timeout_while(self.state(), pause, |state| !state.closed);
-        let (state, _) = waiting.expect("no panic while held");
+        let (state, _) = waiting.expect("the lock of the text store is poisoned");
         !state.closed
     }
 
@@ -357,7 +357,7 @@
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("no panic while held")
+        self.state.lock().expect("the lock of the text store is poisoned")
     }
 }
 
