--- a/crates/gypsumglade/src/replica/engine.rs
+++ b/crates/gypsumglade/src/replica/engine.rs
@@ -19,9 +19,9 @@
 use crate::disk::{CompletedJob, Job, JobWrite, RestoredGroup};
 
 /// Maximum number of commands handled before batched proposals and messages are sent.
-const COMMANDS_PER_TURN: usize = 512;
+const COMMANDS_PER_ITERATION: usize = 512;
 
-/// Interval at which the timers of all groups are checked. A wake-up for each timer would scan all
+/// Interval at which the timers of all groups are checked. Waking up for each timer would scan all
 /// groups each time.
 const TICK: Duration = Duration::from_millis(20);
 
@@ -204,7 +204,7 @@
                 command = inbox.recv() => {
                     let mut next = Some(command?);
                     self.queued_commands = inbox.len();
-                    for _ in 0..COMMANDS_PER_TURN {
+                    for _ in 0..COMMANDS_PER_ITERATION {
                         match next {
                             Some(Command::Stop { reply }) => return Some(reply),
                             Some(command) => self.handle_command(command),
--- a/crates/gypsumglade/src/texts/shared.rs
+++ b/crates/gypsumglade/src/texts/shared.rs
@@ -17,7 +17,7 @@
 pub(super) const MAX_QUEUE_BYTES: u64 = 8 * 1024 * 1024;
 /// Maximum bytes of one put; keeps the offsets in a segment within 32 bits.
 const MAX_PUT_BYTES: u64 = 1024 * 1024 * 1024;
-/// Maximum bytes of texts in one sync; bounds its duration on a slow disk.
+/// Bytes of texts at which one sync takes no further puts; bounds its duration on a slow disk.
 pub(super) const MAX_BATCH_BYTES: u64 = 1024 * 1024;
 /// Maximum live bytes that one sync moves out of a sparse segment.
 const MAX_MOVE_BYTES: u64 = 256 * 1024;
