--- a/crates/gypsumglade/src/texts/shared.rs
+++ b/crates/gypsumglade/src/texts/shared.rs
@@ -17,7 +17,7 @@
 pub(super) const MAX_QUEUE_BYTES: u64 = 8 * 1024 * 1024;
 /// Maximum bytes of one put; keeps the offsets in a segment within 32 bits.
 const MAX_PUT_BYTES: u64 = 1024 * 1024 * 1024;
-/// Maximum bytes of texts in one sync; bounds its duration on a slow disk.
+/// Bytes of texts at which one sync takes no further puts; bounds its duration on a slow disk.
 pub(super) const MAX_BATCH_BYTES: u64 = 1024 * 1024;
 /// Maximum live bytes that one sync moves out of a sparse segment.
 const MAX_MOVE_BYTES: u64 = 256 * 1024;
@@ -222,7 +222,7 @@
             if state.closed {
                 return None;
             }
-            state = self.work.wait(state).expect("no panic while held");
+            state = self.work.wait(state).expect("the lock of the text store is poisoned");
         }
     }
 
@@ -323,7 +323,7 @@
     pub(super) fn wait_for_retry(&self) -> bool {
         let pause = self.options.retry_delay;
         let waiting = self.work.wait_timeout_while(self.state(), pause, |state| !state.closed);
-        let (state, _) = waiting.expect("no panic while held");
+        let (state, _) = waiting.expect("the lock of the text store is poisoned");
         !state.closed
     }
 
@@ -357,7 +357,7 @@
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("no panic while held")
+        self.state.lock().expect("the lock of the text store is poisoned")
     }
 }
 
