--- a/crates/gypsumglade/src/entry/admit.rs
+++ b/crates/gypsumglade/src/entry/admit.rs
@@ -18,12 +18,12 @@
 pub use gypsumglade_core::policy::admission::AdmissionRequest;
 
 /// Pause between looks for waiting calls that can no longer be answered in time.
-pub const EXPIRY_PAUSE: Duration = Duration::from_millis(50);
+pub const EXPIRY_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Admission of a process, one pool for each model.
 ///
 /// Each pool is a lock of its own, so that one model's crowd does not slow another's calls.
-pub struct Gate {
+pub struct AdmissionController {
     settings: AdmissionSettings,
     clock: Clock,
     pools: Mutex<HashMap<CompactString, Arc<Pool>>>,
@@ -46,10 +46,10 @@
     ticket: Ticket,
 }
 
-impl Gate {
+impl AdmissionController {
     /// Creates a gate without calls.
-    pub fn new(settings: AdmissionSettings, clock: Clock) -> Gate {
-        Gate { settings, clock, pools: Mutex::default() }
+    pub fn new(settings: AdmissionSettings, clock: Clock) -> AdmissionController {
+        AdmissionController { settings, clock, pools: Mutex::default() }
     }
 
     /// Waits for the call's start.
@@ -60,11 +60,11 @@
         &self,
         metrics: &Metrics,
         model: &str,
-        offer: AdmissionRequest,
+        request: AdmissionRequest,
     ) -> Result<Permit, Problem> {
         let pool = self.pool(model);
-        let (admit, waiter) = pool.offer(offer);
-        match admit {
+        let (decision, waiter) = pool.submit(request);
+        match decision {
             AdmissionDecision::Now(ticket) => Ok(Permit { pool, ticket }),
             AdmissionDecision::Shed { retry_after, reason } => {
                 Err(shed(metrics, reason, retry_after))
@@ -73,11 +73,11 @@
                 // Taken before the wait: a caller that goes away drops it, and leaves the queue.
                 let permit = Permit { pool, ticket };
                 metrics.waiting(1);
-                let told = waiter.await;
+                let result = waiter.await;
                 metrics.waiting(-1);
-                match told {
+                match result {
                     Ok(Ok(())) => Ok(permit),
-                    Ok(Err(given)) => Err(shed(metrics, given.reason, given.retry_after)),
+                    Ok(Err(expired)) => Err(shed(metrics, expired.reason, expired.retry_after)),
                     Err(_) => Err(shed(metrics, ShedReason::QueueFull, Duration::from_secs(1))),
                 }
             }
@@ -101,10 +101,10 @@
     }
 
     /// Bounds a model's calls by this VM's share of the slots that engines announce.
-    pub fn resize(&self, model: &str, most: f64) {
+    pub fn resize(&self, model: &str, max: f64) {
         let pool = self.pool(model);
         let mut state = pool.state();
-        let started = state.admission.resize(most);
+        let started = state.admission.resize(max);
         state.wake(&started);
     }
 
@@ -158,27 +158,27 @@
         self.state.lock().expect("no panic while held")
     }
 
-    fn offer(
+    fn submit(
         &self,
-        offer: AdmissionRequest,
+        request: AdmissionRequest,
     ) -> (AdmissionDecision, oneshot::Receiver<Result<(), ExpiredCall>>) {
         let (sender, receiver) = oneshot::channel();
         let now = self.clock.now();
         let mut state = self.state();
-        let admit = state.admission.admit(now, offer);
-        if let AdmissionDecision::Queued(ticket) = admit {
+        let decision = state.admission.admit(now, request);
+        if let AdmissionDecision::Queued(ticket) = decision {
             state.waiters.insert(ticket, sender);
         }
-        (admit, receiver)
+        (decision, receiver)
     }
 
     fn expire(&self) {
         let now = self.clock.now();
         let mut state = self.state();
-        for given in state.admission.expire(now) {
-            if let Some(waiter) = state.waiters.remove(&given.ticket) {
+        for expired in state.admission.expire(now) {
+            if let Some(waiter) = state.waiters.remove(&expired.ticket) {
                 // A caller that went away needs no answer.
-                let _ = waiter.send(Err(given));
+                let _ = waiter.send(Err(expired));
             }
         }
     }
--- a/crates/gypsumglade/src/entry/announce.rs
+++ b/crates/gypsumglade/src/entry/announce.rs
@@ -128,7 +128,7 @@
         Ok(body) => body,
         Err(rejection) => return (StatusCode::BAD_REQUEST, rejection.body_text()).into_response(),
     };
-    match take(&state, &body) {
+    match apply(&state, &body) {
         Ok(true) => {
             forward(&state, body);
             StatusCode::NO_CONTENT.into_response()
@@ -142,12 +142,12 @@
 ///
 /// # Errors
 /// Says which member is wrong.
-pub fn take(state: &EntryState, body: &AnnouncementBody) -> Result<bool, String> {
+pub fn apply(state: &EntryState, body: &AnnouncementBody) -> Result<bool, String> {
     let announcement = announcement(state, body)?;
     let now = state.clock.now();
-    let mut desk = state.desk();
-    let announced = desk.registry.announce(now, announcement);
-    drop(desk);
+    let mut routing = state.routing();
+    let announced = routing.registry.announce(now, announcement);
+    drop(routing);
     match announced {
         Announced::Ignored(_) => return Ok(false),
         Announced::New(_) | Announced::Replaced { .. } => {
--- a/crates/gypsumglade/src/entry/answer.rs
+++ b/crates/gypsumglade/src/entry/answer.rs
@@ -13,15 +13,15 @@
     text: String,
     /// Chunks with text in the present attempt; one a token.
     tokens: u64,
-    calls: Vec<Value>,
-    finish: Option<Value>,
+    tool_calls: Vec<Value>,
+    finish_reason: Option<Value>,
     usage: Option<Value>,
     model: Option<Value>,
 }
 
 /// What to do with one chunk of an engine.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Passed {
+pub enum ChunkAction {
     /// Pass this chunk on.
     Forward(Value),
     /// The caller has it already, or it is held back until the answer is recorded.
@@ -43,14 +43,14 @@
     }
 
     /// Tells whether the caller has seen any of the answer.
-    pub fn begun(&self) -> bool {
+    pub fn has_output(&self) -> bool {
         !self.emitted.is_empty()
     }
 
     /// Returns what is missing on the caller's stream of an answer that was recorded elsewhere.
     ///
     /// Nothing is missing for certain when the recorded text contradicts what was emitted.
-    pub fn missing<'a>(&self, answer: &'a Value) -> Option<&'a str> {
+    pub fn remaining_text<'a>(&self, answer: &'a Value) -> Option<&'a str> {
         let text = answer.pointer("/choices/0/message/content").and_then(Value::as_str)?;
         text.strip_prefix(self.emitted.as_str())
     }
@@ -59,78 +59,78 @@
     ///
     /// A second engine may word the answer otherwise. The caller must not get two halves of two
     /// answers, so a chunk is passed on only while the new text agrees with what was emitted.
-    pub fn take(&mut self, mut chunk: Value) -> Passed {
+    pub fn push_chunk(&mut self, mut chunk: Value) -> ChunkAction {
         if let Some(usage) = chunk.get("usage").filter(|usage| !usage.is_null()) {
             self.usage = Some(usage.clone());
         }
         if self.model.is_none() {
             self.model = chunk.get("model").cloned();
         }
-        let Some(choice) = chunk.pointer_mut("/choices/0") else { return Passed::Hold };
+        let Some(choice) = chunk.pointer_mut("/choices/0") else { return ChunkAction::Hold };
         if let Some(reason) = choice.get("finish_reason").filter(|reason| !reason.is_null()) {
-            self.finish = Some(reason.clone());
+            self.finish_reason = Some(reason.clone());
             choice["finish_reason"] = Value::Null;
         }
-        let calls = choice.pointer("/delta/tool_calls").and_then(Value::as_array).cloned();
-        self.merge_calls(calls.as_deref().unwrap_or_default());
+        let tool_calls = choice.pointer("/delta/tool_calls").and_then(Value::as_array).cloned();
+        self.merge_tool_calls(tool_calls.as_deref().unwrap_or_default());
         let text = choice.pointer("/delta/content").and_then(Value::as_str).unwrap_or_default();
         if text.is_empty() {
             // Tool calls go out whole with the finish: a second attempt could repeat their pieces.
-            return Passed::Hold;
+            return ChunkAction::Hold;
         }
         let text = text.to_owned();
         self.tokens += 1;
         self.text.push_str(&text);
-        self.pass(chunk, &text)
+        self.forward_new_text(chunk, &text)
     }
 
-    fn pass(&mut self, mut chunk: Value, text: &str) -> Passed {
+    fn forward_new_text(&mut self, mut chunk: Value, text: &str) -> ChunkAction {
         let agreed = self.text.len().min(self.emitted.len());
         if self.text.as_bytes()[..agreed] != self.emitted.as_bytes()[..agreed] {
-            return Passed::Diverged;
+            return ChunkAction::Diverged;
         }
-        let fresh = self.text.len().saturating_sub(self.emitted.len());
-        if fresh == 0 {
-            return Passed::Hold;
+        let new_bytes = self.text.len().saturating_sub(self.emitted.len());
+        if new_bytes == 0 {
+            return ChunkAction::Hold;
         }
-        let keep = text.len().min(fresh);
-        let new = text[text.len() - keep..].to_owned();
-        if !self.begun() {
+        let kept = text.len().min(new_bytes);
+        let new = text[text.len() - kept..].to_owned();
+        if !self.has_output() {
             chunk["choices"][0]["delta"]["role"] = "assistant".into();
         }
         self.emitted.push_str(&new);
         chunk["choices"][0]["delta"]["content"] = Value::String(new);
-        Passed::Forward(chunk)
+        ChunkAction::Forward(chunk)
     }
 
-    fn merge_calls(&mut self, deltas: &[Value]) {
+    fn merge_tool_calls(&mut self, deltas: &[Value]) {
         for delta in deltas {
             let index = delta.get("index").and_then(Value::as_u64).unwrap_or(0) as usize;
             if index >= MAX_TOOL_CALLS {
                 continue;
             }
-            while self.calls.len() <= index {
-                self.calls.push(json!({"type": "function", "function": {"arguments": ""}}));
+            while self.tool_calls.len() <= index {
+                self.tool_calls.push(json!({"type": "function", "function": {"arguments": ""}}));
             }
-            merge_call(&mut self.calls[index], delta);
+            merge_tool_call(&mut self.tool_calls[index], delta);
         }
     }
 
     /// Returns the whole answer in the published shape, once the engine has said that it is whole.
-    pub fn whole(&self, dispatch: &str, created: u64) -> Option<Value> {
-        let finish = self.finish.clone()?;
+    pub fn complete(&self, dispatch: &str, created: u64) -> Option<Value> {
+        let finish_reason = self.finish_reason.clone()?;
         let mut message = Map::new();
         message.insert("role".into(), "assistant".into());
         message.insert("content".into(), self.text.clone().into());
-        if !self.calls.is_empty() {
-            message.insert("tool_calls".into(), self.calls.clone().into());
+        if !self.tool_calls.is_empty() {
+            message.insert("tool_calls".into(), self.tool_calls.clone().into());
         }
         Some(json!({
             "id": format!("chatcmpl-{dispatch}"),
             "object": "chat.completion",
             "created": created,
             "model": self.model,
-            "choices": [{"index": 0, "message": message, "finish_reason": finish}],
+            "choices": [{"index": 0, "message": message, "finish_reason": finish_reason}],
             "usage": self.usage,
         }))
     }
@@ -139,7 +139,7 @@
 /// Most tool calls that one answer may ask for.
 const MAX_TOOL_CALLS: usize = 128;
 
-fn merge_call(call: &mut Value, delta: &Value) {
+fn merge_tool_call(call: &mut Value, delta: &Value) {
     if let Some(id) = delta.get("id") {
         call["id"] = id.clone();
     }
@@ -174,16 +174,16 @@
 }
 
 /// Returns the chunks held back until the answer is recorded: tool calls, finish reason, usage.
-pub fn finish(answer: &Value, usage: bool) -> Vec<Value> {
+pub fn final_chunks(answer: &Value, include_usage: bool) -> Vec<Value> {
     let reason = answer.pointer("/choices/0/finish_reason").cloned().unwrap_or("stop".into());
     let mut delta = Map::new();
-    let calls = answer.pointer("/choices/0/message/tool_calls").and_then(Value::as_array);
-    if let Some(calls) = calls {
-        delta.insert("tool_calls".into(), calls.iter().enumerate().map(numbered).collect());
+    let tool_calls = answer.pointer("/choices/0/message/tool_calls").and_then(Value::as_array);
+    if let Some(tool_calls) = tool_calls {
+        delta.insert("tool_calls".into(), tool_calls.iter().enumerate().map(with_index).collect());
     }
     let choices = json!([{"index": 0, "delta": delta, "finish_reason": reason}]);
     let mut chunks = vec![chunk(answer, choices)];
-    if usage {
+    if include_usage {
         let mut last = chunk(answer, json!([]));
         last["usage"] = answer["usage"].clone();
         chunks.push(last);
@@ -191,7 +191,7 @@
     chunks
 }
 
-fn numbered((index, call): (usize, &Value)) -> Value {
+fn with_index((index, call): (usize, &Value)) -> Value {
     let mut call = call.clone();
     call["index"] = index.into();
     call
--- a/crates/gypsumglade/src/entry/call.rs
+++ b/crates/gypsumglade/src/entry/call.rs
@@ -22,7 +22,7 @@
 pub const KEY: &str = "idempotency-key";
 
 /// Longest program id, key or agent name, in bytes.
-const MAX_NAME: usize = 200;
+const MAX_NAME_BYTES: usize = 200;
 /// Longest deadline a caller may ask for: one hour.
 const MAX_DEADLINE_MS: u64 = 3_600_000;
 
@@ -76,18 +76,18 @@
 fn name(headers: &HeaderMap, header: &str) -> Result<Option<CompactString>, Problem> {
     let Some(value) = text(headers, header)? else { return Ok(None) };
     let plain = value.bytes().all(|byte| byte.is_ascii_graphic());
-    if value.is_empty() || value.len() > MAX_NAME || !plain {
-        let allowed = format!("1 to {MAX_NAME} visible ASCII characters");
-        return Err(bad(header, value, &allowed));
+    if value.is_empty() || value.len() > MAX_NAME_BYTES || !plain {
+        let allowed = format!("1 to {MAX_NAME_BYTES} visible ASCII characters");
+        return Err(invalid(header, value, &allowed));
     }
     Ok(Some(value.into()))
 }
 
-fn number(headers: &HeaderMap, header: &str, most: u64) -> Result<Option<u64>, Problem> {
+fn number(headers: &HeaderMap, header: &str, max: u64) -> Result<Option<u64>, Problem> {
     let Some(value) = text(headers, header)? else { return Ok(None) };
     match value.parse() {
-        Ok(number) if (1..=most).contains(&number) => Ok(Some(number)),
-        _ => Err(bad(header, value, &format!("a whole number from 1 to {most}"))),
+        Ok(number) if (1..=max).contains(&number) => Ok(Some(number)),
+        _ => Err(invalid(header, value, &format!("a whole number from 1 to {max}"))),
     }
 }
 
@@ -96,7 +96,7 @@
         None => Ok(None),
         Some("urgent") => Ok(Some(Class::Urgent)),
         Some("normal") => Ok(Some(Class::Normal)),
-        Some(other) => Err(bad(CLASS, other, "`urgent` or `normal`")),
+        Some(other) => Err(invalid(CLASS, other, "`urgent` or `normal`")),
     }
 }
 
@@ -108,12 +108,12 @@
     let mut values = headers.get_all(header).iter();
     let Some(value) = values.next() else { return Ok(None) };
     if values.next().is_some() {
-        return Err(bad(header, "several values", "the header once"));
+        return Err(invalid(header, "several values", "the header once"));
     }
-    value.to_str().map(Some).map_err(|_| bad(header, "bytes that are not text", "ASCII text"))
+    value.to_str().map(Some).map_err(|_| invalid(header, "bytes that are not text", "ASCII text"))
 }
 
-fn bad(header: &str, value: &str, allowed: &str) -> Problem {
+fn invalid(header: &str, value: &str, allowed: &str) -> Problem {
     let shown: String = value.chars().take(40).collect();
     let message = format!("header {header}: found {shown:?}; allowed: {allowed}");
     Problem::not_run(ProblemKind::BadRequest, message)
--- a/crates/gypsumglade/src/entry/callers.rs
+++ b/crates/gypsumglade/src/entry/callers.rs
@@ -21,7 +21,7 @@
 
 use super::active_bundle::ActiveBundle;
 use super::admit::{self, AdmissionRequest};
-use super::answer::finish;
+use super::answer::final_chunks;
 use super::call::CallHeaders;
 use super::chat_request::ChatRequest;
 use super::problem::{OUTCOME_HEADER, Problem, ProblemKind, outcome_name};
@@ -35,9 +35,9 @@
 /// Outcomes as labels, which must be known in advance.
 const OUTCOMES: [&str; 3] = ["done", "not-run", "unknown"];
 /// Time a call is expected to take, for the decision whether its deadline can be met.
-const SERVICE_GUESS: Duration = Duration::from_secs(2);
+const EXPECTED_SERVICE: Duration = Duration::from_secs(2);
 /// When to come back to a VM that holds as many calls as it may.
-const FULL_RETRY_MS: u64 = 1_000;
+const OVERLOAD_RETRY_MS: u64 = 1_000;
 /// Events that may wait for a slow caller before the engine's stream is read more slowly.
 const STREAM_BUFFER: usize = 64;
 
@@ -45,7 +45,7 @@
 pub fn routes(state: Arc<EntryState>) -> Router {
     let limits = &state.settings.limits;
     let limit = usize::try_from(limits.body_bytes).unwrap_or(usize::MAX);
-    let most_calls =
+    let max_calls =
         usize::try_from(limits.concurrent + limits.queue).unwrap_or(Semaphore::MAX_PERMITS);
     Router::new()
         .route("/v1/chat/completions", post(chat))
@@ -56,39 +56,39 @@
         .fallback(no_route)
         .method_not_allowed_fallback(no_method)
         .layer(DefaultBodyLimit::max(limit))
-        .layer(from_fn_with_state(Arc::new(Semaphore::new(most_calls)), bound_calls))
+        .layer(from_fn_with_state(Arc::new(Semaphore::new(max_calls)), limit_calls))
         .with_state(state)
 }
 
 /// Refuses calls beyond the bound at once: each holds memory for its body while it waits.
-async fn bound_calls(
-    State(bound): State<Arc<Semaphore>>,
+async fn limit_calls(
+    State(limiter): State<Arc<Semaphore>>,
     request: Request,
     next: Next,
 ) -> Response {
-    let Ok(_held) = bound.try_acquire() else {
+    let Ok(_permit) = limiter.try_acquire() else {
         let message = "this VM has as many calls as it may hold";
         return Problem::not_run(ProblemKind::Overloaded, message)
-            .retry_after(FULL_RETRY_MS)
+            .retry_after(OVERLOAD_RETRY_MS)
             .into_response();
     };
     next.run(request).await
 }
 
 /// A body, or why it could not be read.
-type ReadBody = Result<Bytes, BytesRejection>;
+type BodyResult = Result<Bytes, BytesRejection>;
 
 async fn chat(
     State(state): State<Arc<EntryState>>,
     headers: HeaderMap,
-    body: ReadBody,
+    body: BodyResult,
 ) -> Response {
     let started = state.clock.now();
     let answered = chat_answer(&state, &headers, body).await;
     let refused = answered.is_err();
     let response = answered.unwrap_or_else(IntoResponse::into_response);
     if refused {
-        count(&state, started, "model", &response);
+        record_call(&state, started, "model", &response);
     }
     response
 }
@@ -96,20 +96,21 @@
 async fn chat_answer(
     state: &Arc<EntryState>,
     headers: &HeaderMap,
-    body: ReadBody,
+    body: BodyResult,
 ) -> Result<Response, Problem> {
-    let body = whole_body(body)?;
+    let body = check_body(body)?;
     let headers = CallHeaders::read(headers)?;
     let active = state.config.active(state.clock.now())?;
     active.organisation(&headers.token)?;
     let request = ChatRequest::parse(&body)?;
     let call = turn_call(state, &active, &headers, request)?;
-    let permit = state.gate.admit(&state.metrics, &call.model.name, offer(&call)).await?;
+    let permit =
+        state.admission.admit(&state.metrics, &call.model.name, admission_request(&call)).await?;
     let program = call.program.clone();
-    let made_up = headers.program.is_none();
+    let generated_id = headers.program.is_none();
     let stream = call.request.stream;
-    let usage = call.request.usage;
-    let (caller, mut watch) = caller_of(&call);
+    let usage = call.request.include_usage;
+    let (caller, mut watch) = connect_caller(&call);
     let task_state = Arc::clone(state);
     let running = state.tasks.spawn(async move {
         let started = task_state.clock.now();
@@ -120,10 +121,10 @@
         let outcome = answer.as_ref().map_or_else(|problem| problem.outcome, |_| Outcome::Done);
         let seconds = task_state.clock.now().since(started).as_secs_f64();
         task_state.metrics.call(seconds, "model", outcome_name(outcome));
-        if made_up {
-            tool::end_quietly(&task_state, &call.org, &call.program).await;
+        if generated_id {
+            tool::end_or_log(&task_state, &call.org, &call.program).await;
         }
-        watch_end(&caller, &answer, usage).await;
+        finish_stream(&caller, &answer, usage).await;
         answer
     });
     let response = if stream {
@@ -131,21 +132,21 @@
         streamed(events)
     } else {
         let answer = running.await.map_err(|_| Problem::unknown("the call's task ended"))?;
-        watch.keep();
+        watch.disarm();
         json_answer(&answer?)
     };
-    Ok(with_program(response, &program))
+    Ok(with_program_header(response, &program))
 }
 
 /// The handler's side of a call: what tells the task that the caller has gone.
-struct Watch {
+struct CallerWatch {
     events: Option<mpsc::Receiver<Result<axum::response::sse::Event, std::convert::Infallible>>>,
-    gone: Option<tokio_util::sync::DropGuard>,
+    disconnect_guard: Option<tokio_util::sync::DropGuard>,
 }
 
-impl Watch {
-    fn keep(mut self) {
-        if let Some(guard) = self.gone.take() {
+impl CallerWatch {
+    fn disarm(mut self) {
+        if let Some(guard) = self.disconnect_guard.take() {
             guard.disarm();
         }
     }
@@ -155,24 +156,24 @@
 ///
 /// The server drops the handler when the connection closes. A caller that gave a key will ask
 /// again, so its call goes on and is recorded; any other call is cancelled at the engine.
-fn caller_of(call: &TurnCall) -> (Caller, Watch) {
-    let gone = CancellationToken::new();
-    let guard = (!call.resends && !call.request.stream).then(|| gone.clone().drop_guard());
+fn connect_caller(call: &TurnCall) -> (Caller, CallerWatch) {
+    let disconnected = CancellationToken::new();
+    let guard = (!call.has_key && !call.request.stream).then(|| disconnected.clone().drop_guard());
     let (sender, receiver) = mpsc::channel(STREAM_BUFFER);
     let events = call.request.stream.then_some(sender);
     let receiver = call.request.stream.then_some(receiver);
     (
-        Caller { events, gone, ended: CancellationToken::new() },
-        Watch { events: receiver, gone: guard },
+        Caller { events, disconnected, program_ended: CancellationToken::new() },
+        CallerWatch { events: receiver, disconnect_guard: guard },
     )
 }
 
 /// Writes what the stream held back until the outcome was durable.
-async fn watch_end(caller: &Caller, answer: &Result<Value, Problem>, usage: bool) {
+async fn finish_stream(caller: &Caller, answer: &Result<Value, Problem>, usage: bool) {
     let Some(events) = &caller.events else { return };
     match answer {
         Ok(answer) => {
-            for chunk in finish(answer, usage) {
+            for chunk in final_chunks(answer, usage) {
                 let _ = events.send(sse::event(&chunk)).await;
             }
             let _ = events.send(sse::done()).await;
@@ -197,7 +198,7 @@
     response
 }
 
-fn with_program(mut response: Response, program: &str) -> Response {
+fn with_program_header(mut response: Response, program: &str) -> Response {
     if let Ok(value) = HeaderValue::from_str(program) {
         response.headers_mut().insert(PROGRAM_HEADER, value);
     }
@@ -213,7 +214,7 @@
     let org = active.organisation(&headers.token)?;
     let agent = active.agent(org, headers)?;
     let model = active.model(agent, &request.model)?;
-    let program = headers.program.clone().unwrap_or_else(|| super::fresh_id(state).into());
+    let program = headers.program.clone().unwrap_or_else(|| super::unique_id(state).into());
     super::check_parent(&program, headers.parent.as_deref())?;
     Ok(TurnCall {
         org: org.name.clone(),
@@ -222,23 +223,23 @@
         agent: agent.clone(),
         model: model.clone(),
         revision: active.revision,
-        key: headers.key.clone().unwrap_or_else(|| super::fresh_id(state).into()),
+        key: headers.key.clone().unwrap_or_else(|| super::unique_id(state).into()),
         turn: headers.turn.unwrap_or(0),
         class: headers.class.unwrap_or_else(|| super::class_of(agent)),
         deadline: headers.deadline.map(|deadline| state.clock.now() + deadline),
         request,
-        resends: headers.key.is_some(),
+        has_key: headers.key.is_some(),
     })
 }
 
-fn offer(call: &TurnCall) -> AdmissionRequest {
+fn admission_request(call: &TurnCall) -> AdmissionRequest {
     AdmissionRequest {
         org: call.org.clone(),
         class: call.class,
         under_way: call.turn > 1,
         priority: admit::priority(call.class, call.turn),
         deadline: call.deadline,
-        service_time: SERVICE_GUESS,
+        service_time: EXPECTED_SERVICE,
     }
 }
 
@@ -246,17 +247,17 @@
     State(state): State<Arc<EntryState>>,
     path: Result<Path<(String, String)>, PathRejection>,
     headers: HeaderMap,
-    body: ReadBody,
+    body: BodyResult,
 ) -> Response {
     let started = state.clock.now();
     let answered = match path {
         Ok(Path((service, operation))) => {
             tool_answer(&state, &service, &operation, &headers, body).await
         }
-        Err(rejection) => Err(bad_path(rejection)),
+        Err(rejection) => Err(invalid_path(rejection)),
     };
     let response = answered.unwrap_or_else(IntoResponse::into_response);
-    count(&state, started, "tool", &response);
+    record_call(&state, started, "tool", &response);
     response
 }
 
@@ -265,9 +266,9 @@
     service: &str,
     operation: &str,
     headers: &HeaderMap,
-    body: ReadBody,
+    body: BodyResult,
 ) -> Result<Response, Problem> {
-    let body = whole_body(body)?;
+    let body = check_body(body)?;
     let headers = CallHeaders::read(headers)?;
     let active = state.config.active(state.clock.now())?;
     let call = tool::ToolCall::new(state, &active, &headers, service, operation, body)?;
@@ -284,7 +285,7 @@
     let headers = response.headers_mut();
     headers.insert(http::header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
     headers.insert(OUTCOME_HEADER, HeaderValue::from_static("done"));
-    Ok(with_program(response, &program))
+    Ok(with_program_header(response, &program))
 }
 
 async fn end_program(
@@ -294,7 +295,7 @@
 ) -> Response {
     let ended = match path {
         Ok(Path(program)) => end_answer(&state, &program, &headers).await,
-        Err(rejection) => Err(bad_path(rejection)),
+        Err(rejection) => Err(invalid_path(rejection)),
     };
     match ended {
         Ok(()) => StatusCode::NO_CONTENT.into_response(),
@@ -334,11 +335,11 @@
     Problem::not_run(ProblemKind::BadMethod, "no such method on this path; see docs/API.md")
 }
 
-fn bad_path(rejection: PathRejection) -> Problem {
+fn invalid_path(rejection: PathRejection) -> Problem {
     Problem::not_run(ProblemKind::BadRequest, rejection)
 }
 
-fn whole_body(body: ReadBody) -> Result<Bytes, Problem> {
+fn check_body(body: BodyResult) -> Result<Bytes, Problem> {
     body.map_err(|rejection| {
         let kind = match rejection.status() {
             StatusCode::PAYLOAD_TOO_LARGE => ProblemKind::TooLarge,
@@ -348,7 +349,7 @@
     })
 }
 
-fn count(state: &EntryState, started: Time, kind: &'static str, response: &Response) {
+fn record_call(state: &EntryState, started: Time, kind: &'static str, response: &Response) {
     let seconds = state.clock.now().since(started).as_secs_f64();
     let header = response.headers().get(OUTCOME_HEADER).and_then(|value| value.to_str().ok());
     // A stream's outcome comes with its end; its head only says that it began.
--- a/crates/gypsumglade/src/entry/chat_request.rs
+++ b/crates/gypsumglade/src/entry/chat_request.rs
@@ -20,10 +20,10 @@
     /// Whether the answer is streamed.
     pub stream: bool,
     /// Whether the caller wants usage as the stream's last chunk.
-    pub usage: bool,
+    pub include_usage: bool,
     /// Most tokens that may be generated.
-    pub output: u64,
-    rest: Map<String, Value>,
+    pub max_output: u64,
+    other_fields: Map<String, Value>,
 }
 
 impl ChatRequest {
@@ -32,26 +32,37 @@
     /// # Errors
     /// Says which member is wrong and what is allowed.
     pub fn parse(body: &[u8]) -> Result<ChatRequest, Problem> {
-        let mut rest: Map<String, Value> = serde_json::from_slice(body)
-            .map_err(|error| bad(&format!("the body is not a JSON object: {error}")))?;
-        let model = match rest.get("model") {
+        let mut other_fields: Map<String, Value> = serde_json::from_slice(body)
+            .map_err(|error| invalid(&format!("the body is not a JSON object: {error}")))?;
+        let model = match other_fields.get("model") {
             Some(Value::String(model)) if !model.is_empty() => model.into(),
-            _ => return Err(bad("`model` must be the name of a model")),
+            _ => return Err(invalid("`model` must be the name of a model")),
         };
-        let messages = match rest.remove("messages") {
+        let messages = match other_fields.remove("messages") {
             Some(Value::Array(list)) if valid_messages(&list) => Value::Array(list),
-            _ => return Err(bad("`messages` must be a list of objects with a `role`, not empty")),
+            _ => {
+                return Err(invalid(
+                    "`messages` must be a list of objects with a `role`, not empty",
+                ));
+            }
         };
-        let stream = flag(rest.remove("stream"), "stream")?;
-        let usage = match rest.remove("stream_options") {
+        let stream = flag(other_fields.remove("stream"), "stream")?;
+        let include_usage = match other_fields.remove("stream_options") {
             Some(Value::Object(options)) => {
                 flag(options.get("include_usage").cloned(), "stream_options.include_usage")?
             }
             None | Some(Value::Null) => false,
-            Some(_) => return Err(bad("`stream_options` must be an object")),
+            Some(_) => return Err(invalid("`stream_options` must be an object")),
         };
-        let output = output_limit(&rest)?;
-        Ok(ChatRequest { model, messages: encode(&messages), stream, usage, output, rest })
+        let max_output = output_limit(&other_fields)?;
+        Ok(ChatRequest {
+            model,
+            messages: encode(&messages),
+            stream,
+            include_usage,
+            max_output,
+            other_fields,
+        })
     }
 
     /// Digest of everything but the messages, part of what an idempotency key stands for.
@@ -59,7 +70,7 @@
     /// Whether the caller wants a stream is left out: a resend may ask for the other form.
     pub fn digest(&self) -> Bytes {
         let mut hash = Sha256::new();
-        hash.update(encode(&Value::Object(self.rest.clone())));
+        hash.update(encode(&Value::Object(self.other_fields.clone())));
         Bytes::copy_from_slice(&hash.finalize())
     }
 
@@ -67,11 +78,11 @@
     ///
     /// # Errors
     /// Fails when the stored history is not JSON, which means a damaged store.
-    pub fn engine_body(&self, history: &[u8], output: u64) -> anyhow::Result<Bytes> {
-        let mut body = self.rest.clone();
+    pub fn engine_body(&self, history: &[u8], max_output: u64) -> anyhow::Result<Bytes> {
+        let mut body = self.other_fields.clone();
         body.remove("max_completion_tokens");
         body.insert("messages".into(), serde_json::from_slice(history)?);
-        body.insert("max_tokens".into(), output.into());
+        body.insert("max_tokens".into(), max_output.into());
         body.insert("stream".into(), self.stream.into());
         if self.stream {
             body.insert("stream_options".into(), serde_json::json!({"include_usage": true}));
@@ -80,13 +91,14 @@
     }
 }
 
-fn output_limit(rest: &Map<String, Value>) -> Result<u64, Problem> {
-    let given = rest.get("max_completion_tokens").or_else(|| rest.get("max_tokens"));
+fn output_limit(other_fields: &Map<String, Value>) -> Result<u64, Problem> {
+    let given =
+        other_fields.get("max_completion_tokens").or_else(|| other_fields.get("max_tokens"));
     match given {
         None | Some(Value::Null) => Ok(DEFAULT_OUTPUT),
         Some(value) => match value.as_u64() {
             Some(count) if count > 0 => Ok(count),
-            _ => Err(bad("`max_tokens` must be a whole number above zero")),
+            _ => Err(invalid("`max_tokens` must be a whole number above zero")),
         },
     }
 }
@@ -99,11 +111,11 @@
     match value {
         None | Some(Value::Null) => Ok(false),
         Some(Value::Bool(flag)) => Ok(flag),
-        Some(_) => Err(bad(&format!("`{name}` must be true or false"))),
+        Some(_) => Err(invalid(&format!("`{name}` must be true or false"))),
     }
 }
 
-fn bad(message: &str) -> Problem {
+fn invalid(message: &str) -> Problem {
     Problem::not_run(ProblemKind::BadRequest, message)
 }
 
--- a/crates/gypsumglade/src/entry/config.rs
+++ b/crates/gypsumglade/src/entry/config.rs
@@ -20,9 +20,9 @@
 
 /// Longest wait for a lease's answer, before another VM is asked. An answer takes a round trip and a
 /// look at the leader's lease; a processor that is out of its share stands still for a tenth of a second.
-const ASK_TIMEOUT: Duration = Duration::from_millis(400);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(400);
 /// Pause between looks at whether a renewal is due.
-const POLL: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// When to come back to a VM without a lease; by then the balancer has another.
 const RETRY_MS: u64 = 1_000;
 
@@ -101,7 +101,7 @@
         self.relay.lock().expect("no panic while held")
     }
 
-    fn take(&self, reply: ConfirmReply, now: Time, log: &slog::Logger) -> bool {
+    fn apply_reply(&self, reply: ConfirmReply, now: Time, log: &slog::Logger) -> bool {
         let updated = matches!(reply.body, Some(Body::Update(_)));
         let mut relay = self.relay();
         match relay.handle_reply(reply, &self.keys, now) {
@@ -122,7 +122,7 @@
 }
 
 /// Keeps the lease fresh until the process stops; calls `applied` after each new bundle.
-pub async fn renew(view: &ConfigView, renewal: &Renewal, applied: impl Fn(&ActiveBundle)) {
+pub async fn renew(view: &ConfigView, renewal: &Renewal, on_applied: impl Fn(&ActiveBundle)) {
     let mut leaders = LeaderHint::default();
     let mut last = RevisionNumber::default();
     while !renewal.stop.is_cancelled() {
@@ -130,11 +130,11 @@
         let active = view.active.read().expect("no panic while held").clone();
         if let Some(active) = active.filter(|active| active.revision != last) {
             last = active.revision;
-            applied(&active);
+            on_applied(&active);
         }
         tokio::select! {
             () = renewal.stop.cancelled() => {}
-            () = tokio::time::sleep(POLL) => {}
+            () = tokio::time::sleep(POLL_INTERVAL) => {}
         }
     }
 }
@@ -147,8 +147,8 @@
         view.relay().request_failed(request.ask);
         return;
     };
-    let asking = renewal.peers.ask(address, Method::Lease, &request, ASK_TIMEOUT);
-    let reply: Result<ConfirmReply, RpcError> = asking.await;
+    let call = renewal.peers.ask(address, Method::Lease, &request, REQUEST_TIMEOUT);
+    let reply: Result<ConfirmReply, RpcError> = call.await;
     let now = renewal.clock.now();
     match reply {
         Ok(reply) => {
@@ -160,7 +160,7 @@
                 (Some(Body::Grant(_)), Some(vm)) => leaders.confirm(vm),
                 _ => {}
             }
-            view.take(reply, now, &renewal.log);
+            view.apply_reply(reply, now, &renewal.log);
         }
         Err(_) => {
             if let Some(vm) = store {
--- a/crates/gypsumglade/src/entry/endpoint_client.rs
+++ b/crates/gypsumglade/src/entry/endpoint_client.rs
@@ -66,7 +66,7 @@
 #[derive(Clone)]
 pub struct EndpointClient {
     pooled: Client<HttpConnector, Full<Bytes>>,
-    fresh: Client<HttpConnector, Full<Bytes>>,
+    unpooled: Client<HttpConnector, Full<Bytes>>,
 }
 
 impl EndpointClient {
@@ -82,11 +82,11 @@
         // endpoint has just closed, an error leaves open whether the call was read, and the
         // caller would see `unknown` for what never ran. A fresh one fails at connect, which
         // proves that nothing was sent.
-        let fresh = Client::builder(TokioExecutor::new())
+        let unpooled = Client::builder(TokioExecutor::new())
             .pool_max_idle_per_host(0)
             .retry_canceled_requests(false)
             .build(connector);
-        EndpointClient { pooled, fresh }
+        EndpointClient { pooled, unpooled }
     }
 
     /// Sends a dispatch of a call that may be repeated and returns the head of its answer.
@@ -94,7 +94,7 @@
     /// # Errors
     /// Tells whether a byte may have left.
     pub async fn send(&self, dispatch: &Dispatch) -> Result<Response<Incoming>, SendError> {
-        checked(dispatch, self.pooled.request(request(dispatch)?).await)
+        verify_dispatch(dispatch, self.pooled.request(request(dispatch)?).await)
     }
 
     /// Sends a dispatch of a call that may not be repeated, and reads the whole answer.
@@ -107,9 +107,10 @@
         timeout: Duration,
     ) -> Result<(StatusCode, Bytes), SendError> {
         let sending = async {
-            let response = checked(dispatch, self.fresh.request(request(dispatch)?).await)?;
+            let response =
+                verify_dispatch(dispatch, self.unpooled.request(request(dispatch)?).await)?;
             let status = response.status();
-            Ok((status, read_whole(response).await?))
+            Ok((status, read_body(response).await?))
         };
         tokio::time::timeout(timeout, sending).await.unwrap_or(Err(SendError::TimedOut))
     }
@@ -135,7 +136,7 @@
         let sending = async {
             let response = self.pooled.request(request).await.map_err(classify)?;
             let status = response.status();
-            Ok((status, read_whole(response).await?))
+            Ok((status, read_body(response).await?))
         };
         tokio::time::timeout(timeout, sending).await.unwrap_or(Err(SendError::TimedOut))
     }
@@ -151,7 +152,7 @@
 ///
 /// # Errors
 /// Fails on an answer that is cut short or larger than the limit.
-pub async fn read_whole(response: Response<Incoming>) -> Result<Bytes, SendError> {
+pub async fn read_body(response: Response<Incoming>) -> Result<Bytes, SendError> {
     let limited = http_body_util::Limited::new(response.into_body(), MAX_ANSWER_BYTES);
     let collected = limited.collect().await.map_err(|_| SendError::Broken)?;
     Ok(collected.to_bytes())
@@ -169,13 +170,13 @@
     builder.body(Full::new(dispatch.body.clone())).map_err(|_| SendError::NotSent)
 }
 
-type Sent = Result<Response<Incoming>, hyper_util::client::legacy::Error>;
+type SendResult = Result<Response<Incoming>, hyper_util::client::legacy::Error>;
 
 /// Checks that the answer belongs to the dispatch.
 ///
 /// An endpoint that answers late or crossed would otherwise hand one caller another's answer;
 /// the id is unique for each dispatch, so an equal id is proof enough.
-fn checked(dispatch: &Dispatch, sent: Sent) -> Result<Response<Incoming>, SendError> {
+fn verify_dispatch(dispatch: &Dispatch, sent: SendResult) -> Result<Response<Incoming>, SendError> {
     let response = sent.map_err(classify)?;
     if response.headers().contains_key(NOT_STARTED_HEADER) {
         return Err(SendError::NotSent);
--- a/crates/gypsumglade/src/entry/groups.rs
+++ b/crates/gypsumglade/src/entry/groups.rs
@@ -16,11 +16,11 @@
 use crate::settings::Settings;
 
 /// Pause before a replica is asked again; doubled by jitter so that a fleet does not ask in step.
-const RETRY_PAUSE: Duration = Duration::from_millis(20);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(20);
 /// More stores than any deployment has; the first asking starts at a random one of them.
 const MAX_STORES: usize = 1_024;
 /// Longest pause between two askings.
-const MAX_PAUSE: Duration = Duration::from_millis(500);
+const MAX_BACKOFF: Duration = Duration::from_millis(500);
 
 /// No replica of a group gave an answer in time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -47,10 +47,11 @@
         group_of(org, program, self.groups)
     }
 
-    fn target(&self, known: Option<VmId>, turn: usize) -> Option<(VmId, SocketAddr)> {
+    fn target(&self, leader: Option<VmId>, attempt: usize) -> Option<(VmId, SocketAddr)> {
         let stores = self.directory.stores();
-        let known = known.and_then(|vm| Some((vm, *stores.get(&vm)?)));
-        known.or_else(|| stores.iter().nth(turn % stores.len().max(1)).map(|(vm, at)| (*vm, *at)))
+        let leader = leader.and_then(|vm| Some((vm, *stores.get(&vm)?)));
+        leader
+            .or_else(|| stores.iter().nth(attempt % stores.len().max(1)).map(|(vm, at)| (*vm, *at)))
     }
 }
 
@@ -67,13 +68,18 @@
     peers: PeerClients,
     map: GroupMap,
     leaders: Arc<Mutex<HashMap<GroupId, VmId>>>,
-    timeout: Duration,
+    attempt_timeout: Duration,
 }
 
 impl GroupClient {
     /// Creates a client that gives each asking `timeout`.
-    pub fn new(vm: VmId, peers: PeerClients, map: GroupMap, timeout: Duration) -> GroupClient {
-        GroupClient { vm, peers, map, leaders: Arc::default(), timeout }
+    pub fn new(
+        vm: VmId,
+        peers: PeerClients,
+        map: GroupMap,
+        attempt_timeout: Duration,
+    ) -> GroupClient {
+        GroupClient { vm, peers, map, leaders: Arc::default(), attempt_timeout }
     }
 
     /// Returns the group of a program.
@@ -92,45 +98,47 @@
         org: &str,
         program: &str,
         request: &Request,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<ReplyBody, GroupUnavailable> {
         let group = self.map.group_of(org, program);
         let payload = encode(request);
         let started = Instant::now();
         let mut sent = false;
-        let mut pause = RETRY_PAUSE;
-        let mut turn = rand::rng().random_range(0..MAX_STORES);
-        while started.elapsed() < patience {
-            let Some((vm, address)) = self.target(group, turn) else { break };
-            let left = patience.saturating_sub(started.elapsed());
-            let asked = self.ask_one(group, address, &payload, left.min(self.timeout)).await;
+        let mut backoff = INITIAL_BACKOFF;
+        let mut attempt = rand::rng().random_range(0..MAX_STORES);
+        while started.elapsed() < timeout {
+            let Some((vm, address)) = self.target(group, attempt) else { break };
+            let remaining = timeout.saturating_sub(started.elapsed());
+            let asked = self
+                .ask_replica(group, address, &payload, remaining.min(self.attempt_timeout))
+                .await;
             match asked {
                 Ok(ReplyBody::Refused(refused)) if refused.code() == Refusal::NotLeader => {
                     self.redirect(group, vm, VmId(refused.leader));
                 }
                 Ok(body) => {
-                    self.remember(group, vm);
+                    self.cache_leader(group, vm);
                     return Ok(body);
                 }
                 Err(error) => {
                     sent |= matches!(error, RpcError::Lost(_));
-                    self.forget(group, vm);
+                    self.forget_leader(group, vm);
                 }
             }
-            turn += 1;
+            attempt += 1;
             let jitter = rand::rng().random_range(0.5..1.5);
-            tokio::time::sleep(pause.mul_f64(jitter)).await;
-            pause = (pause * 2).min(MAX_PAUSE);
+            tokio::time::sleep(backoff.mul_f64(jitter)).await;
+            backoff = (backoff * 2).min(MAX_BACKOFF);
         }
         Err(GroupUnavailable { sent })
     }
 
-    async fn ask_one(
+    async fn ask_replica(
         &self,
         group: GroupId,
         address: SocketAddr,
         payload: &str,
-        timeout: Duration,
+        attempt_timeout: Duration,
     ) -> Result<ReplyBody, RpcError> {
         let mut parameters = ArrayParams::new();
         let inserted = parameters
@@ -138,31 +146,31 @@
             .and_then(|()| parameters.insert(self.vm))
             .and_then(|()| parameters.insert(payload));
         inserted.map_err(|error| RpcError::Refused(address, error.to_string()))?;
-        let text = self.peers.call(address, Method::Program, parameters, timeout).await?;
+        let text = self.peers.call(address, Method::Program, parameters, attempt_timeout).await?;
         let reply: Reply =
             decode(&text).map_err(|error| RpcError::Refused(address, error.to_string()))?;
         reply.body.ok_or_else(|| RpcError::Refused(address, "empty reply".to_owned()))
     }
 
-    fn target(&self, group: GroupId, turn: usize) -> Option<(VmId, SocketAddr)> {
-        let known = self.leaders.lock().expect("no panic while held").get(&group).copied();
-        self.map.target(known, turn)
+    fn target(&self, group: GroupId, attempt: usize) -> Option<(VmId, SocketAddr)> {
+        let leader = self.leaders.lock().expect("no panic while held").get(&group).copied();
+        self.map.target(leader, attempt)
     }
 
     /// Follows a redirect, unless it points back to the replica that gave it.
     fn redirect(&self, group: GroupId, from: VmId, leader: VmId) {
         if leader != from && self.map.directory.store(leader).is_some() {
-            self.remember(group, leader);
+            self.cache_leader(group, leader);
         } else {
-            self.forget(group, from);
+            self.forget_leader(group, from);
         }
     }
 
-    fn remember(&self, group: GroupId, leader: VmId) {
+    fn cache_leader(&self, group: GroupId, leader: VmId) {
         self.leaders.lock().expect("no panic while held").insert(group, leader);
     }
 
-    fn forget(&self, group: GroupId, vm: VmId) {
+    fn forget_leader(&self, group: GroupId, vm: VmId) {
         let mut leaders = self.leaders.lock().expect("no panic while held");
         if leaders.get(&group) == Some(&vm) {
             leaders.remove(&group);
--- a/crates/gypsumglade/src/entry/leak_audit.rs
+++ b/crates/gypsumglade/src/entry/leak_audit.rs
@@ -21,9 +21,9 @@
 use crate::store::ReleaseAnswer;
 
 /// Pause between two rounds: memory that leaked is held for two to three of them.
-const ROUND_PAUSE: Duration = Duration::from_secs(5);
+const AUDIT_INTERVAL: Duration = Duration::from_secs(5);
 /// Longest wait for a group's answer; a group without a leader is asked in the next round.
-const GROUP_PATIENCE: Duration = Duration::from_secs(2);
+const GROUP_TIMEOUT: Duration = Duration::from_secs(2);
 /// Path under which an engine reports the programs that it holds memory of.
 const PROGRAMS_PATH: &str = "/v1/programs";
 
@@ -35,7 +35,7 @@
 }
 
 /// An engine that this VM audits.
-struct Audited {
+struct AuditedEngine {
     name: EndpointName,
     address: CompactString,
 }
@@ -49,9 +49,9 @@
     loop {
         tokio::select! {
             () = halt.cancelled() => return,
-            () = tokio::time::sleep(ROUND_PAUSE) => {}
+            () = tokio::time::sleep(AUDIT_INTERVAL) => {}
         }
-        suspects = round(&state, &suspects).await;
+        suspects = audit_round(&state, &suspects).await;
     }
 }
 
@@ -61,12 +61,14 @@
 /// enough: the engine's report is older than the groups' answer, so a program that begins in
 /// between looks unknown, and so it does to a group's earlier leader that doesn't know yet that it
 /// was replaced. The symptom would be a whole prefix filled again, never a wrong answer.
-async fn round(state: &EntryState, before: &Suspects) -> Suspects {
-    let audits = audited(state).into_iter().map(async |engine| {
+async fn audit_round(state: &EntryState, previous: &Suspects) -> Suspects {
+    let audits = engines_to_audit(state).into_iter().map(async |engine| {
         let found = find_leaks(state, &engine).await?;
-        let again = before.get(&engine.name);
-        for name in found.iter().filter(|name| again.is_some_and(|again| again.contains(*name))) {
-            free(state, &engine, name).await;
+        let repeated = previous.get(&engine.name);
+        for name in
+            found.iter().filter(|name| repeated.is_some_and(|repeated| repeated.contains(*name)))
+        {
+            free_memory(state, &engine, name).await;
         }
         Some((engine.name, found))
     });
@@ -74,40 +76,40 @@
 }
 
 /// Returns the engines that this VM is the home of.
-fn audited(state: &EntryState) -> Vec<Audited> {
+fn engines_to_audit(state: &EntryState) -> Vec<AuditedEngine> {
     let mut live: Vec<VmId> = state.directory.entries().iter().map(|entry| entry.vm).collect();
     if live.is_empty() {
         live.push(state.vm);
     }
-    let desk = state.desk();
-    let endpoints = desk.registry.iter().map(|(_, endpoint)| endpoint);
+    let routing = state.routing();
+    let endpoints = routing.registry.iter().map(|(_, endpoint)| endpoint);
     let engines = endpoints.filter(|endpoint| matches!(endpoint.kind, EndpointKind::Engine { .. }));
     let own = engines.filter(|engine| home(&engine.name, &live) == Some(state.vm));
-    own.map(|engine| Audited { name: engine.name.clone(), address: engine.address.clone() })
+    own.map(|engine| AuditedEngine { name: engine.name.clone(), address: engine.address.clone() })
         .collect()
 }
 
 /// Returns the programs whose memory the engine holds in vain; `None` if it gave no report.
-async fn find_leaks(state: &EntryState, engine: &Audited) -> Option<HashSet<QualifiedName>> {
+async fn find_leaks(state: &EntryState, engine: &AuditedEngine) -> Option<HashSet<QualifiedName>> {
     let mut groups: HashMap<GroupId, Vec<QualifiedName>> = HashMap::new();
-    for name in held(state, engine).await? {
+    for name in held_programs(state, engine).await? {
         let group = state.groups.group_of(&name.org, &name.program);
         groups.entry(group).or_default().push(name);
     }
-    let asked = groups.into_values().map(|names| ask(state, engine, names));
+    let asked = groups.into_values().map(|names| ask_group(state, engine, names));
     Some(join_all(asked).await.into_iter().flatten().collect())
 }
 
 /// Asks an engine for the programs that it holds memory of. A name without an organisation was
 /// not given by this system and is left alone.
-async fn held(state: &EntryState, engine: &Audited) -> Option<Vec<QualifiedName>> {
-    let patience = state.settings.timeouts.peer();
+async fn held_programs(state: &EntryState, engine: &AuditedEngine) -> Option<Vec<QualifiedName>> {
+    let timeout = state.settings.timeouts.peer();
     let asked = state.endpoints.control(
         http::Method::GET,
         &engine.address,
         PROGRAMS_PATH,
         Bytes::new(),
-        patience,
+        timeout,
     );
     let (status, body) = asked.await.ok()?;
     if !status.is_success() {
@@ -123,9 +125,9 @@
 }
 
 /// Asks the group of these programs which of them need no memory; none while it has no leader.
-async fn ask(
+async fn ask_group(
     state: &EntryState,
-    engine: &Audited,
+    engine: &AuditedEngine,
     names: Vec<QualifiedName>,
 ) -> Vec<QualifiedName> {
     let Some(first) = names.first() else { return Vec::new() };
@@ -134,7 +136,7 @@
         programs: names.iter().map(QualifiedName::to_wire).collect(),
     };
     let request = Request { body: Some(RequestBody::Audit(audit)) };
-    match state.groups.ask(&first.org, &first.program, &request, GROUP_PATIENCE).await {
+    match state.groups.ask(&first.org, &first.program, &request, GROUP_TIMEOUT).await {
         Ok(ReplyBody::Leaks(leaks)) => {
             leaks.programs.iter().map(|program| QualifiedName::from_wire(Some(program))).collect()
         }
@@ -143,7 +145,7 @@
 }
 
 /// Has an engine free a program's memory; what fails is found again in the next round.
-async fn free(state: &EntryState, engine: &Audited, name: &QualifiedName) {
+async fn free_memory(state: &EntryState, engine: &AuditedEngine, name: &QualifiedName) {
     let release = Release { program: Some(name.to_wire()), endpoint: engine.name.to_string() };
     if state.release_memory(&release).await == ReleaseAnswer::Freed {
         slog::warn!(state.log, "an engine held memory of no program under way; freed";
--- a/crates/gypsumglade/src/entry/membership_loop.rs
+++ b/crates/gypsumglade/src/entry/membership_loop.rs
@@ -37,12 +37,12 @@
 pub(super) fn follow(state: &Arc<EntryState>, handle: &Handle, halt: &CancellationToken) {
     let (state, halt) = (Arc::clone(state), halt.clone());
     let mut view = handle.watch();
-    let alone = seeds(&state.settings).is_empty();
+    let standalone = seeds(&state.settings).is_empty();
     tokio::spawn(async move {
         loop {
             let members: Vec<EntryMember> =
                 view.borrow_and_update().members.iter().filter_map(EntryMember::of).collect();
-            state.take_members(members, alone);
+            state.update_members(members, standalone);
             tokio::select! {
                 () = halt.cancelled() => return,
                 changed = view.changed() => if changed.is_err() { return },
@@ -53,8 +53,8 @@
 
 impl EntryState {
     /// Takes the view in. A VM without seeds knows only itself, and keeps the settings' list.
-    fn take_members(&self, members: Vec<EntryMember>, alone: bool) {
-        if !alone {
+    fn update_members(&self, members: Vec<EntryMember>, standalone: bool) {
+        if !standalone {
             let up = members.iter().filter(|member| member.up);
             self.directory.set_entries(up.map(EntryMember::address).collect());
             self.resize_pools();
--- a/crates/gypsumglade/src/entry/mod.rs
+++ b/crates/gypsumglade/src/entry/mod.rs
@@ -45,7 +45,7 @@
 use state::EntryState;
 
 /// Returns an id that no other process and no other moment gives.
-fn fresh_id(state: &EntryState) -> String {
+fn unique_id(state: &EntryState) -> String {
     format!("{}-{:032x}", state.vm.0, rand::rng().random::<u128>())
 }
 
@@ -71,7 +71,7 @@
     }
 }
 
-fn allows(patterns: &[EndpointPattern], endpoint: &str) -> bool {
+fn matches_any(patterns: &[EndpointPattern], endpoint: &str) -> bool {
     patterns.iter().any(|pattern| pattern.matches(endpoint))
 }
 
@@ -94,7 +94,7 @@
 ///
 /// # Errors
 /// Refuses when the lease is out.
-fn acts_on(state: &EntryState, revision: RevisionNumber) -> Result<bool, Problem> {
+fn is_active_revision(state: &EntryState, revision: RevisionNumber) -> Result<bool, Problem> {
     Ok(state.config.active(state.clock.now())?.revision == revision)
 }
 
@@ -129,10 +129,10 @@
     org: &str,
     program: &str,
     settle: Settle,
-    patience: Duration,
+    timeout: Duration,
 ) -> Result<(), Problem> {
     let request = Request { body: Some(RequestBody::Settle(settle)) };
-    match state.groups.ask(org, program, &request, patience).await {
+    match state.groups.ask(org, program, &request, timeout).await {
         Ok(ReplyBody::Done(_) | ReplyBody::Recorded(_)) => Ok(()),
         Ok(ReplyBody::Refused(refused)) => {
             Err(Problem::unknown(format!("the outcome was refused: {}", refused.detail)))
--- a/crates/gypsumglade/src/entry/model_version.rs
+++ b/crates/gypsumglade/src/entry/model_version.rs
@@ -15,25 +15,25 @@
     pub(super) fn served_version(&self, model: &Model) -> ModelId {
         let wanted = ModelId::new(&model.name, &model.version);
         let now = self.clock.now();
-        let desk = self.desk();
+        let routing = self.routing();
         let allowed = |endpoint: &Endpoint| {
             model.endpoints.iter().any(|pattern| pattern.matches(&endpoint.name))
         };
-        let registry = &desk.registry;
-        let serves =
+        let registry = &routing.registry;
+        let is_usable =
             |key| registry.is_available(now, key) && registry.get(key).is_some_and(allowed);
-        if registry.candidates(&wanted).iter().any(|key| serves(*key)) {
+        if registry.candidates(&wanted).iter().any(|key| is_usable(*key)) {
             return wanted;
         }
-        let open = registry.iter().filter(|(key, _)| serves(*key));
-        open.filter_map(|(_, endpoint)| loaded(endpoint, model)).min().unwrap_or(wanted)
+        let available = registry.iter().filter(|(key, _)| is_usable(*key));
+        available.filter_map(|(_, endpoint)| loaded(endpoint, model)).min().unwrap_or(wanted)
     }
 
     /// Returns the version that a call of `model` names at an engine: the bundle's if it serves
     /// that one. An engine with two versions would otherwise pick for itself.
     pub(super) fn version_at(&self, endpoint: &str, model: &Model) -> CompactString {
-        let desk = self.desk();
-        let found = desk.registry.key(endpoint).and_then(|key| desk.registry.get(key));
+        let routing = self.routing();
+        let found = routing.registry.key(endpoint).and_then(|key| routing.registry.get(key));
         let loaded = found.and_then(|endpoint| loaded(endpoint, model));
         loaded.map_or_else(|| model.version.clone(), |loaded| loaded.version)
     }
--- a/crates/gypsumglade/src/entry/newer_revision.rs
+++ b/crates/gypsumglade/src/entry/newer_revision.rs
@@ -8,9 +8,9 @@
 use super::turn_call::TurnCall;
 
 /// Longest wait for the revision that a group acts under; a roll is in force everywhere by then.
-const REVISION_PATIENCE: Duration = Duration::from_secs(12);
+const REVISION_TIMEOUT: Duration = Duration::from_secs(12);
 /// Pause between two looks at the revision of this VM.
-const LOOK_PAUSE: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// When to come back after the revision did not arrive.
 const RETRY_MS: u64 = 1_000;
 
@@ -21,14 +21,17 @@
 ///
 /// # Errors
 /// Refuses when no newer revision comes in time, or when it doesn't allow the call any more.
-pub(super) async fn renewed(state: &EntryState, call: &TurnCall) -> Result<TurnCall, Problem> {
+pub(super) async fn wait_for_newer(
+    state: &EntryState,
+    call: &TurnCall,
+) -> Result<TurnCall, Problem> {
     let now = state.clock.now();
-    let until = call.deadline.unwrap_or(Time::MAX).min(now + REVISION_PATIENCE);
+    let deadline = call.deadline.unwrap_or(Time::MAX).min(now + REVISION_TIMEOUT);
     state.config.hint(RevisionNumber(call.revision.0 + 1), now);
-    while state.clock.now() < until {
+    while state.clock.now() < deadline {
         match state.config.active(state.clock.now()) {
-            Ok(active) if active.revision > call.revision => return under(&active, call),
-            Ok(_) | Err(_) => tokio::time::sleep(LOOK_PAUSE).await,
+            Ok(active) if active.revision > call.revision => return rebind_call(&active, call),
+            Ok(_) | Err(_) => tokio::time::sleep(POLL_INTERVAL).await,
         }
     }
     let message = "a newer bundle revision is in force and has not reached this VM";
@@ -36,7 +39,7 @@
 }
 
 /// Looks the call's agent program and model up in another revision.
-fn under(active: &ActiveBundle, call: &TurnCall) -> Result<TurnCall, Problem> {
+fn rebind_call(active: &ActiveBundle, call: &TurnCall) -> Result<TurnCall, Problem> {
     let bundle = &active.bundle;
     let org = bundle.organisations.iter().find(|org| org.name == call.org);
     let allowed = org.is_some_and(|org| org.agents.contains(&call.agent.name));
--- a/crates/gypsumglade/src/entry/order_holder.rs
+++ b/crates/gypsumglade/src/entry/order_holder.rs
@@ -26,20 +26,20 @@
 use crate::operator;
 
 /// Loads that the weight store takes at one time.
-const LOADS_AT_ONCE: usize = 2;
+const MAX_CONCURRENT_LOADS: usize = 2;
 /// Pause between the starts of two loads.
-const LOAD_PAUSE: Duration = Duration::from_secs(1);
+const LOAD_INTERVAL: Duration = Duration::from_secs(1);
 /// Longest wait for the control group; a lost answer is asked for again.
-const LEASE_PATIENCE: Duration = Duration::from_secs(3);
+const LEASE_TIMEOUT: Duration = Duration::from_secs(3);
 /// Longest time that an order without an outcome keeps its engine from other orders. A load that
 /// takes longer is ordered again, which an engine that still loads takes as the same.
-const ORDER_PATIENCE: Duration = Duration::from_secs(60);
+const ORDER_TIMEOUT: Duration = Duration::from_secs(60);
 /// Pause before an engine that refused an order gets another, so that a weight store that fails is
 /// not asked in a tight loop.
-const REFUSED_PAUSE: Duration = Duration::from_secs(5);
+const REFUSAL_BACKOFF: Duration = Duration::from_secs(5);
 /// Time from an order seen carried out until the engine gets the next, in which the engine's
 /// announcement reaches every VM: none still routes to the version that is then dropped.
-const SPREAD: Duration = Duration::from_secs(2);
+const PROPAGATION_DELAY: Duration = Duration::from_secs(2);
 /// Most outcomes that wait for the next round.
 const OUTCOME_BUFFER: usize = 1_024;
 /// Names the lease where VMs agree on who asks for it, so that not all do at once.
@@ -47,7 +47,7 @@
 /// Path under which an engine takes orders.
 const ORDERS_PATH: &str = "/v1/orders";
 /// Code of an engine's refusal to load one more version.
-const NO_ROOM_CODE: &str = "no_model_slot";
+const NO_CAPACITY_CODE: &str = "no_model_slot";
 
 /// An order as an engine takes it.
 #[derive(Debug, Serialize)]
@@ -83,78 +83,78 @@
     /// The engine refused, or was never reached: it is ordered again after a pause.
     Refused,
     /// The engine has no room for another version.
-    NoRoom,
+    NoCapacity,
 }
 
 /// The outcome of one order.
-struct Told {
+struct OrderResult {
     endpoint: EndpointName,
     outcome: Outcome,
 }
 
 /// An order given and not yet done with.
-struct Given {
+struct PendingOrder {
     order: Order,
     /// Until then the engine gets no other order, whatever became of this one.
-    until: Time,
+    expires: Time,
     /// When the engine first announced that it was carried out.
-    seen: Option<Time>,
+    completed_at: Option<Time>,
 }
 
 /// How many versions an incarnation of an engine has room for, learnt from its refusal.
-struct Room {
+struct Capacity {
     incarnation: u64,
     slots: usize,
 }
 
-struct Orders {
+struct OrderController {
     state: Arc<EntryState>,
     control: ControlClient,
     settings: OrderSettings,
-    take: TakeOrderLease,
+    lease_request: TakeOrderLease,
     /// The lease's number, and who counts the orders under it. Kept while another VM holds the
     /// lease: the log may give this one the same number again, and the count must go on.
     holder: Option<(u32, OrderHolder)>,
     planner: Planner,
-    given: HashMap<EndpointName, Given>,
-    rooms: HashMap<EndpointName, Room>,
-    outcomes: mpsc::Sender<Told>,
+    pending: HashMap<EndpointName, PendingOrder>,
+    capacities: HashMap<EndpointName, Capacity>,
+    outcomes: mpsc::Sender<OrderResult>,
 }
 
 /// Holds the lease when it is this VM's turn, and gives orders under it, until the process ends.
 pub(super) async fn run(state: Arc<EntryState>, halt: CancellationToken) {
-    let (outcomes, mut told) = mpsc::channel(OUTCOME_BUFFER);
-    let mut orders = Orders::new(state, outcomes);
+    let (outcomes, mut results) = mpsc::channel(OUTCOME_BUFFER);
+    let mut orders = OrderController::new(state, outcomes);
     let interval = orders.settings.lease.interval();
     loop {
         tokio::select! {
             () = halt.cancelled() => return,
             () = tokio::time::sleep(interval) => {}
         }
-        while let Ok(told) = told.try_recv() {
-            orders.take_outcome(&told);
+        while let Ok(result) = results.try_recv() {
+            orders.handle_result(&result);
         }
         if orders.is_home() {
             orders.renew().await;
-            orders.give();
+            orders.send_orders();
         }
     }
 }
 
-impl Orders {
-    fn new(state: Arc<EntryState>, outcomes: mpsc::Sender<Told>) -> Orders {
+impl OrderController {
+    fn new(state: Arc<EntryState>, outcomes: mpsc::Sender<OrderResult>) -> OrderController {
         let length_ms = state.settings.timeouts.lease_ms;
         let lease = LeaseSettings { length_ms, ..LeaseSettings::default() };
         let control =
             ControlClient { directory: Arc::clone(&state.directory), peers: state.peers.clone() };
-        Orders {
+        OrderController {
             control,
             settings: OrderSettings { lease, ..OrderSettings::default() },
-            take: TakeOrderLease { vm: state.vm.0, incarnation: rand::random() },
+            lease_request: TakeOrderLease { vm: state.vm.0, incarnation: rand::random() },
             holder: None,
-            planner: Planner::new(LoadLimiter::new(LOADS_AT_ONCE, LOAD_PAUSE)),
-            given: HashMap::new(),
-            rooms: HashMap::new(),
+            planner: Planner::new(LoadLimiter::new(MAX_CONCURRENT_LOADS, LOAD_INTERVAL)),
+            pending: HashMap::new(),
+            capacities: HashMap::new(),
             outcomes,
             state,
         }
@@ -168,31 +168,32 @@
     }
 
     async fn renew(&mut self) {
-        let asked = self.state.clock.now();
-        let command = Command { body: Some(CommandBody::TakeOrders(self.take)) };
-        let asking = operator::give(&self.control, command);
-        let Ok(Some(answer)) = tokio::time::timeout(LEASE_PATIENCE, asking).await else { return };
+        let requested_at = self.state.clock.now();
+        let command = Command { body: Some(CommandBody::TakeOrders(self.lease_request)) };
+        let request = operator::give(&self.control, command);
+        let Ok(Some(answer)) = tokio::time::timeout(LEASE_TIMEOUT, request).await else { return };
         let Some(AnswerBody::Orders(lease)) = answer.body else { return };
-        if lease.vm == self.take.vm && lease.incarnation == self.take.incarnation {
-            self.renewed(lease, asked);
+        if lease.vm == self.lease_request.vm && lease.incarnation == self.lease_request.incarnation
+        {
+            self.handle_lease(lease, requested_at);
         }
     }
 
-    fn renewed(&mut self, lease: OrderLease, asked: Time) {
+    fn handle_lease(&mut self, lease: OrderLease, requested_at: Time) {
         let known = self.holder.as_ref().is_some_and(|(number, _)| *number == lease.number);
         if !known {
             slog::info!(self.state.log, "holds the order lease"; "number" => lease.number);
             let holder = OrderHolder::new(self.settings, lease.number, self.state.clock.now());
             self.holder = Some((lease.number, holder));
-            self.given.clear();
+            self.pending.clear();
         }
         if let Some((_, holder)) = &mut self.holder {
-            holder.renewed(asked, self.settings.lease.length());
+            holder.renewed(requested_at, self.settings.lease.length());
         }
     }
 
     /// Plans from what the engines announce now, and sends what may be sent.
-    fn give(&mut self) {
+    fn send_orders(&mut self) {
         let now = self.state.clock.now();
         let Ok(active) = self.state.config.active(now) else { return };
         let engines = self.engines(now);
@@ -204,11 +205,11 @@
     /// Returns the engines as the planner sees them, and forgets orders that are done with.
     fn engines(&mut self, now: Time) -> Vec<Engine> {
         let state = Arc::clone(&self.state);
-        let desk = state.desk();
-        let endpoints = desk.registry.iter().map(|(_, endpoint)| endpoint);
+        let routing = state.routing();
+        let endpoints = routing.registry.iter().map(|(_, endpoint)| endpoint);
         let engines: Vec<Engine> =
             endpoints.filter_map(|endpoint| self.engine(endpoint, now)).collect();
-        self.given.retain(|name, _| engines.iter().any(|engine| engine.name == *name));
+        self.pending.retain(|name, _| engines.iter().any(|engine| engine.name == *name));
         engines
     }
 
@@ -219,16 +220,20 @@
             ModelVersion { model: model.clone(), version: version.clone() }
         };
         let loaded: Vec<ModelVersion> = models.iter().map(version).collect();
-        if self.given.get_mut(&endpoint.name).is_some_and(|given| given.is_over(&loaded, now)) {
-            self.given.remove(&endpoint.name);
+        if self
+            .pending
+            .get_mut(&endpoint.name)
+            .is_some_and(|pending| pending.is_finished(&loaded, now))
+        {
+            self.pending.remove(&endpoint.name);
         }
-        let room = self.rooms.get(&endpoint.name);
-        let room = room.filter(|room| room.incarnation == endpoint.incarnation);
+        let capacity = self.capacities.get(&endpoint.name);
+        let capacity = capacity.filter(|capacity| capacity.incarnation == endpoint.incarnation);
         Some(Engine {
             name: endpoint.name.clone(),
             // An engine doesn't announce its room, so it counts as free until it says otherwise.
-            slots: room.map_or(loaded.len() + 1, |room| room.slots),
-            pending: self.given.get(&endpoint.name).map(|given| given.order.clone()),
+            slots: capacity.map_or(loaded.len() + 1, |capacity| capacity.slots),
+            pending: self.pending.get(&endpoint.name).map(|pending| pending.order.clone()),
             leaving: endpoint.leaving,
             loaded,
         })
@@ -237,45 +242,49 @@
     fn send(&mut self, order: Order, bundle: &Bundle, now: Time) {
         let (Order::Load { endpoint, .. } | Order::Drop { endpoint, .. }) = &order;
         let Some((address, announced)) = self.target(endpoint) else { return };
-        let checks = announced && !bundle.fencing.is_ignored_by(endpoint);
-        let number = self.holder.as_mut().and_then(|(_, holder)| holder.next_token(checks, now));
+        let checks_fencing = announced && !bundle.fencing.is_ignored_by(endpoint);
+        let number =
+            self.holder.as_mut().and_then(|(_, holder)| holder.next_token(checks_fencing, now));
         let Some(fence) = number else { return };
         slog::info!(self.state.log, "gives an order"; "order" => ?order, "fence" => fence.0);
         let (outcomes, name) = (self.outcomes.clone(), endpoint.clone());
-        let (state, flight, sent) =
+        let (state, timeout, sent) =
             (Arc::clone(&self.state), self.settings.delivery_timeout, order.clone());
-        self.given.insert(name.clone(), Given { order, until: now + ORDER_PATIENCE, seen: None });
+        self.pending.insert(
+            name.clone(),
+            PendingOrder { order, expires: now + ORDER_TIMEOUT, completed_at: None },
+        );
         tokio::spawn(async move {
             // An order without an outcome stays given until the engine shows it or time is over.
-            if let Some(outcome) = deliver(&state, &address, fence, &sent, flight).await {
-                let _ = outcomes.send(Told { endpoint: name, outcome }).await;
+            if let Some(outcome) = deliver(&state, &address, fence, &sent, timeout).await {
+                let _ = outcomes.send(OrderResult { endpoint: name, outcome }).await;
             }
         });
     }
 
     /// Returns an engine's address, and whether it announces that it checks fencing numbers.
     fn target(&self, name: &str) -> Option<(CompactString, bool)> {
-        let desk = self.state.desk();
-        let endpoint = desk.registry.get(desk.registry.key(name)?)?;
+        let routing = self.state.routing();
+        let endpoint = routing.registry.get(routing.registry.key(name)?)?;
         Some((endpoint.address.clone(), endpoint.fencing))
     }
 
-    fn take_outcome(&mut self, told: &Told) {
-        if let Some(given) = self.given.get_mut(&told.endpoint) {
-            given.until = self.state.clock.now() + REFUSED_PAUSE;
+    fn handle_result(&mut self, result: &OrderResult) {
+        if let Some(pending) = self.pending.get_mut(&result.endpoint) {
+            pending.expires = self.state.clock.now() + REFUSAL_BACKOFF;
         }
-        if told.outcome == Outcome::NoRoom {
-            self.learn_room(&told.endpoint);
+        if result.outcome == Outcome::NoCapacity {
+            self.record_capacity(&result.endpoint);
         }
     }
 
-    fn learn_room(&mut self, name: &EndpointName) {
-        let desk = self.state.desk();
-        let found = desk.registry.key(name).and_then(|key| desk.registry.get(key));
+    fn record_capacity(&mut self, name: &EndpointName) {
+        let routing = self.state.routing();
+        let found = routing.registry.key(name).and_then(|key| routing.registry.get(key));
         let Some(endpoint) = found else { return };
         let EndpointKind::Engine { models, .. } = &endpoint.kind else { return };
-        let room = Room { incarnation: endpoint.incarnation, slots: models.len() };
-        self.rooms.insert(name.clone(), room);
+        let capacity = Capacity { incarnation: endpoint.incarnation, slots: models.len() };
+        self.capacities.insert(name.clone(), capacity);
     }
 }
 
@@ -285,7 +294,7 @@
     address: &str,
     fence: FencingToken,
     order: &Order,
-    flight: Duration,
+    timeout: Duration,
 ) -> Option<Outcome> {
     let (action, version) = match order {
         Order::Load { version, .. } => (Action::Load, version),
@@ -293,7 +302,7 @@
     };
     let body = OrderBody { fence, action, model: &version.model, version: &version.version };
     let body = Bytes::from(serde_json::to_vec(&body).ok()?);
-    let sent = state.endpoints.control(http::Method::POST, address, ORDERS_PATH, body, flight);
+    let sent = state.endpoints.control(http::Method::POST, address, ORDERS_PATH, body, timeout);
     match sent.await {
         Ok((status, _)) if status.is_success() => None,
         Ok((status, body)) => Some(refusal(status, &body)),
@@ -305,21 +314,23 @@
 fn refusal(status: StatusCode, body: &[u8]) -> Outcome {
     let code = serde_json::from_slice(body).map(|body: RefusalBody| body.error.code);
     match code {
-        Ok(code) if status == StatusCode::CONFLICT && code == NO_ROOM_CODE => Outcome::NoRoom,
+        Ok(code) if status == StatusCode::CONFLICT && code == NO_CAPACITY_CODE => {
+            Outcome::NoCapacity
+        }
         Ok(_) | Err(_) => Outcome::Refused,
     }
 }
 
-impl Given {
+impl PendingOrder {
     /// Tells whether the engine may get another order.
-    fn is_over(&mut self, loaded: &[ModelVersion], now: Time) -> bool {
+    fn is_finished(&mut self, loaded: &[ModelVersion], now: Time) -> bool {
         let done = match &self.order {
             Order::Load { version, .. } => loaded.contains(version),
             Order::Drop { version, .. } => !loaded.contains(version),
         };
         if done {
-            return now.since(*self.seen.get_or_insert(now)) >= SPREAD;
+            return now.since(*self.completed_at.get_or_insert(now)) >= PROPAGATION_DELAY;
         }
-        now >= self.until
+        now >= self.expires
     }
 }
--- a/crates/gypsumglade/src/entry/peer_calls.rs
+++ b/crates/gypsumglade/src/entry/peer_calls.rs
@@ -32,7 +32,7 @@
         let text: String = parameters.one()?;
         let body: AnnouncementBody =
             serde_json::from_str(&text).map_err(|error| invalid_payload(&error.into()))?;
-        announce::take(state, &body).map_err(|error| invalid_payload(&anyhow::anyhow!(error)))?;
+        announce::apply(state, &body).map_err(|error| invalid_payload(&anyhow::anyhow!(error)))?;
         Ok::<_, ErrorObjectOwned>(DONE.to_owned())
     })?;
     module.register_async_method(Method::Release.name(), |parameters, state, _| async move {
--- a/crates/gypsumglade/src/entry/retrying.rs
+++ b/crates/gypsumglade/src/entry/retrying.rs
@@ -11,19 +11,19 @@
     org: OrgName,
     repeatable: bool,
     deadline: Option<Time>,
-    made: u32,
+    count: u32,
 }
 
 impl Attempts {
     /// Begins a call, which earns its organisation a part of a retry.
-    pub(super) fn begin(
+    pub(super) fn start(
         state: &EntryState,
         org: &OrgName,
         repeatable: bool,
         deadline: Option<Time>,
     ) -> Attempts {
-        state.desk().retries.record_call(org);
-        Attempts { org: org.clone(), repeatable, deadline, made: 0 }
+        state.routing().retries.record_call(org);
+        Attempts { org: org.clone(), repeatable, deadline, count: 0 }
     }
 
     /// Waits for the next attempt; false when there is none.
@@ -31,23 +31,23 @@
     /// Without a budget, every call of an organisation whose engines fail is sent several times
     /// just when there is least room for it, and the engines that are left fail too. The drawn
     /// wait keeps calls that failed together from coming back together.
-    pub(super) async fn again(
+    pub(super) async fn wait_for_retry(
         &mut self,
         state: &EntryState,
         failure: Failure,
         reason: &'static str,
     ) -> bool {
-        self.made += 1;
+        self.count += 1;
         let now = state.clock.now();
-        let ask = RetryRequest {
+        let request = RetryRequest {
             org: self.org.clone(),
-            attempts: self.made,
+            attempts: self.count,
             repeatable: self.repeatable,
             failure,
             deadline: self.deadline,
             retry_after: None,
         };
-        let decision = state.desk().retries.decide(now, &ask);
+        let decision = state.routing().retries.decide(now, &request);
         match decision {
             RetryDecision::At(at) => {
                 state.metrics.retry(reason);
--- a/crates/gypsumglade/src/entry/serve.rs
+++ b/crates/gypsumglade/src/entry/serve.rs
@@ -13,12 +13,12 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-use super::admit::{EXPIRY_PAUSE, Gate};
+use super::admit::{AdmissionController, EXPIRY_INTERVAL};
 use super::config::{self, ConfigView, Renewal};
 use super::endpoint_client::EndpointClient;
 use super::groups::{GroupClient, GroupMap};
 use super::peer_calls;
-use super::state::{Desk, EntryState, RunningCalls};
+use super::state::{EntryState, RoutingState, RunningCalls};
 use super::{announce, callers, leak_audit, membership_loop, order_holder};
 use crate::admin;
 use crate::clock::Clock;
@@ -68,22 +68,24 @@
     ) -> anyhow::Result<Entry> {
         let state = Arc::new(entry_state(settings, directory, log)?);
         let halt = CancellationToken::new();
-        let with_tls = |pair: Option<&CertificateSettings>| listener_options(&state.settings, pair);
-        let pairs = state.settings.tls.clone();
+        let with_tls = |certificate: Option<&CertificateSettings>| {
+            listener_options(&state.settings, certificate)
+        };
+        let certificates = state.settings.tls.clone();
         let listen = state.settings.listen.clone();
         let stop = state.stop.clone();
         let callers = callers::routes(Arc::clone(&state));
-        let options = with_tls(pairs.callers.as_ref())?;
+        let options = with_tls(certificates.callers.as_ref())?;
         let callers = Listener::bind(listen.callers, callers, options, stop.clone()).await?;
         let endpoints = announce::routes(Arc::clone(&state));
-        let options = with_tls(pairs.endpoints.as_ref())?;
+        let options = with_tls(certificates.endpoints.as_ref())?;
         let endpoints = Listener::bind(listen.endpoints, endpoints, options, halt.clone()).await?;
         let admin = admin::entry_routes(Arc::clone(&state));
-        let options = with_tls(pairs.admin.as_ref())?;
+        let options = with_tls(certificates.admin.as_ref())?;
         let admin = Listener::bind(listen.admin, admin, options, halt.clone()).await?;
         let methods = peer_calls::methods(Arc::clone(&state))?;
         let token = state.settings.tokens.peers.clone();
-        let options = with_tls(pairs.peers.as_ref())?;
+        let options = with_tls(certificates.peers.as_ref())?;
         let rpc = RpcServer::bind(listen.peers, token, methods.into(), None, options, halt.clone())
             .await?;
         let membership = membership_loop::join(&state, rpc.address()).await?;
@@ -163,13 +165,13 @@
         groups: GroupClient::new(vm, peers.clone(), map, settings.timeouts.peer()),
         endpoints: EndpointClient::new(),
         config: ConfigView::new(lease, vm, keys, clock.now()),
-        gate: Gate::new(admission_settings(), clock),
+        admission: AdmissionController::new(admission_settings(), clock),
         metrics: Metrics::new()?,
         stop: CancellationToken::new(),
         tasks: TaskTracker::new(),
         running: RunningCalls::default(),
         members: Mutex::default(),
-        desk: Mutex::new(Desk { registry, router, retries }),
+        routing: Mutex::new(RoutingState { registry, router, retries }),
         log,
         peers,
         directory,
@@ -197,10 +199,10 @@
 /// Fails when the certificate or key cannot be read.
 pub fn listener_options(
     settings: &Settings,
-    pair: Option<&CertificateSettings>,
+    certificate: Option<&CertificateSettings>,
 ) -> anyhow::Result<ListenerOptions> {
     Ok(ListenerOptions {
-        tls: tls::server(pair)?,
+        tls: tls::server(certificate)?,
         header_bytes: usize::try_from(settings.limits.header_bytes).unwrap_or(usize::MAX),
         drain: settings.timeouts.drain(),
     })
@@ -221,7 +223,7 @@
             let policy = &active.bundle.policy;
             let weights =
                 PolicyWeights { latency: policy.latency_weight, waste: policy.waste_weight };
-            renewing.desk().router.set_weights(weights);
+            renewing.routing().router.set_weights(weights);
         })
         .await;
     });
@@ -230,9 +232,9 @@
     let (expiring, halt) = (Arc::clone(state), halt.clone());
     tokio::spawn(async move {
         while !halt.is_cancelled() {
-            expiring.gate.expire();
+            expiring.admission.expire();
             expiring.expire_endpoints();
-            tokio::time::sleep(EXPIRY_PAUSE).await;
+            tokio::time::sleep(EXPIRY_INTERVAL).await;
         }
     });
 }
--- a/crates/gypsumglade/src/entry/state.rs
+++ b/crates/gypsumglade/src/entry/state.rs
@@ -14,7 +14,7 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-use super::admit::Gate;
+use super::admit::AdmissionController;
 use super::config::ConfigView;
 use super::endpoint_client::EndpointClient;
 use super::groups::GroupClient;
@@ -47,7 +47,7 @@
     /// The bundle in force and the lease on it.
     pub config: ConfigView,
     /// Who is let in, and when.
-    pub gate: Gate,
+    pub admission: AdmissionController,
     /// Metrics of the process.
     pub metrics: Metrics,
     /// Log of the process.
@@ -59,7 +59,7 @@
     /// Dispatches under way from here, which a store may cancel.
     pub running: RunningCalls,
     pub(super) members: Mutex<Vec<EntryMember>>,
-    pub(super) desk: Mutex<Desk>,
+    pub(super) routing: Mutex<RoutingState>,
 }
 
 /// Dispatches under way, by id.
@@ -99,7 +99,7 @@
 }
 
 /// The routing decisions' state, behind one lock that is never held across a wait.
-pub(super) struct Desk {
+pub(super) struct RoutingState {
     pub(super) registry: Registry,
     pub(super) router: Router,
     pub(super) retries: RetryPolicy,
@@ -107,7 +107,7 @@
 
 /// An endpoint chosen for a dispatch, counted as in flight there until it is settled.
 #[derive(Clone, Debug)]
-pub struct Placed {
+pub struct PlacedCall {
     /// Instance name.
     pub name: EndpointName,
     /// `ip:port`.
@@ -115,7 +115,7 @@
     /// Region, for the paid link's count.
     pub region: RegionId,
     /// Prompt tokens that the engine has to compute.
-    pub fill: u64,
+    pub prefill_tokens: u64,
     key: DispatchKey,
 }
 
@@ -131,36 +131,36 @@
 }
 
 impl EntryState {
-    pub(super) fn desk(&self) -> MutexGuard<'_, Desk> {
-        self.desk.lock().expect("no panic while held")
+    pub(super) fn routing(&self) -> MutexGuard<'_, RoutingState> {
+        self.routing.lock().expect("no panic while held")
     }
 
     /// Chooses an endpoint and counts the dispatch there.
     ///
     /// # Errors
     /// Says why no endpoint can take the call, and when to come back.
-    pub fn place_call(&self, ask: &RouteRequest) -> Result<Placed, RouteError> {
+    pub fn place_call(&self, request: &RouteRequest) -> Result<PlacedCall, RouteError> {
         let now = self.clock.now();
-        let mut desk = self.desk();
-        let desk = &mut *desk;
-        let choice = desk.router.choose(now, &desk.registry, ask)?;
-        Ok(desk.count(now, &choice, ask.isolate))
+        let mut routing = self.routing();
+        let routing = &mut *routing;
+        let choice = routing.router.choose(now, &routing.registry, request)?;
+        Ok(routing.record_dispatch(now, &choice, request.isolate))
     }
 
     /// Counts a dispatch out of flight.
-    pub fn release_call(&self, placed: &Placed, end: DispatchEnd) {
+    pub fn release_call(&self, placed: &PlacedCall, end: DispatchEnd) {
         let now = self.clock.now();
-        let mut desk = self.desk();
+        let mut routing = self.routing();
         match end {
-            DispatchEnd::Finished => desk.registry.finished(now, placed.key),
-            DispatchEnd::Failed => desk.registry.failed(now, placed.key),
-            DispatchEnd::Cancelled => desk.registry.cancelled(now, placed.key),
+            DispatchEnd::Finished => routing.registry.finished(now, placed.key),
+            DispatchEnd::Failed => routing.registry.failed(now, placed.key),
+            DispatchEnd::Cancelled => routing.registry.cancelled(now, placed.key),
         }
     }
 
     /// Notes that an engine has computed a dispatch's prompt.
-    pub fn prompt_filled(&self, placed: &Placed) {
-        self.desk().registry.prefilled(placed.key);
+    pub fn prefill_finished(&self, placed: &PlacedCall) {
+        self.routing().registry.prefilled(placed.key);
     }
 
     /// Bounds each model's calls by this VM's share of the slots that engines announce.
@@ -169,17 +169,17 @@
     /// it is allowed, so that an uneven minute leaves no engine idle while calls wait.
     pub fn resize_pools(&self) {
         let entries = self.directory.entries().len().max(1) as f64;
-        for (model, slots) in self.desk().slots() {
-            self.gate.resize(&model, (f64::from(slots) / entries * POOL_SLACK).ceil());
+        for (model, slots) in self.routing().slots() {
+            self.admission.resize(&model, (f64::from(slots) / entries * POOL_SLACK).ceil());
         }
     }
 
     /// Drops endpoints whose lease is over.
     pub fn expire_endpoints(&self) {
         let now = self.clock.now();
-        let gone = self.desk().registry.expire(now);
-        if !gone.is_empty() {
-            slog::info!(self.log, "endpoints expired"; "count" => gone.len());
+        let expired = self.routing().registry.expire(now);
+        if !expired.is_empty() {
+            slog::info!(self.log, "endpoints expired"; "count" => expired.len());
             self.resize_pools();
         }
     }
@@ -190,8 +190,8 @@
     /// a VM that has just started does not know yet who is there, and would leave memory held.
     pub async fn release_memory(&self, release: &Release) -> ReleaseAnswer {
         let Some(address) = self.endpoint_address(&release.endpoint) else {
-            let settled = self.clock.now() > Time::ZERO + LONGEST_LEASE * 2;
-            return if settled { ReleaseAnswer::Gone } else { ReleaseAnswer::Failed };
+            let registry_complete = self.clock.now() > Time::ZERO + MAX_LEASE * 2;
+            return if registry_complete { ReleaseAnswer::Gone } else { ReleaseAnswer::Failed };
         };
         let Some(program) = &release.program else { return ReleaseAnswer::Freed };
         let body = serde_json::json!({"program": format!("{}/{}", program.org, program.program)});
@@ -210,39 +210,41 @@
 
     /// Returns the address of an endpoint with a live lease.
     pub fn endpoint_address(&self, name: &str) -> Option<CompactString> {
-        let desk = self.desk();
-        let key = desk.registry.key(name)?;
-        desk.registry.get(key).map(|endpoint| endpoint.address.clone())
+        let routing = self.routing();
+        let key = routing.registry.key(name)?;
+        routing.registry.get(key).map(|endpoint| endpoint.address.clone())
     }
 }
 
 /// Longest lease that an endpoint can have.
-const LONGEST_LEASE: Duration = Duration::from_secs(10);
+const MAX_LEASE: Duration = Duration::from_secs(10);
 /// How far a VM may go beyond its even share of a model's slots.
 const POOL_SLACK: f64 = 2.0;
 
-impl Desk {
+impl RoutingState {
     /// Returns the slots of each model's engines that take new work.
     fn slots(&self) -> HashMap<CompactString, u32> {
         let mut slots: HashMap<CompactString, u32> = HashMap::new();
         for (_, endpoint) in self.registry.iter().filter(|(_, endpoint)| !endpoint.leaving) {
-            let EndpointKind::Engine { models, slots: own, .. } = &endpoint.kind else { continue };
+            let EndpointKind::Engine { models, slots: engine_slots, .. } = &endpoint.kind else {
+                continue;
+            };
             for model in models {
                 let sum = slots.entry(model.model.clone()).or_default();
-                *sum = sum.saturating_add(*own);
+                *sum = sum.saturating_add(*engine_slots);
             }
         }
         slots
     }
 
-    fn count(&mut self, now: Time, choice: &Choice, alone: bool) -> Placed {
-        let load = DispatchLoad { prefill_tokens: choice.prefill_tokens, isolated: alone };
+    fn record_dispatch(&mut self, now: Time, choice: &Choice, isolated: bool) -> PlacedCall {
+        let load = DispatchLoad { prefill_tokens: choice.prefill_tokens, isolated };
         let key = self.registry.dispatched(now, choice.endpoint, load);
         let endpoint = self.registry.get(choice.endpoint);
         let (name, address, region) = endpoint
             .map(|found| (found.name.clone(), found.address.clone(), found.region))
             .unwrap_or_default();
-        Placed { name, address, region, fill: choice.prefill_tokens, key }
+        PlacedCall { name, address, region, prefill_tokens: choice.prefill_tokens, key }
     }
 }
 
@@ -250,10 +252,10 @@
     /// Returns the process's state, for an operator's dump.
     pub fn dump(&self) -> serde_json::Value {
         let now = self.clock.now();
-        let desk = self.desk();
+        let routing = self.routing();
         let endpoints: Vec<serde_json::Value> =
-            desk.registry.iter().map(|(_, endpoint)| endpoint_dump(endpoint, now)).collect();
-        drop(desk);
+            routing.registry.iter().map(|(_, endpoint)| endpoint_dump(endpoint, now)).collect();
+        drop(routing);
         serde_json::json!({
             "role": "entry",
             "vm": self.vm,
@@ -262,7 +264,7 @@
             "lease_ms": self.config.remaining(now).as_millis() as u64,
             "stopping": self.stop.is_cancelled(),
             "running": self.running.count(),
-            "pools": self.gate.loads(),
+            "pools": self.admission.loads(),
             "endpoints": endpoints,
             "members": self.members(),
             "entries": self.directory.entries(),
--- a/crates/gypsumglade/src/entry/tool.rs
+++ b/crates/gypsumglade/src/entry/tool.rs
@@ -21,16 +21,16 @@
 use super::endpoint_client::{Dispatch, KEY_HEADER, PROGRAM_HEADER, SendError};
 use super::problem::{Problem, ProblemKind};
 use super::retrying::Attempts;
-use super::state::{DispatchEnd, EntryState, Placed};
+use super::state::{DispatchEnd, EntryState, PlacedCall};
 
 /// Longest wait for a grant or an end of program.
-const GROUP_PATIENCE: Duration = Duration::from_secs(15);
+const GROUP_TIMEOUT: Duration = Duration::from_secs(15);
 /// Longest wait for a group to take an outcome, across a change of leader.
-const SETTLE_PATIENCE: Duration = Duration::from_secs(30);
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(30);
 /// Askings after the status of a call in doubt, each after twice the pause before it.
-const INQUIRIES: u32 = 6;
+const MAX_INQUIRIES: u32 = 6;
 /// First pause before a service is asked what became of a call.
-const INQUIRY_PAUSE: Duration = Duration::from_millis(200);
+const INQUIRY_BACKOFF: Duration = Duration::from_millis(200);
 
 /// One call of a plain service, from its headers, body and bundle.
 #[derive(Clone, Debug)]
@@ -76,12 +76,12 @@
         let org = active.organisation(&headers.token)?;
         let agent = active.agent(org, headers)?;
         let (service, operation) = active.operation(agent, service, operation)?;
-        let program = headers.program.clone().ok_or_else(|| missing("x-program-id"))?;
+        let program = headers.program.clone().ok_or_else(|| missing_header("x-program-id"))?;
         super::check_parent(&program, headers.parent.as_deref())?;
         let key = match &headers.key {
             Some(key) => key.clone(),
-            None if operation.repeatable => super::fresh_id(state).into(),
-            None => return Err(missing("idempotency-key")),
+            None if operation.repeatable => super::unique_id(state).into(),
+            None => return Err(missing_header("idempotency-key")),
         };
         let timeout = Duration::from_millis(operation.timeout_ms);
         let begin = BeginCall {
@@ -120,7 +120,7 @@
     }
 }
 
-fn missing(header: &str) -> Problem {
+fn missing_header(header: &str) -> Problem {
     let message = format!("header {header} is required for this operation");
     Problem::not_run(ProblemKind::BadRequest, message)
 }
@@ -130,9 +130,9 @@
 /// # Errors
 /// Every problem says whether the call ran.
 pub async fn run(state: &Arc<EntryState>, call: &ToolCall) -> Result<ToolAnswer, Problem> {
-    let mut attempts = Attempts::begin(state, &call.org, call.repeatable(), call.deadline);
+    let mut attempts = Attempts::start(state, &call.org, call.repeatable(), call.deadline);
     loop {
-        let grant = match ask_grant(state, call).await? {
+        let grant = match request_grant(state, call).await? {
             Granted::Run(grant) => grant,
             Granted::Answer(answer) => return Ok(answer),
         };
@@ -140,7 +140,7 @@
             Ok(answer) => return Ok(answer),
             Err(problem) if problem.outcome == Outcome::NotRun => return Err(problem),
             Err(problem) => {
-                if !attempts.again(state, Failure::Unknown, "service_lost").await {
+                if !attempts.wait_for_retry(state, Failure::Unknown, "service_lost").await {
                     return Err(problem);
                 }
             }
@@ -153,38 +153,38 @@
     Answer(ToolAnswer),
 }
 
-async fn ask_grant(state: &EntryState, call: &ToolCall) -> Result<Granted, Problem> {
+async fn request_grant(state: &EntryState, call: &ToolCall) -> Result<Granted, Problem> {
     check_revision(state, call)?;
-    let granted = ask_group(state, call).await?;
+    let granted = begin_call(state, call).await?;
     let Granted::Run(grant) = &granted else { return Ok(granted) };
     if let Err(problem) = check_revision(state, call) {
-        return not_run(state, call, grant, problem).await.map(Granted::Answer);
+        return settle_not_run(state, call, grant, problem).await.map(Granted::Answer);
     }
     Ok(granted)
 }
 
 /// Refuses a call that was read under a revision which this VM no longer acts on.
 fn check_revision(state: &EntryState, call: &ToolCall) -> Result<(), Problem> {
-    if super::acts_on(state, RevisionNumber(call.begin.revision))? {
+    if super::is_active_revision(state, RevisionNumber(call.begin.revision))? {
         return Ok(());
     }
     let message = "a newer bundle revision came into force meanwhile";
     Err(Problem::not_run(ProblemKind::Unavailable, message).retry_after(super::GROUP_RETRY_MS))
 }
 
-async fn ask_group(state: &EntryState, call: &ToolCall) -> Result<Granted, Problem> {
+async fn begin_call(state: &EntryState, call: &ToolCall) -> Result<Granted, Problem> {
     let mut begin = call.begin.clone();
-    begin.nonce = super::fresh_id(state);
+    begin.nonce = super::unique_id(state);
     let request = Request { body: Some(RequestBody::BeginCall(begin)) };
-    let patience = call.deadline.map_or(GROUP_PATIENCE, |at| at.since(state.clock.now()));
-    match state.groups.ask(&call.org, &call.program, &request, patience).await {
+    let timeout = call.deadline.map_or(GROUP_TIMEOUT, |at| at.since(state.clock.now()));
+    match state.groups.ask(&call.org, &call.program, &request, timeout).await {
         Ok(ReplyBody::Grant(grant)) => Ok(Granted::Run(grant)),
         Ok(ReplyBody::Recorded(recorded)) => Ok(Granted::Answer(ToolAnswer {
             status: status_of(recorded.status),
             body: recorded.answer,
         })),
         Ok(ReplyBody::Refused(refused)) => Err(refused.into()),
-        Ok(ReplyBody::Unknown(unknown)) => settled_late(state, call, unknown).await,
+        Ok(ReplyBody::Unknown(unknown)) => resolve_unknown(state, call, unknown).await,
         Ok(ReplyBody::Done(_) | ReplyBody::Leaks(_)) => {
             Err(Problem::unknown("the program group gave no grant"))
         }
@@ -194,7 +194,7 @@
 }
 
 /// Asks the service's instances what became of a call in doubt, before its caller is told so.
-async fn settled_late(
+async fn resolve_unknown(
     state: &EntryState,
     call: &ToolCall,
     unknown: Unknown,
@@ -209,9 +209,9 @@
 }
 
 fn instances(state: &EntryState, call: &ToolCall) -> Vec<CompactString> {
-    let desk = state.desk();
-    let keys = desk.registry.services(&call.service).iter();
-    keys.filter_map(|key| Some(desk.registry.get(*key)?.address.clone())).collect()
+    let routing = state.routing();
+    let keys = routing.registry.services(&call.service).iter();
+    keys.filter_map(|key| Some(routing.registry.get(*key)?.address.clone())).collect()
 }
 
 fn status_of(status: u32) -> StatusCode {
@@ -225,29 +225,29 @@
     grant: &Grant,
     attempts: &mut Attempts,
 ) -> Result<ToolAnswer, Problem> {
-    let mut excluded = not_allowed(state, call);
+    let mut excluded = disallowed_endpoints(state, call);
     loop {
-        let placed = match state.place_call(&route_ask(state, call, &excluded)) {
+        let placed = match state.place_call(&route_request(state, call, &excluded)) {
             Ok(placed) => placed,
             Err(error) => {
                 let problem = Problem::not_run(ProblemKind::Unavailable, &error)
                     .retry_after(super::route_retry_ms(&error));
-                return not_run(state, call, grant, problem).await;
+                return settle_not_run(state, call, grant, problem).await;
             }
         };
         let dispatch = dispatch(call, grant, &placed);
         match state.endpoints.send_once(&dispatch, call.timeout).await {
             Ok((status, body)) => {
                 state.release_call(&placed, DispatchEnd::Finished);
-                return done(state, call, grant, ToolAnswer { status, body }).await;
+                return settle_done(state, call, grant, ToolAnswer { status, body }).await;
             }
             Err(SendError::NotSent) => {
                 state.release_call(&placed, DispatchEnd::Failed);
                 excluded.push(placed.name.clone());
-                if !attempts.again(state, Failure::NotRun, "refused").await {
+                if !attempts.wait_for_retry(state, Failure::NotRun, "refused").await {
                     let problem = Problem::not_run(ProblemKind::Overloaded, "the service refused")
                         .retry_after(super::GROUP_RETRY_MS);
-                    return not_run(state, call, grant, problem).await;
+                    return settle_not_run(state, call, grant, problem).await;
                 }
             }
             Err(error) => {
@@ -258,7 +258,7 @@
     }
 }
 
-async fn done(
+async fn settle_done(
     state: &EntryState,
     call: &ToolCall,
     grant: &Grant,
@@ -282,7 +282,7 @@
     }
 }
 
-async fn not_run(
+async fn settle_not_run(
     state: &EntryState,
     call: &ToolCall,
     grant: &Grant,
@@ -302,32 +302,32 @@
     state: &Arc<EntryState>,
     call: &ToolCall,
     grant: &Grant,
-    placed: &Placed,
+    placed: &PlacedCall,
     error: SendError,
 ) -> Result<ToolAnswer, Problem> {
     slog::warn!(state.log, "a service call is in doubt";
         "program" => %call.program, "dispatch" => &grant.dispatch,
         "endpoint" => %placed.name, "error" => ?error);
     if let Some(answer) = inquire(state, call, &placed.address).await {
-        return done(state, call, grant, answer).await;
+        return settle_done(state, call, grant, answer).await;
     }
     let mut settled = outcome(call, grant, Outcome::Unknown, "no answer from the service");
     settled.endpoint = placed.name.to_string();
     settle(state, call, settled).await?;
     if !call.repeatable() {
-        keep_asking(state, call, grant, placed);
+        inquire_later(state, call, grant, placed);
     }
     Err(Problem::unknown(format!("service {} gave no answer", call.service)))
 }
 
-fn keep_asking(state: &Arc<EntryState>, call: &ToolCall, grant: &Grant, placed: &Placed) {
+fn inquire_later(state: &Arc<EntryState>, call: &ToolCall, grant: &Grant, placed: &PlacedCall) {
     let (state, call) = (Arc::clone(state), call.clone());
     let (grant, placed) = (grant.clone(), placed.clone());
     tokio::spawn(async move {
-        let mut pause = INQUIRY_PAUSE;
-        for _ in 0..INQUIRIES {
-            tokio::time::sleep(pause).await;
-            pause *= 2;
+        let mut backoff = INQUIRY_BACKOFF;
+        for _ in 0..MAX_INQUIRIES {
+            tokio::time::sleep(backoff).await;
+            backoff *= 2;
             if let Some(answer) = inquire(&state, &call, &placed.address).await {
                 let _ = settle(&state, &call, inquired_settle(&call, &grant, &answer)).await;
                 return;
@@ -356,7 +356,7 @@
 /// Bytes of a service key: enough that two never meet.
 const SERVICE_KEY_BYTES: usize = 16;
 
-fn dispatch(call: &ToolCall, grant: &Grant, placed: &Placed) -> Dispatch {
+fn dispatch(call: &ToolCall, grant: &Grant, placed: &PlacedCall) -> Dispatch {
     let mut headers = Vec::new();
     if let Ok(value) = HeaderValue::from_str(&service_key(call)) {
         headers.push((KEY_HEADER, value));
@@ -373,7 +373,7 @@
     }
 }
 
-fn route_ask(state: &EntryState, call: &ToolCall, excluded: &[EndpointName]) -> RouteRequest {
+fn route_request(state: &EntryState, call: &ToolCall, excluded: &[EndpointName]) -> RouteRequest {
     RouteRequest {
         target: Target::Service(call.service.clone()),
         program: super::program_hash(&call.org, &call.program),
@@ -392,11 +392,11 @@
     }
 }
 
-fn not_allowed(state: &EntryState, call: &ToolCall) -> Vec<EndpointName> {
-    let desk = state.desk();
-    let keys = desk.registry.services(&call.service).iter();
-    let names = keys.filter_map(|key| desk.registry.get(*key)).map(|found| &found.name);
-    names.filter(|name| !super::allows(&call.allowed, name)).cloned().collect()
+fn disallowed_endpoints(state: &EntryState, call: &ToolCall) -> Vec<EndpointName> {
+    let routing = state.routing();
+    let keys = routing.registry.services(&call.service).iter();
+    let names = keys.filter_map(|key| routing.registry.get(*key)).map(|found| &found.name);
+    names.filter(|name| !super::matches_any(&call.allowed, name)).cloned().collect()
 }
 
 fn outcome(call: &ToolCall, grant: &Grant, outcome: Outcome, reason: &str) -> Settle {
@@ -410,7 +410,7 @@
 }
 
 async fn settle(state: &EntryState, call: &ToolCall, settle: Settle) -> Result<(), Problem> {
-    super::settle(state, &call.org, &call.program, settle, SETTLE_PATIENCE).await
+    super::settle(state, &call.org, &call.program, settle, SETTLE_TIMEOUT).await
 }
 
 /// Ends a program by its caller's word.
@@ -421,7 +421,7 @@
     let program_ref = ProgramRef { org: org.to_owned(), program: program.to_owned() };
     let request =
         Request { body: Some(RequestBody::EndProgram(EndProgram { program: Some(program_ref) })) };
-    match state.groups.ask(org, program, &request, GROUP_PATIENCE).await {
+    match state.groups.ask(org, program, &request, GROUP_TIMEOUT).await {
         Ok(ReplyBody::Done(_)) => Ok(()),
         Ok(ReplyBody::Refused(refused)) => Err(refused.into()),
         _ => Err(Problem::unknown("the end of the program is not confirmed")
@@ -430,7 +430,7 @@
 }
 
 /// Ends a program that exists for one call only; idle time ends it if this does not.
-pub async fn end_quietly(state: &EntryState, org: &str, program: &str) {
+pub async fn end_or_log(state: &EntryState, org: &str, program: &str) {
     if let Err(problem) = end(state, org, program).await {
         slog::info!(state.log, "a one-call program ends by idle time";
             "program" => program, "reason" => %problem.message);
--- a/crates/gypsumglade/src/entry/turn.rs
+++ b/crates/gypsumglade/src/entry/turn.rs
@@ -25,16 +25,16 @@
 use super::problem::{Problem, ProblemKind};
 use super::retrying::Attempts;
 use super::sse::engine_events;
-use super::state::{DispatchEnd, EntryState, Placed};
+use super::state::{DispatchEnd, EntryState, PlacedCall};
 use super::turn_call::{BYTES_PER_TOKEN, TurnCall, begin_turn, program_ref, time_left};
-use super::turn_dispatch::{Attempt, Running, within};
-use super::turn_settlement::{outcome, settle_not_run, settle_quietly};
+use super::turn_dispatch::{Attempt, RunningDispatch, with_time_limit};
+use super::turn_settlement::{outcome, settle_not_run, settle_or_log};
 use super::waiting_caller::Caller;
 
 /// When to come back after engines refused the call.
 const REFUSED_RETRY_MS: u64 = 1_000;
 /// Longest wait for a grant when the caller gave no deadline.
-const GRANT_PATIENCE: Duration = Duration::from_secs(15);
+const GRANT_TIMEOUT: Duration = Duration::from_secs(15);
 /// Priority of urgent calls towards engines; normal ones go by turns attained.
 const URGENT_PRIORITY: u64 = 1_000;
 
@@ -49,22 +49,22 @@
 ) -> Result<Value, Problem> {
     let mut call = Cow::Borrowed(call);
     let mut builder = AnswerBuilder::default();
-    let mut attempts = Attempts::begin(state, &call.org, true, call.deadline);
+    let mut attempts = Attempts::start(state, &call.org, true, call.deadline);
     loop {
-        let grant = match ask_current(state, &mut call).await? {
+        let grant = match request_current_grant(state, &mut call).await? {
             Granted::Run(grant) => grant,
             Granted::Answer(recorded) => return replay(caller, &builder, &recorded).await,
         };
-        let ended = state.running.add(&grant.dispatch);
-        let ran = {
-            let caller = caller.until(ended);
+        let program_ended = state.running.add(&grant.dispatch);
+        let attempt = {
+            let caller = caller.with_program_end(program_ended);
             run_granted(state, &call, &grant, &caller, &mut builder, &mut attempts).await
         };
         state.running.remove(&grant.dispatch);
-        match ran {
-            Attempt::Whole(answer) => return Ok(answer),
-            Attempt::Again(problem) => {
-                if !attempts.again(state, Failure::Unknown, "engine_lost").await {
+        match attempt {
+            Attempt::Complete(answer) => return Ok(answer),
+            Attempt::Retry(problem) => {
+                if !attempts.wait_for_retry(state, Failure::Unknown, "engine_lost").await {
                     return Err(problem);
                 }
             }
@@ -80,35 +80,38 @@
 }
 
 /// Asks for a grant, and asks again under the next revision if that is in force meanwhile.
-async fn ask_current(state: &EntryState, call: &mut Cow<'_, TurnCall>) -> Result<Granted, Problem> {
+async fn request_current_grant(
+    state: &EntryState,
+    call: &mut Cow<'_, TurnCall>,
+) -> Result<Granted, Problem> {
     loop {
-        if super::acts_on(state, call.revision)? {
-            match ask_grant(state, call).await? {
+        if super::is_active_revision(state, call.revision)? {
+            match request_grant(state, call).await? {
                 Some(Granted::Run(grant))
-                    if !super::acts_on(state, call.revision).unwrap_or(false) =>
+                    if !super::is_active_revision(state, call.revision).unwrap_or(false) =>
                 {
-                    hand_back(state, call, &grant).await;
+                    return_grant(state, call, &grant).await;
                     continue;
                 }
                 Some(granted) => return Ok(granted),
                 None => {}
             }
         }
-        *call = Cow::Owned(newer_revision::renewed(state, call).await?);
+        *call = Cow::Owned(newer_revision::wait_for_newer(state, call).await?);
     }
 }
 
 /// Asks for a grant; `None` when the group acts under a newer revision than the call.
 /// Gives back a grant that came when this VM might no longer act on its revision.
-async fn hand_back(state: &EntryState, call: &TurnCall, grant: &Grant) {
+async fn return_grant(state: &EntryState, call: &TurnCall, grant: &Grant) {
     let settle = outcome(call, grant, Outcome::NotRun, "the bundle revision was replaced");
-    settle_quietly(state, call, settle).await;
+    settle_or_log(state, call, settle).await;
 }
 
-async fn ask_grant(state: &EntryState, call: &TurnCall) -> Result<Option<Granted>, Problem> {
+async fn request_grant(state: &EntryState, call: &TurnCall) -> Result<Option<Granted>, Problem> {
     let request = Request { body: Some(RequestBody::BeginTurn(begin_turn(state, call))) };
-    let patience = time_left(state, call).unwrap_or(GRANT_PATIENCE);
-    match state.groups.ask(&call.org, &call.program, &request, patience).await {
+    let timeout = time_left(state, call).unwrap_or(GRANT_TIMEOUT);
+    match state.groups.ask(&call.org, &call.program, &request, timeout).await {
         Ok(ReplyBody::Grant(grant)) => Ok(Some(Granted::Run(grant))),
         Ok(ReplyBody::Recorded(recorded)) => Ok(Some(Granted::Answer(recorded))),
         Ok(ReplyBody::Refused(refused)) if refused.code() == Refusal::StaleRevision => Ok(None),
@@ -117,7 +120,7 @@
         Ok(ReplyBody::Done(_) | ReplyBody::Leaks(_)) => {
             Err(Problem::unknown("the program group gave no grant"))
         }
-        Err(GroupUnavailable { .. }) => Err(super::no_quorum(call.resends)),
+        Err(GroupUnavailable { .. }) => Err(super::no_quorum(call.has_key)),
     }
 }
 
@@ -136,9 +139,9 @@
             return settle_not_run(state, call, grant, problem).await;
         }
     };
-    let mut excluded = not_allowed(state, call);
+    let mut excluded = disallowed_endpoints(state, call);
     loop {
-        let placed = match state.place_call(&route_ask(state, call, grant, &excluded)) {
+        let placed = match state.place_call(&route_request(state, call, grant, &excluded)) {
             Ok(placed) => placed,
             Err(error) => {
                 let problem = Problem::not_run(ProblemKind::Unavailable, &error)
@@ -150,37 +153,39 @@
         // Told beside the sending and not before it: if this VM dies in between, the leak audit
         // finds what the engine holds, and the caller does not wait for another round trip.
         let (_, sent) = tokio::join!(
-            tell_started(state, call, grant, &placed),
-            within(state, call, state.endpoints.send(&dispatch)),
+            report_started(state, call, grant, &placed),
+            with_time_limit(state, call, state.endpoints.send(&dispatch)),
         );
         match sent {
             Err(SendError::NotSent) => {
                 state.release_call(&placed, DispatchEnd::Failed);
-                state.gate.observe(&call.model.name, Signal::Overloaded);
+                state.admission.observe(&call.model.name, Signal::Overloaded);
                 excluded.push(placed.name.clone());
-                if !attempts.again(state, Failure::NotRun, "refused").await {
+                if !attempts.wait_for_retry(state, Failure::NotRun, "refused").await {
                     let problem = Problem::not_run(ProblemKind::Overloaded, "the engines refused")
                         .retry_after(REFUSED_RETRY_MS);
                     return settle_not_run(state, call, grant, problem).await;
                 }
             }
             Err(error) => {
-                let running = Running { state, call, grant, placed: &placed, dispatch: &dispatch };
-                return running.lost(error, builder).await;
+                let running =
+                    RunningDispatch { state, call, grant, placed: &placed, dispatch: &dispatch };
+                return running.engine_lost(error, builder).await;
             }
             Ok(response) => {
-                let running = Running { state, call, grant, placed: &placed, dispatch: &dispatch };
+                let running =
+                    RunningDispatch { state, call, grant, placed: &placed, dispatch: &dispatch };
                 return if call.request.stream {
-                    running.stream(engine_events(response), caller, builder).await
+                    running.receive_stream(engine_events(response), caller, builder).await
                 } else {
-                    running.whole(response, caller).await
+                    running.receive_answer(response, caller).await
                 };
             }
         }
     }
 }
 
-async fn tell_started(state: &EntryState, call: &TurnCall, grant: &Grant, placed: &Placed) {
+async fn report_started(state: &EntryState, call: &TurnCall, grant: &Grant, placed: &PlacedCall) {
     let started = Started {
         program: Some(program_ref(call)),
         dispatch: grant.dispatch.clone(),
@@ -188,11 +193,11 @@
     };
     let request = Request { body: Some(RequestBody::Started(started)) };
     // The group learns where memory will be held. If it cannot be told now, the settlement tells.
-    let patience = state.settings.timeouts.peer();
-    let _ = state.groups.ask(&call.org, &call.program, &request, patience).await;
+    let timeout = state.settings.timeouts.peer();
+    let _ = state.groups.ask(&call.org, &call.program, &request, timeout).await;
 }
 
-fn route_ask(
+fn route_request(
     state: &EntryState,
     call: &TurnCall,
     grant: &Grant,
@@ -209,7 +214,7 @@
         program: super::program_hash(&call.org, &call.program),
         prompt_tokens: grant.history.len() as u64 / BYTES_PER_TOKEN,
         prior_tokens,
-        expected_output: grant.max_output.min(call.request.output) / 2,
+        expected_output: grant.max_output.min(call.request.max_output) / 2,
         batch: None,
         prefill_seconds: None,
         bytes: None,
@@ -225,9 +230,9 @@
 /// Earlier engines that are worth a look; older ones have most likely dropped the prefix.
 const MAX_LAST_RUNS: usize = 2;
 
-fn not_allowed(state: &EntryState, call: &TurnCall) -> Vec<EndpointName> {
-    let desk = state.desk();
-    let engines = desk.registry.iter().filter(|(_, found)| serves(found, &call.model));
+fn disallowed_endpoints(state: &EntryState, call: &TurnCall) -> Vec<EndpointName> {
+    let routing = state.routing();
+    let engines = routing.registry.iter().filter(|(_, found)| serves(found, &call.model));
     let names = engines.map(|(_, found)| &found.name);
     let allowed = |name: &str| call.model.endpoints.iter().any(|pattern| pattern.matches(name));
     names.filter(|name| !allowed(name)).cloned().collect()
@@ -237,7 +242,7 @@
     state: &EntryState,
     call: &TurnCall,
     grant: &Grant,
-    placed: &Placed,
+    placed: &PlacedCall,
     body: Bytes,
 ) -> Dispatch {
     let priority = match call.class {
@@ -270,9 +275,9 @@
     let answer: Value = serde_json::from_slice(&recorded.answer)
         .map_err(|_| Problem::unknown("the recorded answer cannot be read"))?;
     let has_text = answer.pointer("/choices/0/message/content").is_some_and(Value::is_string);
-    match builder.missing(&answer) {
+    match builder.remaining_text(&answer) {
         Some(text) => caller.forward(&text_chunk(&answer, text)).await,
-        None if builder.begun() && has_text => {
+        None if builder.has_output() && has_text => {
             return Err(Problem::unknown("the recorded answer is worded otherwise; ask again"));
         }
         None => {}
--- a/crates/gypsumglade/src/entry/turn_call.rs
+++ b/crates/gypsumglade/src/entry/turn_call.rs
@@ -36,7 +36,7 @@
     /// The body.
     pub request: ChatRequest,
     /// True when the caller will resend under the key if it loses the answer.
-    pub resends: bool,
+    pub has_key: bool,
 }
 
 /// Returns the request for the right to run the call.
@@ -44,7 +44,7 @@
     let budget = call.agent.budget;
     let prompt = call.request.messages.len() as u64 / BYTES_PER_TOKEN + 1;
     // A price that wrapped round would reserve next to nothing for the largest call of all.
-    let output_price = call.request.output.saturating_mul(call.model.output_micros);
+    let output_price = call.request.max_output.saturating_mul(call.model.output_micros);
     let price = prompt.saturating_mul(call.model.input_micros).saturating_add(output_price);
     BeginTurn {
         program: Some(program_ref(call)),
@@ -53,7 +53,7 @@
         messages: call.request.messages.clone(),
         parent: call.parent.to_string(),
         budget: Some(super::call_budget(&budget)),
-        max_output: call.request.output,
+        max_output: call.request.max_output,
         max_micros: price,
         class: call.class.into(),
         deadline_ms: time_left(state, call).map_or(0, |left| left.as_millis() as u64),
@@ -61,7 +61,7 @@
         agent: call.agent.name.to_string(),
         digest: call.request.digest(),
         idle_ms: call.agent.idle_ms,
-        nonce: super::fresh_id(state),
+        nonce: super::unique_id(state),
         ..BeginTurn::default()
     }
 }
--- a/crates/gypsumglade/src/entry/turn_dispatch.rs
+++ b/crates/gypsumglade/src/entry/turn_dispatch.rs
@@ -12,13 +12,15 @@
 use hyper::body::Incoming;
 use serde_json::Value;
 
-use super::answer::{AnswerBuilder, Passed, usage_of};
-use super::endpoint_client::{Dispatch, RESUME_HEADER, SendError, read_whole};
+use super::answer::{AnswerBuilder, ChunkAction, usage_of};
+use super::endpoint_client::{Dispatch, RESUME_HEADER, SendError, read_body};
 use super::problem::{Problem, ProblemKind};
 use super::sse::{EngineEvent, EngineEvents, engine_events};
-use super::state::{DispatchEnd, EntryState, Placed};
+use super::state::{DispatchEnd, EntryState, PlacedCall};
 use super::turn_call::{BYTES_PER_TOKEN, TurnCall, time_left};
-use super::turn_settlement::{outcome, partial_usage, settle_not_run, settle_now, settle_quietly};
+use super::turn_settlement::{
+    outcome, partial_usage, settle_dispatch, settle_not_run, settle_or_log,
+};
 use super::waiting_caller::Caller;
 use crate::clock::Clock;
 use crate::metrics::CacheUse;
@@ -26,33 +28,37 @@
 /// How a granted attempt ended.
 pub(super) enum Attempt {
     /// The engine finished; the answer is recorded.
-    Whole(Value),
+    Complete(Value),
     /// Another grant is worth asking for; the last one was settled.
-    Again(Problem),
+    Retry(Problem),
     /// Final.
     Failed(Problem),
 }
 
 /// One dispatch that an engine has accepted.
-pub(super) struct Running<'a> {
+pub(super) struct RunningDispatch<'a> {
     pub(super) state: &'a Arc<EntryState>,
     pub(super) call: &'a TurnCall,
     pub(super) grant: &'a Grant,
-    pub(super) placed: &'a Placed,
+    pub(super) placed: &'a PlacedCall,
     pub(super) dispatch: &'a Dispatch,
 }
 
-impl Running<'_> {
-    pub(super) async fn whole(&self, response: Response<Incoming>, caller: &Caller) -> Attempt {
+impl RunningDispatch<'_> {
+    pub(super) async fn receive_answer(
+        &self,
+        response: Response<Incoming>,
+        caller: &Caller,
+    ) -> Attempt {
         let status = response.status();
-        let nothing = AnswerBuilder::default();
+        let no_output = AnswerBuilder::default();
         let read = tokio::select! {
-            () = caller.left() => return self.caller_gone(&nothing).await,
-            read = within(self.state, self.call, read_whole(response)) => read,
+            () = caller.abandoned() => return self.call_abandoned(&no_output).await,
+            read = with_time_limit(self.state, self.call, read_body(response)) => read,
         };
         let body = match read {
             Ok(body) => body,
-            Err(error) => return self.lost(error, &nothing).await,
+            Err(error) => return self.engine_lost(error, &no_output).await,
         };
         self.state.release_call(self.placed, DispatchEnd::Finished);
         let answer: Value = match serde_json::from_slice(&body) {
@@ -72,7 +78,7 @@
         settle_not_run(self.state, self.call, self.grant, problem).await
     }
 
-    pub(super) async fn stream(
+    pub(super) async fn receive_stream(
         &self,
         mut events: EngineEvents,
         caller: &Caller,
@@ -82,35 +88,35 @@
         let mut resumed = false;
         loop {
             let next = tokio::select! {
-                () = caller.left() => return self.caller_gone(builder).await,
-                next = within(self.state, self.call, next_event(&mut events)) => next,
+                () = caller.abandoned() => return self.call_abandoned(builder).await,
+                next = with_time_limit(self.state, self.call, next_event(&mut events)) => next,
             };
             match next {
                 Ok(EngineEvent::Chunk(chunk)) => {
                     let first = builder.tokens() == 0;
-                    let passed = builder.take(chunk);
+                    let passed = builder.push_chunk(chunk);
                     if first && builder.tokens() == 1 {
-                        self.first_token(started);
+                        self.record_first_token(started);
                     }
                     match passed {
-                        Passed::Forward(chunk) => caller.forward(&chunk).await,
-                        Passed::Hold => {}
-                        Passed::Diverged => return self.diverged().await,
+                        ChunkAction::Forward(chunk) => caller.forward(&chunk).await,
+                        ChunkAction::Hold => {}
+                        ChunkAction::Diverged => return self.diverged().await,
                     }
                 }
                 Ok(EngineEvent::End) => break,
                 Err(SendError::Broken) if !resumed => {
                     resumed = true;
                     match self.resume(builder.tokens()).await {
-                        Some(again) => events = again,
-                        None => return self.lost(SendError::Broken, builder).await,
+                        Some(resumed_events) => events = resumed_events,
+                        None => return self.engine_lost(SendError::Broken, builder).await,
                     }
                 }
-                Err(error) => return self.lost(error, builder).await,
+                Err(error) => return self.engine_lost(error, builder).await,
             }
         }
         self.state.release_call(self.placed, DispatchEnd::Finished);
-        match builder.whole(&self.grant.dispatch, Clock::wall_millis() / 1_000) {
+        match builder.complete(&self.grant.dispatch, Clock::wall_millis() / 1_000) {
             Some(answer) => self.record(answer).await,
             None => {
                 // An end without a finish reason is a cut stream, whatever the engine says.
@@ -119,10 +125,10 @@
         }
     }
 
-    fn first_token(&self, started: Time) {
+    fn record_first_token(&self, started: Time) {
         let seconds = self.state.clock.now().since(started).as_secs_f64();
         self.state.metrics.first_token(seconds, &self.call.model.name);
-        self.state.prompt_filled(self.placed);
+        self.state.prefill_finished(self.placed);
     }
 
     /// Takes a stream up again on the same engine, after the last token that arrived.
@@ -134,7 +140,7 @@
         response.status().is_success().then(|| engine_events(response))
     }
 
-    pub(super) async fn lost(&self, error: SendError, builder: &AnswerBuilder) -> Attempt {
+    pub(super) async fn engine_lost(&self, error: SendError, builder: &AnswerBuilder) -> Attempt {
         self.state.release_call(self.placed, DispatchEnd::Failed);
         if error == SendError::TimedOut {
             self.cancel().await;
@@ -148,7 +154,7 @@
     /// engine of its own, or refused: without that, one bad request would take down engine after
     /// engine from a single VM.
     async fn settle_lost(&self, error: SendError, builder: &AnswerBuilder) -> Attempt {
-        let Running { state, call, grant, placed, .. } = self;
+        let RunningDispatch { state, call, grant, placed, .. } = self;
         slog::warn!(state.log, "engine lost with a call in flight";
             "program" => %call.program, "turn" => grant.turn, "dispatch" => &grant.dispatch,
             "endpoint" => %placed.name, "error" => ?error);
@@ -156,7 +162,7 @@
         settle.crashed = error == SendError::Broken;
         settle.endpoint = placed.name.to_string();
         settle.usage = Some(partial_usage(call, grant, builder));
-        if let Err(problem) = settle_now(state, call, settle).await {
+        if let Err(problem) = settle_dispatch(state, call, settle).await {
             return Attempt::Failed(problem);
         }
         if time_left(state, call).is_some_and(|left| left.is_zero()) {
@@ -164,25 +170,25 @@
             problem.kind = ProblemKind::Deadline;
             return Attempt::Failed(problem);
         }
-        Attempt::Again(Problem::unknown("every engine that had the call went away"))
+        Attempt::Retry(Problem::unknown("every engine that had the call went away"))
     }
 
     async fn diverged(&self) -> Attempt {
         self.cancel().await;
         self.state.release_call(self.placed, DispatchEnd::Cancelled);
         let settle = outcome(self.call, self.grant, Outcome::Unknown, "answers diverged");
-        settle_quietly(self.state, self.call, settle).await;
+        settle_or_log(self.state, self.call, settle).await;
         Attempt::Failed(Problem::unknown("the engine was lost and another words it otherwise"))
     }
 
     /// Frees the engine and settles what was generated; a resend under the key runs it again.
-    async fn caller_gone(&self, builder: &AnswerBuilder) -> Attempt {
+    async fn call_abandoned(&self, builder: &AnswerBuilder) -> Attempt {
         self.cancel().await;
         self.state.release_call(self.placed, DispatchEnd::Cancelled);
         let mut settle = outcome(self.call, self.grant, Outcome::Unknown, "the caller went away");
         settle.usage = Some(partial_usage(self.call, self.grant, builder));
         settle.endpoint = self.placed.name.to_string();
-        settle_quietly(self.state, self.call, settle).await;
+        settle_or_log(self.state, self.call, settle).await;
         Attempt::Failed(Problem::unknown("the caller went away"))
     }
 
@@ -209,17 +215,17 @@
         settle.status = 200;
         settle.usage = Some(usage);
         settle.endpoint = self.placed.name.to_string();
-        match settle_now(self.state, self.call, settle).await {
+        match settle_dispatch(self.state, self.call, settle).await {
             Ok(()) => {
-                self.state.gate.observe(&model.name, Signal::Waited(Duration::ZERO));
-                self.count(&usage);
-                Attempt::Whole(answer)
+                self.state.admission.observe(&model.name, Signal::Waited(Duration::ZERO));
+                self.record_metrics(&usage);
+                Attempt::Complete(answer)
             }
             Err(problem) => Attempt::Failed(problem),
         }
     }
 
-    fn count(&self, usage: &Usage) {
+    fn record_metrics(&self, usage: &Usage) {
         let metrics = &self.state.metrics;
         let prior = self.grant.prior / BYTES_PER_TOKEN;
         let filled = usage.prompt_tokens.saturating_sub(usage.cached_tokens);
@@ -252,7 +258,7 @@
 }
 
 /// Bounds a step by the caller's deadline and by the silence an engine is allowed.
-pub(super) async fn within<T>(
+pub(super) async fn with_time_limit<T>(
     state: &EntryState,
     call: &TurnCall,
     step: impl Future<Output = Result<T, SendError>>,
--- a/crates/gypsumglade/src/entry/turn_settlement.rs
+++ b/crates/gypsumglade/src/entry/turn_settlement.rs
@@ -11,7 +11,7 @@
 use super::turn_dispatch::Attempt;
 
 /// Longest wait for a group to take an outcome, across a change of leader.
-const SETTLE_PATIENCE: Duration = Duration::from_secs(30);
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// What a dispatch without a whole answer has used, as far as its tokens arrived.
 ///
@@ -32,26 +32,26 @@
     problem: Problem,
 ) -> Attempt {
     let settle = outcome(call, grant, Outcome::NotRun, &problem.message);
-    match settle_now(state, call, settle).await {
+    match settle_dispatch(state, call, settle).await {
         Ok(()) => Attempt::Failed(problem),
         // Nothing was sent, whether or not the group has heard of it yet.
         Err(_) => Attempt::Failed(problem.retry_after(super::GROUP_RETRY_MS)),
     }
 }
 
-pub(super) async fn settle_quietly(state: &EntryState, call: &TurnCall, settle: Settle) {
-    if let Err(problem) = settle_now(state, call, settle).await {
+pub(super) async fn settle_or_log(state: &EntryState, call: &TurnCall, settle: Settle) {
+    if let Err(problem) = settle_dispatch(state, call, settle).await {
         slog::warn!(state.log, "an outcome was not recorded";
             "program" => %call.program, "reason" => %problem.message);
     }
 }
 
-pub(super) async fn settle_now(
+pub(super) async fn settle_dispatch(
     state: &EntryState,
     call: &TurnCall,
     settle: Settle,
 ) -> Result<(), Problem> {
-    super::settle(state, &call.org, &call.program, settle, SETTLE_PATIENCE).await
+    super::settle(state, &call.org, &call.program, settle, SETTLE_TIMEOUT).await
 }
 
 pub(super) fn outcome(call: &TurnCall, grant: &Grant, outcome: Outcome, reason: &str) -> Settle {
--- a/crates/gypsumglade/src/entry/waiting_caller.rs
+++ b/crates/gypsumglade/src/entry/waiting_caller.rs
@@ -10,25 +10,25 @@
 use super::sse::event;
 
 /// Where a caller's stream is written to.
-pub type Sink = mpsc::Sender<Result<Event, Infallible>>;
+pub type EventSender = mpsc::Sender<Result<Event, Infallible>>;
 
 /// The waiting side of a call.
 #[derive(Clone, Debug)]
 pub struct Caller {
     /// The stream, if the caller asked for one.
-    pub events: Option<Sink>,
+    pub events: Option<EventSender>,
     /// Cancelled when a caller that will not resend has gone away.
-    pub gone: CancellationToken,
+    pub disconnected: CancellationToken,
     /// Cancelled when the program ends with the call under way.
-    pub ended: CancellationToken,
+    pub program_ended: CancellationToken,
 }
 
 impl Caller {
-    pub(super) fn until(&self, ended: CancellationToken) -> Caller {
-        Caller { ended, ..self.clone() }
+    pub(super) fn with_program_end(&self, program_ended: CancellationToken) -> Caller {
+        Caller { program_ended, ..self.clone() }
     }
 
-    pub(super) async fn left(&self) {
+    pub(super) async fn abandoned(&self) {
         let closed = async {
             match &self.events {
                 Some(events) => events.closed().await,
@@ -37,8 +37,8 @@
         };
         tokio::select! {
             () = closed => {}
-            () = self.gone.cancelled() => {}
-            () = self.ended.cancelled() => {}
+            () = self.disconnected.cancelled() => {}
+            () = self.program_ended.cancelled() => {}
         }
     }
 
--- a/crates/gypsumglade/tests/border_callers.rs
+++ b/crates/gypsumglade/tests/border_callers.rs
@@ -103,8 +103,8 @@
     #[test]
     fn parse_keeps_what_it_accepts(body in prop_oneof![any_json(), bent_chat()]) {
         if let Ok(request) = ChatRequest::parse(body.to_string().as_bytes()) {
-            prop_assert!(!request.model.is_empty() && request.output > 0);
-            let engine = request.engine_body(&request.messages, request.output);
+            prop_assert!(!request.model.is_empty() && request.max_output > 0);
+            let engine = request.engine_body(&request.messages, request.max_output);
             let engine: Value = serde_json::from_slice(&engine.expect("JSON")).expect("JSON");
             prop_assert_eq!(&engine["messages"], &body["messages"]);
             prop_assert_eq!(&engine["model"], &body["model"]);
