--- a/crates/gypsumglade/src/entry/active_bundle.rs
+++ b/crates/gypsumglade/src/entry/active_bundle.rs
@@ -1,4 +1,4 @@
-//! The bundle revision in force, indexed for the data path.
+//! Active bundle revision, indexed for the data path.
 
 use std::collections::HashMap;
 
@@ -11,21 +11,21 @@
 use super::call::CallHeaders;
 use super::problem::{Problem, ProblemKind};
 
-/// A parsed revision with the look-ups that each call needs.
+/// A bundle revision with the indexes that calls need.
 #[derive(Debug)]
 pub struct ActiveBundle {
     /// Revision number.
     pub revision: RevisionNumber,
-    /// Its content.
+    /// Content of the revision.
     pub bundle: Bundle,
     organisations: HashMap<CompactString, usize>,
     agents: HashMap<CompactString, usize>,
-    /// Routes by host, those with the longest prefix first.
+    /// Indexes of the routes by host, longest prefix first.
     routes: HashMap<CompactString, Vec<usize>>,
 }
 
 impl ActiveBundle {
-    /// Indexes a revision's content.
+    /// Indexes the content of a revision.
     pub fn new(revision: RevisionNumber, bundle: Bundle) -> ActiveBundle {
         let organisations = bundle.organisations.iter().enumerate();
         let organisations = organisations.map(|(i, org)| (org.key_digest.clone(), i)).collect();
@@ -35,22 +35,22 @@
         ActiveBundle { revision, bundle, organisations, agents, routes }
     }
 
-    /// Finds the route of a path: of those of its host, the one with the longest prefix.
+    /// Returns the route of a host with the longest prefix of `path`.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let routes = self.routes.get(host)?.iter();
         let mut routes = routes.filter_map(|index| self.bundle.routes.get(*index));
         routes.find(|route| path.starts_with(route.prefix.as_str()))
     }
 
-    /// Finds a pool of endpoints.
+    /// Returns the pool with a name.
     pub fn pool(&self, name: &str) -> Option<&Pool> {
         self.bundle.pools.iter().find(|pool| pool.name == name)
     }
 
-    /// Finds the organisation of an API key.
+    /// Returns the organisation of an API key.
     ///
     /// # Errors
-    /// Refuses a key of no organisation.
+    /// Fails when the key belongs to no organisation of the bundle.
     pub fn organisation(&self, token: &str) -> Result<&Organisation, Problem> {
         let digest = hex::encode(Sha256::digest(token.as_bytes()));
         let index = self.organisations.get(digest.as_str());
@@ -58,10 +58,10 @@
         found.ok_or_else(|| Problem::not_run(ProblemKind::Unauthorized, "unknown API key"))
     }
 
-    /// Finds the agent program of a call: the named one, or the organisation's first.
+    /// Returns the agent program that a call names, or the organisation's first one.
     ///
     /// # Errors
-    /// Refuses an agent program that the organisation may not run.
+    /// Fails when the organisation may not run that agent program.
     pub fn agent(&self, org: &Organisation, headers: &CallHeaders) -> Result<&Agent, Problem> {
         let name = headers.agent.as_ref().or(org.agents.first());
         let allowed = name.filter(|name| org.agents.contains(name));
@@ -73,10 +73,10 @@
         })
     }
 
-    /// Finds a model that the agent program may use.
+    /// Returns a model that the agent program may use.
     ///
     /// # Errors
-    /// Refuses any other model, and names those allowed.
+    /// Fails for any other model, and names those allowed.
     pub fn model(&self, agent: &Agent, name: &str) -> Result<&Model, Problem> {
         let allowed = agent.models.iter().any(|model| model == name);
         allowed.then(|| self.bundle.model(name)).flatten().ok_or_else(|| {
@@ -85,10 +85,10 @@
         })
     }
 
-    /// Finds an operation of a plain service that the agent program may use.
+    /// Returns an operation of a plain service that the agent program may use.
     ///
     /// # Errors
-    /// Refuses any other service or operation.
+    /// Fails for any other service or operation.
     pub fn operation(
         &self,
         agent: &Agent,
--- a/crates/gypsumglade/src/entry/admit.rs
+++ b/crates/gypsumglade/src/entry/admit.rs
@@ -1,4 +1,4 @@
-//! Waits until a call may start, or says at once that it may not.
+//! Admission control: queues calls of each model and refuses those that can't start in time.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -17,19 +17,19 @@
 
 pub use gypsumglade_core::policy::admission::AdmissionRequest;
 
-/// Pause between looks for waiting calls that can no longer be answered in time.
+/// Interval between scans for queued calls to give up and endpoints whose lease has expired.
 pub const EXPIRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Admission of a process, one pool for each model.
+/// Admission controller of a process, with one pool per model.
 ///
-/// Each pool is a lock of its own, so that one model's crowd does not slow another's calls.
+/// Each pool has its own lock, so that load on one model doesn't slow calls of another.
 pub struct AdmissionController {
     settings: AdmissionSettings,
     clock: Clock,
     pools: Mutex<HashMap<CompactString, Arc<Pool>>>,
 }
 
-/// Calls of one model.
+/// Running and queued calls of one model.
 struct Pool {
     clock: Clock,
     state: Mutex<PoolState>,
@@ -40,22 +40,22 @@
     waiters: HashMap<Ticket, oneshot::Sender<Result<(), ExpiredCall>>>,
 }
 
-/// The right to run one call; dropping it lets the next one start.
+/// Permit to run one call. Dropping it lets the next queued call start.
 pub struct Permit {
     pool: Arc<Pool>,
     ticket: Ticket,
 }
 
 impl AdmissionController {
-    /// Creates a gate without calls.
+    /// Creates a controller without pools; each model's pool is created at its first use.
     pub fn new(settings: AdmissionSettings, clock: Clock) -> AdmissionController {
         AdmissionController { settings, clock, pools: Mutex::default() }
     }
 
-    /// Waits for the call's start.
+    /// Waits until a call of `model` may start.
     ///
     /// # Errors
-    /// A call that is given up gets its final answer at once, with when to come back.
+    /// Fails when the call is shed, with the time to retry after.
     pub async fn admit(
         &self,
         metrics: &Metrics,
@@ -70,7 +70,8 @@
                 Err(shed(metrics, reason, retry_after))
             }
             AdmissionDecision::Queued(ticket) => {
-                // Taken before the wait: a caller that goes away drops it, and leaves the queue.
+                // Created before the wait, so that a disconnect drops it and removes the call from
+                // the queue.
                 let permit = Permit { pool, ticket };
                 metrics.waiting(1);
                 let result = waiter.await;
@@ -84,14 +85,14 @@
         }
     }
 
-    /// Answers the waiting calls that can no longer be answered in time.
+    /// Sheds queued calls that can no longer be answered in time.
     pub fn expire(&self) {
         for pool in self.pools() {
             pool.expire();
         }
     }
 
-    /// Tells how long a call of `model` waited inside its engine.
+    /// Adjusts the concurrency limit of `model` by feedback from its engines.
     pub fn observe(&self, model: &str, signal: Signal) {
         let pool = self.pool(model);
         let now = self.clock.now();
@@ -100,7 +101,7 @@
         state.wake(&started);
     }
 
-    /// Bounds a model's calls by this VM's share of the slots that engines announce.
+    /// Sets the upper bound of a model's concurrency limit.
     pub fn resize(&self, model: &str, max: f64) {
         let pool = self.pool(model);
         let mut state = pool.state();
@@ -108,7 +109,7 @@
         state.wake(&started);
     }
 
-    /// Returns calls running and waiting by model, for dumps.
+    /// Returns the load of each model's pool.
     pub fn loads(&self) -> Vec<PoolLoad> {
         let pools = self.pools.lock().expect("no panic while held");
         let loads = pools.iter().map(|(model, pool)| {
@@ -140,16 +141,16 @@
     }
 }
 
-/// Load of one model's pool.
+/// Running and queued calls of one model.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct PoolLoad {
-    /// The model.
+    /// Name of the model.
     pub model: CompactString,
-    /// Calls running.
+    /// Number of running calls.
     pub running: u32,
-    /// Calls waiting.
+    /// Number of queued calls.
     pub waiting: u32,
-    /// Concurrency limit in force.
+    /// Current concurrency limit.
     pub limit: u32,
 }
 
@@ -177,7 +178,7 @@
         let mut state = self.state();
         for expired in state.admission.expire(now) {
             if let Some(waiter) = state.waiters.remove(&expired.ticket) {
-                // A caller that went away needs no answer.
+                // The receiver is gone if the caller disconnected.
                 let _ = waiter.send(Err(expired));
             }
         }
@@ -188,7 +189,7 @@
     fn wake(&mut self, started: &[Ticket]) {
         for ticket in started {
             if let Some(waiter) = self.waiters.remove(ticket) {
-                // A caller that went away drops its permit, which frees the start again.
+                // If the caller disconnected, its permit is dropped and starts the next call.
                 let _ = waiter.send(Ok(()));
             }
         }
@@ -205,14 +206,14 @@
     }
 }
 
-/// Returns the priority of a call by its class and the turns its program has had.
+/// Returns the priority of a call by its class and turn number.
 pub fn priority(class: Class, turns: u64) -> Priority {
     let turns = u32::try_from(turns).unwrap_or(u32::MAX);
     let service = f64::from(turns) * TURN_SECONDS;
     Priority::of(class, Attained { service, turns })
 }
 
-/// Engine seconds assumed for a turn, until the program group reports what was attained.
+/// Estimated engine time of a turn, in seconds.
 const TURN_SECONDS: f64 = 2.0;
 
 fn shed(metrics: &Metrics, reason: ShedReason, retry_after: Duration) -> Problem {
--- a/crates/gypsumglade/src/entry/announce.rs
+++ b/crates/gypsumglade/src/entry/announce.rs
@@ -1,4 +1,4 @@
-//! Announcements of endpoints: over HTTP at any VM, and from there to the others.
+//! Endpoint announcements: received over HTTP by any entry VM and forwarded to the others.
 
 use std::sync::Arc;
 
@@ -16,61 +16,61 @@
 use super::state::EntryState;
 use crate::rpc::Method;
 
-/// Longest wait for another VM to take an announcement; the next one comes soon anyway.
+/// Timeout for forwarding an announcement; the endpoint repeats it soon.
 const FORWARD_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// An endpoint's word about itself, as it sends it.
+/// JSON body of an announcement.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct AnnouncementBody {
-    /// Instance name, unique among endpoints.
+    /// Name of the instance, unique among endpoints.
     pub name: EndpointName,
-    /// Grows with each start of the instance.
+    /// Incarnation, which grows with each start of the instance.
     pub incarnation: u64,
-    /// Grows with each announcement.
+    /// Sequence number, which grows with each announcement.
     #[serde(default)]
     pub sequence: u64,
-    /// What it is.
+    /// Kind of the endpoint.
     pub kind: KindName,
-    /// `ip:port` that calls go to.
+    /// Address for calls, `ip:port`.
     pub address: CompactString,
-    /// Failure domain.
+    /// Name of the failure domain.
     pub domain: CompactString,
-    /// Region.
+    /// Name of the region.
     pub region: CompactString,
-    /// Models loaded, of an engine.
+    /// Model versions loaded; engines only.
     #[serde(default)]
     pub models: Vec<ModelId>,
-    /// Name in the bundle, of a plain service.
+    /// Name of the service in the bundle; plain services only.
     #[serde(default)]
     pub service: Option<CompactString>,
-    /// Calls it runs at one time.
+    /// Most concurrent calls.
     pub slots: u32,
-    /// Prompt tokens filled a second.
+    /// Prompt tokens prefilled per second.
     #[serde(default)]
     pub prefill_rate: f64,
-    /// Tokens generated a second for one call.
+    /// Tokens generated per second for one call.
     #[serde(default)]
     pub decode_rate: f64,
-    /// Prefix tokens its memory holds.
+    /// Capacity of the prefix cache, in tokens.
     #[serde(default)]
     pub cache_tokens: u64,
-    /// Whether it refuses orders with an old fencing number.
+    /// True when the engine refuses orders with an old fencing token.
     #[serde(default)]
     pub fencing: bool,
-    /// How long this holds, in milliseconds.
+    /// Lease of the announcement, in milliseconds.
     pub lease_ms: u64,
-    /// True when it takes no new work.
+    /// True when the endpoint takes no new calls.
     #[serde(default)]
     pub leaving: bool,
-    /// Load as it saw it.
+    /// Load that the endpoint reports.
     #[serde(default)]
     pub load: Option<LoadBody>,
-    /// Changes of its prefix memory.
+    /// Changes of the prefix cache.
     #[serde(default)]
     pub cache_events: Vec<CacheEventBody>,
 }
 
-/// Kind of an endpoint.
+/// Kind of an endpoint, as named in announcements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum KindName {
@@ -80,38 +80,38 @@
     Service,
 }
 
-/// Load of an endpoint.
+/// Load report of an endpoint.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct LoadBody {
-    /// Calls running.
+    /// Number of running calls.
     pub running: u32,
-    /// Calls waiting inside.
+    /// Number of calls queued inside the endpoint.
     pub waiting: u32,
-    /// Prefix tokens held.
+    /// Tokens in the prefix cache.
     #[serde(default)]
     pub cached_tokens: u64,
-    /// How old the figures are, in milliseconds.
+    /// Age of the report, in milliseconds.
     #[serde(default)]
     pub age_ms: u64,
 }
 
-/// One change of an engine's prefix memory.
+/// One change of an engine's prefix cache.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct CacheEventBody {
-    /// `organisation/program`, as calls named it.
+    /// Program as `organisation/program`, taken from the calls' headers.
     pub program: CompactString,
-    /// Tokens held now.
+    /// Tokens now cached for the program.
     #[serde(default)]
     pub tokens: u64,
-    /// True when the prefix was thrown away.
+    /// True when the prefix was evicted.
     #[serde(default)]
     pub evicted: bool,
-    /// Number of the event, so that gaps show.
+    /// Sequence number of the event, which reveals gaps.
     #[serde(default)]
     pub sequence: u64,
 }
 
-/// Returns the routes that endpoints may use.
+/// Returns the HTTP routes for endpoints.
 pub fn routes(state: Arc<EntryState>) -> Router {
     Router::new().route("/v1/endpoints/announce", post(announce)).with_state(state)
 }
@@ -122,7 +122,7 @@
     body: Result<Json<AnnouncementBody>, axum::extract::rejection::JsonRejection>,
 ) -> Response {
     if !state.settings.tokens.endpoints.borne_by(&headers) {
-        return (StatusCode::UNAUTHORIZED, "send the endpoints' token").into_response();
+        return (StatusCode::UNAUTHORIZED, "missing or wrong endpoints token").into_response();
     }
     let Json(body) = match body {
         Ok(body) => body,
@@ -138,10 +138,10 @@
     }
 }
 
-/// Takes an announcement, from the endpoint or another VM; tells whether it was news.
+/// Applies an announcement from an endpoint or another VM. Returns false if it was ignored.
 ///
 /// # Errors
-/// Says which member is wrong.
+/// Fails when a member is invalid, and names it.
 pub fn apply(state: &EntryState, body: &AnnouncementBody) -> Result<bool, String> {
     let announcement = announcement(state, body)?;
     let now = state.clock.now();
@@ -155,7 +155,7 @@
             state.resize_pools();
         }
         Announced::Leaving(_) => {
-            slog::info!(state.log, "endpoint leaves"; "endpoint" => %body.name);
+            slog::info!(state.log, "endpoint leaving"; "endpoint" => %body.name);
             state.resize_pools();
         }
         Announced::Renewed(_) => {}
@@ -163,7 +163,7 @@
     Ok(true)
 }
 
-/// Passes an announcement on to every other entry VM.
+/// Forwards an announcement to every other entry VM.
 fn forward(state: &Arc<EntryState>, body: AnnouncementBody) {
     let Ok(text) = serde_json::to_string(&body) else { return };
     for entry in state.directory.entries() {
@@ -177,7 +177,7 @@
         tokio::spawn(async move {
             let mut parameters = ArrayParams::new();
             if parameters.insert(text).is_ok() {
-                // Lost news is bounded by the lease, and the next announcement follows soon.
+                // Best effort: the next announcement follows soon, and stale ones expire.
                 let _ =
                     peers.call(entry.peers, Method::Announce, parameters, FORWARD_TIMEOUT).await;
             }
@@ -227,7 +227,7 @@
     }
 }
 
-/// Reads events from the last gap on: the registry then sees how many it missed.
+/// Returns the events after the last gap, so that the registry sees how many it missed.
 fn cache_events(bodies: &[CacheEventBody]) -> CacheEvents {
     let follows =
         |pair: &[CacheEventBody]| pair[0].sequence.checked_add(1) == Some(pair[1].sequence);
--- a/crates/gypsumglade/src/entry/answer.rs
+++ b/crates/gypsumglade/src/entry/answer.rs
@@ -1,17 +1,17 @@
-//! Puts a streamed answer together, and guards the caller's stream against doubled tokens.
+//! Assembles streamed answers, and keeps retries from repeating text on the caller's stream.
 
 use serde_json::{Map, Value, json};
 
 use gypsumglade_core::wire::program::Usage;
 
-/// An answer as far as it has come, over one or more attempts.
+/// Builds an answer from the chunks of one or more attempts.
 #[derive(Clone, Debug, Default)]
 pub struct AnswerBuilder {
-    /// Text that the caller's stream already has.
+    /// Text already sent to the caller.
     emitted: String,
-    /// Text that the present attempt has produced.
+    /// Text of the current attempt.
     text: String,
-    /// Chunks with text in the present attempt; one a token.
+    /// Chunks with text in the current attempt, counted as one token each.
     tokens: u64,
     tool_calls: Vec<Value>,
     finish_reason: Option<Value>,
@@ -19,46 +19,47 @@
     model: Option<Value>,
 }
 
-/// What to do with one chunk of an engine.
+/// What to do with a chunk of an engine's stream.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ChunkAction {
-    /// Pass this chunk on.
+    /// Forward this chunk to the caller.
     Forward(Value),
-    /// The caller has it already, or it is held back until the answer is recorded.
+    /// Don't forward: the caller already has the text, or it is held back until the answer is
+    /// recorded.
     Hold,
-    /// The attempt contradicts what the caller already has.
+    /// The attempt's text differs from what the caller already has.
     Diverged,
 }
 
 impl AnswerBuilder {
-    /// Starts another attempt, which may repeat what was emitted but not contradict it.
+    /// Starts another attempt, whose text must agree with what was sent to the caller.
     pub fn restart(&mut self) {
         let emitted = std::mem::take(&mut self.emitted);
         *self = AnswerBuilder { emitted, ..AnswerBuilder::default() };
     }
 
-    /// Returns how many tokens the present attempt has produced.
+    /// Returns the number of tokens in the current attempt.
     pub fn tokens(&self) -> u64 {
         self.tokens
     }
 
-    /// Tells whether the caller has seen any of the answer.
+    /// Returns true if some text was sent to the caller.
     pub fn has_output(&self) -> bool {
         !self.emitted.is_empty()
     }
 
-    /// Returns what is missing on the caller's stream of an answer that was recorded elsewhere.
+    /// Returns the text of a recorded answer that the caller doesn't have yet.
     ///
-    /// Nothing is missing for certain when the recorded text contradicts what was emitted.
+    /// Returns `None` when the answer has no text or its text differs from what was sent.
     pub fn remaining_text<'a>(&self, answer: &'a Value) -> Option<&'a str> {
         let text = answer.pointer("/choices/0/message/content").and_then(Value::as_str)?;
         text.strip_prefix(self.emitted.as_str())
     }
 
-    /// Takes in one chunk of the engine's stream.
+    /// Adds a chunk of the engine's stream.
     ///
-    /// A second engine may word the answer otherwise. The caller must not get two halves of two
-    /// answers, so a chunk is passed on only while the new text agrees with what was emitted.
+    /// Another engine may generate a different text. A chunk is forwarded only while the attempt's
+    /// text agrees with what was sent, so that the caller never gets parts of two answers.
     pub fn push_chunk(&mut self, mut chunk: Value) -> ChunkAction {
         if let Some(usage) = chunk.get("usage").filter(|usage| !usage.is_null()) {
             self.usage = Some(usage.clone());
@@ -75,7 +76,7 @@
         self.merge_tool_calls(tool_calls.as_deref().unwrap_or_default());
         let text = choice.pointer("/delta/content").and_then(Value::as_str).unwrap_or_default();
         if text.is_empty() {
-            // Tool calls go out whole with the finish: a second attempt could repeat their pieces.
+            // Tool calls are sent whole at the end, since a retry could repeat parts of them.
             return ChunkAction::Hold;
         }
         let text = text.to_owned();
@@ -116,7 +117,7 @@
         }
     }
 
-    /// Returns the whole answer in the published shape, once the engine has said that it is whole.
+    /// Returns the answer in the OpenAI chat format, or `None` without a finish reason.
     pub fn complete(&self, dispatch: &str, created: u64) -> Option<Value> {
         let finish_reason = self.finish_reason.clone()?;
         let mut message = Map::new();
@@ -136,7 +137,7 @@
     }
 }
 
-/// Most tool calls that one answer may ask for.
+/// Most tool calls kept of one answer; bounds memory against a bad index.
 const MAX_TOOL_CALLS: usize = 128;
 
 fn merge_tool_call(call: &mut Value, delta: &Value) {
@@ -152,7 +153,7 @@
     }
 }
 
-/// Reads usage from a whole answer, priced per token.
+/// Returns the usage that a complete answer reports, with its price.
 pub fn usage_of(answer: &Value, input_micros: u64, output_micros: u64) -> Usage {
     let count = |path: &str| answer.pointer(path).and_then(Value::as_u64).unwrap_or(0);
     let prompt_tokens = count("/usage/prompt_tokens");
@@ -167,13 +168,13 @@
     }
 }
 
-/// Returns the chunk that carries `text` of a recorded answer.
+/// Returns a chunk with `text` for the stream of a recorded answer.
 pub fn text_chunk(answer: &Value, text: &str) -> Value {
     let delta = json!({"role": "assistant", "content": text});
     chunk(answer, json!([{"index": 0, "delta": delta, "finish_reason": null}]))
 }
 
-/// Returns the chunks held back until the answer is recorded: tool calls, finish reason, usage.
+/// Returns the last chunks of a recorded answer: tool calls, finish reason and optionally usage.
 pub fn final_chunks(answer: &Value, include_usage: bool) -> Vec<Value> {
     let reason = answer.pointer("/choices/0/finish_reason").cloned().unwrap_or("stop".into());
     let mut delta = Map::new();
--- a/crates/gypsumglade/src/entry/call.rs
+++ b/crates/gypsumglade/src/entry/call.rs
@@ -1,4 +1,4 @@
-//! What a caller's headers say about a call.
+//! Parses the headers of a caller's request.
 
 use gypsumglade_core::prelude::*;
 use gypsumglade_core::wire::common::Class;
@@ -6,52 +6,52 @@
 
 use super::problem::{Problem, ProblemKind};
 
-/// Names the program a call belongs to; made up for a caller that sends none.
+/// Program that the call belongs to; generated for model calls without one.
 pub const PROGRAM: &str = "x-program-id";
-/// The agent program of the bundle that the program runs.
+/// Agent program of the bundle that the program runs.
 pub const AGENT: &str = "x-program-agent";
-/// The turn's number, from one.
+/// Turn number, starting at one.
 pub const TURN: &str = "x-program-turn";
-/// `urgent` or `normal`.
+/// Urgency class, `urgent` or `normal`.
 pub const CLASS: &str = "x-program-class";
-/// Milliseconds that the caller still waits.
+/// Milliseconds until the caller stops waiting.
 pub const DEADLINE: &str = "x-program-deadline-ms";
-/// Program that this one draws its budget from.
+/// Parent program, whose budget this program shares.
 pub const PARENT: &str = "x-program-parent";
-/// A resend of a call carries the same key.
+/// Idempotency key; a resend of a call carries the same key.
 pub const KEY: &str = "idempotency-key";
 
 /// Longest program id, key or agent name, in bytes.
 const MAX_NAME_BYTES: usize = 200;
-/// Longest deadline a caller may ask for: one hour.
+/// Longest deadline that a caller may set.
 const MAX_DEADLINE_MS: u64 = 3_600_000;
 
-/// A call's headers, read and checked.
+/// Parsed and checked headers of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallHeaders {
-    /// The caller's API key.
+    /// API key of the caller.
     pub token: CompactString,
-    /// Program, if the caller named one.
+    /// Value of [`PROGRAM`].
     pub program: Option<ProgramName>,
-    /// Agent program, if the caller named one.
+    /// Value of [`AGENT`].
     pub agent: Option<CompactString>,
-    /// Turn number, if the caller gave one.
+    /// Value of [`TURN`].
     pub turn: Option<u64>,
-    /// Urgency, if the caller gave one.
+    /// Value of [`CLASS`].
     pub class: Option<Class>,
-    /// How long the caller still waits.
+    /// Value of [`DEADLINE`].
     pub deadline: Option<Duration>,
-    /// Parent program.
+    /// Value of [`PARENT`].
     pub parent: Option<ProgramName>,
-    /// Idempotency key.
+    /// Value of [`KEY`].
     pub key: Option<CompactString>,
 }
 
 impl CallHeaders {
-    /// Reads the headers of a call.
+    /// Parses the headers of a call.
     ///
     /// # Errors
-    /// Answers what is wrong with the first bad header, and what is allowed.
+    /// Fails on the first invalid header, and says what is allowed.
     pub fn read(headers: &HeaderMap) -> Result<CallHeaders, Problem> {
         Ok(CallHeaders {
             token: bearer(headers)?,
@@ -70,7 +70,9 @@
     text(headers, header::AUTHORIZATION.as_str())?
         .and_then(|value| value.strip_prefix("Bearer "))
         .map(CompactString::from)
-        .ok_or_else(|| Problem::not_run(ProblemKind::Unauthorized, "no API key"))
+        .ok_or_else(|| {
+            Problem::not_run(ProblemKind::Unauthorized, "no API key in the Authorization header")
+        })
 }
 
 fn name(headers: &HeaderMap, header: &str) -> Result<Option<CompactString>, Problem> {
@@ -100,10 +102,10 @@
     }
 }
 
-/// Returns a header's text, and refuses one that is there twice.
+/// Returns the text of a header, and refuses a header that is sent twice.
 ///
-/// A proxy in front may act on the last of two where this VM acts on the first: a call would run
-/// for another program or organisation than the proxy checked. Neither is taken, so none can.
+/// A proxy may check one of the two values while this VM acts on the other, so that the call would
+/// run for a program or organisation that was not checked.
 fn text<'a>(headers: &'a HeaderMap, header: &str) -> Result<Option<&'a str>, Problem> {
     let mut values = headers.get_all(header).iter();
     let Some(value) = values.next() else { return Ok(None) };
--- a/crates/gypsumglade/src/entry/callers.rs
+++ b/crates/gypsumglade/src/entry/callers.rs
@@ -1,4 +1,4 @@
-//! The callers' HTTP interface; docs/API.md describes it with worked examples.
+//! HTTP interface for callers. docs/API.md describes it with examples.
 
 use std::sync::Arc;
 
@@ -30,18 +30,18 @@
 use super::waiting_caller::Caller;
 use super::{sse, tool, turn};
 
-/// Program that a call belonged to, told to callers that named none.
+/// Response header with the program of the call, which may have been generated.
 const PROGRAM_HEADER: HeaderName = HeaderName::from_static("x-program-id");
-/// Outcomes as labels, which must be known in advance.
+/// Outcomes as metric labels, which must be static.
 const OUTCOMES: [&str; 3] = ["done", "not-run", "unknown"];
-/// Time a call is expected to take, for the decision whether its deadline can be met.
+/// Estimated duration of a call, used to check whether its deadline can be met.
 const EXPECTED_SERVICE: Duration = Duration::from_secs(2);
-/// When to come back to a VM that holds as many calls as it may.
+/// Retry-After of a VM at its limit of concurrent calls.
 const OVERLOAD_RETRY_MS: u64 = 1_000;
-/// Events that may wait for a slow caller before the engine's stream is read more slowly.
+/// Events buffered for a slow caller before backpressure reaches the engine's stream.
 const STREAM_BUFFER: usize = 64;
 
-/// Returns the routes that callers may use.
+/// Returns the HTTP routes for callers.
 pub fn routes(state: Arc<EntryState>) -> Router {
     let limits = &state.settings.limits;
     let limit = usize::try_from(limits.body_bytes).unwrap_or(usize::MAX);
@@ -60,14 +60,14 @@
         .with_state(state)
 }
 
-/// Refuses calls beyond the bound at once: each holds memory for its body while it waits.
+/// Refuses calls beyond the limit, since each waiting call holds its body in memory.
 async fn limit_calls(
     State(limiter): State<Arc<Semaphore>>,
     request: Request,
     next: Next,
 ) -> Response {
     let Ok(_permit) = limiter.try_acquire() else {
-        let message = "this VM has as many calls as it may hold";
+        let message = "this VM is at its limit of concurrent calls";
         return Problem::not_run(ProblemKind::Overloaded, message)
             .retry_after(OVERLOAD_RETRY_MS)
             .into_response();
@@ -75,7 +75,7 @@
     next.run(request).await
 }
 
-/// A body, or why it could not be read.
+/// Body of a request, or the reason why it couldn't be read.
 type BodyResult = Result<Bytes, BytesRejection>;
 
 async fn chat(
@@ -131,20 +131,21 @@
         let events = watch.events.take().expect("a stream has a receiver");
         streamed(events)
     } else {
-        let answer = running.await.map_err(|_| Problem::unknown("the call's task ended"))?;
+        let answer = running.await.map_err(|_| Problem::unknown("the task of the call failed"))?;
         watch.disarm();
         json_answer(&answer?)
     };
     Ok(with_program_header(response, &program))
 }
 
-/// The handler's side of a call: what tells the task that the caller has gone.
+/// Handler's side of a call. Dropping it tells the call's task that the caller has disconnected.
 struct CallerWatch {
     events: Option<mpsc::Receiver<Result<axum::response::sse::Event, std::convert::Infallible>>>,
     disconnect_guard: Option<tokio_util::sync::DropGuard>,
 }
 
 impl CallerWatch {
+    /// Drops the watch without cancelling the call.
     fn disarm(mut self) {
         if let Some(guard) = self.disconnect_guard.take() {
             guard.disarm();
@@ -152,10 +153,10 @@
     }
 }
 
-/// Pairs a call's task with its handler.
+/// Connects the task of a call with its HTTP handler.
 ///
-/// The server drops the handler when the connection closes. A caller that gave a key will ask
-/// again, so its call goes on and is recorded; any other call is cancelled at the engine.
+/// The server drops the handler when the connection closes, which cancels the call. An unstreamed
+/// call with the caller's own key continues instead, so that a resend gets the recorded answer.
 fn connect_caller(call: &TurnCall) -> (Caller, CallerWatch) {
     let disconnected = CancellationToken::new();
     let guard = (!call.has_key && !call.request.stream).then(|| disconnected.clone().drop_guard());
@@ -168,7 +169,7 @@
     )
 }
 
-/// Writes what the stream held back until the outcome was durable.
+/// Sends the end of a stream, which is held back until the outcome is recorded.
 async fn finish_stream(caller: &Caller, answer: &Result<Value, Problem>, usage: bool) {
     let Some(events) = &caller.events else { return };
     match answer {
@@ -179,7 +180,7 @@
             let _ = events.send(sse::done()).await;
         }
         Err(problem) => {
-            // No `[DONE]`: a client library must not take a cut stream for a whole answer.
+            // Without `[DONE]`, client libraries don't take the cut stream for a complete answer.
             let body = serde_json::to_value(problem.body()).unwrap_or_default();
             let _ = events.send(sse::event(&body)).await;
         }
@@ -275,11 +276,11 @@
     let program = call.program.clone();
     let (sender, receiver) = oneshot::channel();
     let task_state = Arc::clone(state);
-    // A call that may not be repeated goes on without its caller, so that its outcome is known.
+    // Runs in its own task, so that a call whose caller disconnects still gets an outcome.
     state.tasks.spawn(async move {
         let _ = sender.send(tool::run(&task_state, &call).await);
     });
-    let answer = receiver.await.map_err(|_| Problem::unknown("the call's task ended"))??;
+    let answer = receiver.await.map_err(|_| Problem::unknown("the task of the call failed"))??;
     let mut response = Response::new(Body::from(answer.body));
     *response.status_mut() = answer.status;
     let headers = response.headers_mut();
@@ -314,7 +315,7 @@
     "ok"
 }
 
-/// Tells the balancer whether to send callers here.
+/// Readiness check for the load balancer.
 async fn ready(State(state): State<Arc<EntryState>>) -> Response {
     if state.stop.is_cancelled() {
         return (StatusCode::SERVICE_UNAVAILABLE, "stopping").into_response();
@@ -328,11 +329,11 @@
 }
 
 async fn no_route() -> Problem {
-    Problem::not_run(ProblemKind::NotFound, "no such path; see docs/API.md")
+    Problem::not_run(ProblemKind::NotFound, "unknown path; see docs/API.md")
 }
 
 async fn no_method() -> Problem {
-    Problem::not_run(ProblemKind::BadMethod, "no such method on this path; see docs/API.md")
+    Problem::not_run(ProblemKind::BadMethod, "method not allowed on this path; see docs/API.md")
 }
 
 fn invalid_path(rejection: PathRejection) -> Problem {
@@ -352,7 +353,7 @@
 fn record_call(state: &EntryState, started: Time, kind: &'static str, response: &Response) {
     let seconds = state.clock.now().since(started).as_secs_f64();
     let header = response.headers().get(OUTCOME_HEADER).and_then(|value| value.to_str().ok());
-    // A stream's outcome comes with its end; its head only says that it began.
+    // A response without an outcome header is a stream, whose outcome comes with its end.
     let outcome = OUTCOMES.into_iter().find(|name| header == Some(*name)).unwrap_or("streamed");
     state.metrics.call(seconds, kind, outcome);
 }
--- a/crates/gypsumglade/src/entry/chat_request.rs
+++ b/crates/gypsumglade/src/entry/chat_request.rs
@@ -1,4 +1,4 @@
-//! The body of a chat call in the published shape; members not known here pass through.
+//! Parses chat requests in the OpenAI format. Unknown members are passed through to the engine.
 
 use bytes::Bytes;
 use serde_json::{Map, Value};
@@ -7,42 +7,42 @@
 use super::problem::{Problem, ProblemKind};
 use gypsumglade_core::prelude::*;
 
-/// Output limit of a call that names none.
+/// Output limit of a call that sets none, in tokens.
 const DEFAULT_OUTPUT: u64 = 1_024;
 
-/// A chat call as the caller sent it.
+/// A parsed chat request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ChatRequest {
-    /// Model asked for.
+    /// Name of the requested model.
     pub model: CompactString,
-    /// JSON array of messages.
+    /// Messages, as an encoded JSON array.
     pub messages: Bytes,
     /// Whether the answer is streamed.
     pub stream: bool,
-    /// Whether the caller wants usage as the stream's last chunk.
+    /// Whether a streamed answer ends with a usage chunk.
     pub include_usage: bool,
-    /// Most tokens that may be generated.
+    /// Output limit, in tokens.
     pub max_output: u64,
     other_fields: Map<String, Value>,
 }
 
 impl ChatRequest {
-    /// Parses and checks a body.
+    /// Parses and checks a request body.
     ///
     /// # Errors
-    /// Says which member is wrong and what is allowed.
+    /// Fails when a member is invalid, and says what is allowed.
     pub fn parse(body: &[u8]) -> Result<ChatRequest, Problem> {
         let mut other_fields: Map<String, Value> = serde_json::from_slice(body)
             .map_err(|error| invalid(&format!("the body is not a JSON object: {error}")))?;
         let model = match other_fields.get("model") {
             Some(Value::String(model)) if !model.is_empty() => model.into(),
-            _ => return Err(invalid("`model` must be the name of a model")),
+            _ => return Err(invalid("`model` must be a model name that is not empty")),
         };
         let messages = match other_fields.remove("messages") {
             Some(Value::Array(list)) if valid_messages(&list) => Value::Array(list),
             _ => {
                 return Err(invalid(
-                    "`messages` must be a list of objects with a `role`, not empty",
+                    "`messages` must be a non-empty list of objects with a `role`",
                 ));
             }
         };
@@ -65,19 +65,21 @@
         })
     }
 
-    /// Digest of everything but the messages, part of what an idempotency key stands for.
+    /// Returns the digest of the request without its messages and stream options, to detect a key
+    /// that is reused for another request.
     ///
-    /// Whether the caller wants a stream is left out: a resend may ask for the other form.
+    /// The stream options are left out, so that a resend may change them.
     pub fn digest(&self) -> Bytes {
         let mut hash = Sha256::new();
         hash.update(encode(&Value::Object(self.other_fields.clone())));
         Bytes::copy_from_slice(&hash.finalize())
     }
 
-    /// Builds the engine's body: the whole history, the granted limit, and what passes through.
+    /// Returns the body for the engine: the history, the granted output limit and the members that
+    /// are passed through.
     ///
     /// # Errors
-    /// Fails when the stored history is not JSON, which means a damaged store.
+    /// Fails when the stored history is not valid JSON.
     pub fn engine_body(&self, history: &[u8], max_output: u64) -> anyhow::Result<Bytes> {
         let mut body = self.other_fields.clone();
         body.remove("max_completion_tokens");
--- a/crates/gypsumglade/src/entry/config.rs
+++ b/crates/gypsumglade/src/entry/config.rs
@@ -1,4 +1,4 @@
-//! The bundle in force on this VM, and the lease without which it takes no new work.
+//! Active bundle of this VM and the configuration lease, without which it takes no new calls.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, RwLock};
@@ -18,81 +18,83 @@
 use crate::leader_hint::LeaderHint;
 use crate::rpc::{Method, PeerClients, RpcError};
 
-/// Longest wait for a lease's answer, before another VM is asked. An answer takes a round trip and a
-/// look at the leader's lease; a processor that is out of its share stands still for a tenth of a second.
+/// Timeout of a lease request, after which another VM is asked. Outlasts a CPU-quota stall of the
+/// peer, which takes up to 100 ms.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(400);
-/// Pause between looks at whether a renewal is due.
+/// Interval between checks whether a renewal is due.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// When to come back to a VM without a lease; by then the balancer has another.
+/// Retry-After of a VM without a lease; the balancer sends the caller to another VM meanwhile.
 const RETRY_MS: u64 = 1_000;
 
-/// Configuration as the data path sees it.
+/// Configuration lease and active bundle, as the data path reads them.
 pub struct ConfigView {
     relay: Mutex<Relay>,
     keys: OperatorKeys,
     active: RwLock<Option<Arc<ActiveBundle>>>,
 }
 
-/// What the renewal loop needs besides the view.
+/// Dependencies of the renewal loop.
 pub struct Renewal {
-    /// This VM.
+    /// Id and region of this VM.
     pub me: VmRegion,
-    /// Addresses of the others.
+    /// Addresses of the other VMs.
     pub directory: Arc<Directory>,
-    /// Calls to the others.
+    /// RPC clients for the other VMs.
     pub peers: PeerClients,
-    /// The process's clock.
+    /// Clock of the process.
     pub clock: Clock,
-    /// Ends the loop.
+    /// Ends the loop when cancelled.
     pub stop: CancellationToken,
-    /// Log of the process.
+    /// Logger of the process.
     pub log: slog::Logger,
 }
 
 impl ConfigView {
-    /// Starts without a bundle and without a lease.
+    /// Creates a view without a bundle and without a lease.
     pub fn new(lease: LeaseSettings, vm: VmId, keys: OperatorKeys, now: Time) -> ConfigView {
-        // Two lives of one VM must differ, or the second would confirm for the first.
+        // A new incarnation for each start keeps a restarted VM from confirming a revision on
+        // behalf of its previous process.
         let incarnation = rand::random();
         let relay = Mutex::new(Relay::new(lease, vm, incarnation, now));
         ConfigView { relay, keys, active: RwLock::new(None) }
     }
 
-    /// Returns the bundle under which new work may be taken now.
+    /// Returns the bundle under which new calls may be taken now.
     ///
-    /// A VM that was cut off would otherwise act on an old bundle for as long as the cut lasts;
-    /// once its lease is out, nobody counts on it any more.
+    /// The lease bounds how long a partitioned VM acts on an old bundle: a roll goes on without
+    /// this VM once its lease has expired.
     ///
     /// # Errors
-    /// Refuses when the lease is out: nothing was run, and another VM can take the call.
+    /// Fails when this VM has no valid lease on its bundle. The call did not run and another VM can
+    /// take it.
     pub fn active(&self, now: Time) -> Result<Arc<ActiveBundle>, Problem> {
         let working = self.relay().lease().working_revision(now);
         let active = self.active.read().expect("no panic while held").clone();
         match (working, active) {
             (Some(working), Some(active)) if active.revision == working => Ok(active),
             (None, Some(_)) | (_, None) | (Some(_), Some(_)) => {
-                let message = "this VM has no lease on the configuration in force";
+                let message = "this VM has no valid lease on the active configuration";
                 Err(Problem::not_run(ProblemKind::NoLease, message).retry_after(RETRY_MS))
             }
         }
     }
 
-    /// Returns the newest revision applied, for dumps.
+    /// Returns the newest revision applied on this VM.
     pub fn applied(&self) -> RevisionNumber {
         self.relay().lease().applied()
     }
 
-    /// Returns how long the lease still runs, for dumps.
+    /// Returns the remaining time of the lease.
     pub fn remaining(&self, now: Time) -> Duration {
         self.relay().lease().remaining(now)
     }
 
-    /// Asks sooner when a newer revision was heard of.
+    /// Makes the next lease request due at once if `revision`, learnt from another VM, is newer.
     pub fn hint(&self, revision: RevisionNumber, now: Time) {
         self.relay().hint(revision, now);
     }
 
-    /// Answers a VM that renews its lease through this one.
+    /// Answers a downstream VM that renews its lease through this one.
     pub fn serve(&self, request: &ConfirmRequest, now: Time) -> ConfirmReply {
         self.relay().serve(request, now)
     }
@@ -110,18 +112,18 @@
                 slog::info!(log, "bundle applied"; "revision" => revision.0,
                     "version" => %bundle.version);
                 let active = Arc::new(ActiveBundle::new(revision, bundle));
-                // Written before the relay is unlocked: no call sees a lease on a newer revision
-                // together with the older content.
+                // Stored before the relay is unlocked, so that no call sees a lease on the new
+                // revision together with the old bundle.
                 *self.active.write().expect("no panic while held") = Some(active);
             }
             Ok(None) => {}
-            Err(error) => slog::error!(log, "bundle not applied"; "error" => %error),
+            Err(error) => slog::error!(log, "failed to apply bundle"; "error" => %error),
         }
         updated
     }
 }
 
-/// Keeps the lease fresh until the process stops; calls `applied` after each new bundle.
+/// Renews the lease until the process stops. Calls `on_applied` after each new bundle.
 pub async fn renew(view: &ConfigView, renewal: &Renewal, on_applied: impl Fn(&ActiveBundle)) {
     let mut leaders = LeaderHint::default();
     let mut last = RevisionNumber::default();
@@ -152,7 +154,7 @@
     let now = renewal.clock.now();
     match reply {
         Ok(reply) => {
-            // What a relay can't serve says nothing of the stores.
+            // Only a reply from a store says where the leader is; a relay's does not.
             match (&reply.body, store) {
                 (Some(Body::Unavailable(unavailable)), Some(vm)) => {
                     leaders.redirect(Some(vm), unavailable.leader.map(VmId));
@@ -171,9 +173,9 @@
     }
 }
 
-/// Whom a request for the lease goes to.
+/// Destination of a lease request.
 struct Target {
-    /// The store, unless it is another entry VM.
+    /// Id of the store, or `None` if the destination is another VM that relays the lease.
     store: Option<VmId>,
     address: SocketAddr,
 }
@@ -183,7 +185,7 @@
     let members: Vec<VmRegion> =
         entries.iter().map(|entry| VmRegion { vm: entry.vm, region: entry.region }).collect();
     let path = upstreams(renewal.me, &members);
-    // After every ancestor failed once, the path is tried from its start again.
+    // After every upstream has failed once, the path is tried from its start again.
     match path.get(failures % path.len().max(1))? {
         Upstream::Vm(vm) => {
             let address = renewal.directory.entry(*vm)?;
@@ -196,7 +198,8 @@
     }
 }
 
-/// Returns the operators' keys as the core checks them.
+/// Returns the operators' keys and the number of signatures that a bundle needs. Skips keys that
+/// don't parse.
 pub fn operator_keys(settings: &crate::settings::OperatorSettings) -> OperatorKeys {
     let keys = settings.keys.iter().filter_map(|key| key.parse().ok()).collect();
     OperatorKeys { keys, threshold: settings.threshold as usize }
--- a/crates/gypsumglade/src/entry/endpoint_client.rs
+++ b/crates/gypsumglade/src/entry/endpoint_client.rs
@@ -1,4 +1,4 @@
-//! HTTP towards endpoints: sends a dispatch and says whether a byte of it may have left.
+//! HTTP client for endpoints, which tells failures before sending from those after it.
 
 use std::time::Duration;
 
@@ -12,57 +12,57 @@
 
 use compact_str::CompactString;
 
-/// Unique id of one dispatch, echoed by the endpoint; answers match by it.
+/// Unique dispatch id, echoed by the endpoint so that answers can be matched.
 pub const DISPATCH_HEADER: HeaderName = HeaderName::from_static("x-dispatch-id");
-/// Program on whose prefix memory the engine files the call.
+/// Program under which the engine caches the prefix.
 pub const PROGRAM_HEADER: HeaderName = HeaderName::from_static("x-program-id");
-/// Priority for the engine's own queue.
+/// Priority in the engine's queue.
 pub const PRIORITY_HEADER: HeaderName = HeaderName::from_static("x-priority");
-/// Version of the model that the engine should run, while it serves two.
+/// Model version to run, for an engine that serves several.
 pub const VERSION_HEADER: HeaderName = HeaderName::from_static("x-model-version");
-/// Count of tokens the caller already has, when a stream is resumed.
+/// Number of tokens already received when a stream is resumed.
 pub const RESUME_HEADER: HeaderName = HeaderName::from_static("x-resume-from");
-/// Set by an endpoint that refused before it started anything.
+/// Set by an endpoint that refused a call before starting it.
 pub const NOT_STARTED_HEADER: HeaderName = HeaderName::from_static("x-not-started");
-/// Idempotency key, passed on to plain services.
+/// Idempotency key for plain services.
 pub const KEY_HEADER: HeaderName = HeaderName::from_static("idempotency-key");
 
-/// Longest time to open a connection to an endpoint.
+/// Timeout for connecting to an endpoint.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Idle connections kept for each engine.
+/// Idle connections kept per endpoint.
 const IDLE_CONNECTIONS: usize = 64;
-/// Most bytes of an endpoint's whole answer.
+/// Largest answer body that is read.
 const MAX_ANSWER_BYTES: usize = 16 * 1024 * 1024;
 
-/// Why a dispatch has no answer.
+/// Failure of a request to an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendError {
-    /// Proved: no byte left, or the endpoint refused before starting.
+    /// The call certainly did not start: connecting failed, or the endpoint refused it.
     NotSent,
-    /// The endpoint may have started; its connection broke.
+    /// The connection broke; the call may have started.
     Broken,
-    /// The endpoint may have started; it took too long.
+    /// The endpoint took too long; the call may have started.
     TimedOut,
-    /// The answer was of another dispatch, or too large.
+    /// The answer belongs to another dispatch or is incomplete.
     Mismatched,
 }
 
-/// A dispatch as it goes on the wire.
+/// HTTP request of a dispatch.
 #[derive(Clone, Debug)]
 pub struct Dispatch {
     /// Address of the endpoint, `ip:port`.
     pub address: CompactString,
     /// Path and query.
     pub path: CompactString,
-    /// Unique id.
+    /// Dispatch id.
     pub id: CompactString,
-    /// Headers besides the dispatch id.
+    /// Headers other than the dispatch id and the content type.
     pub headers: Vec<(HeaderName, HeaderValue)>,
     /// JSON body.
     pub body: Bytes,
 }
 
-/// Clients for endpoints, one for calls that may be repeated and one for those that may not.
+/// HTTP clients for endpoints: a pooled one for repeatable requests and one without reuse.
 #[derive(Clone)]
 pub struct EndpointClient {
     pooled: Client<HttpConnector, Full<Bytes>>,
@@ -70,7 +70,7 @@
 }
 
 impl EndpointClient {
-    /// Creates the clients.
+    /// Creates clients without open connections.
     pub fn new() -> EndpointClient {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -78,10 +78,9 @@
         let pooled = Client::builder(TokioExecutor::new())
             .pool_max_idle_per_host(IDLE_CONNECTIONS)
             .build(connector.clone());
-        // A call that may not be repeated gets a connection of its own. On a reused one that the
-        // endpoint has just closed, an error leaves open whether the call was read, and the
-        // caller would see `unknown` for what never ran. A fresh one fails at connect, which
-        // proves that nothing was sent.
+        // A call that is not repeatable gets a new connection. On a reused connection that the
+        // endpoint has just closed, an error doesn't tell whether the call was read. If the
+        // endpoint is gone, a new one fails while connecting, which proves that nothing was sent.
         let unpooled = Client::builder(TokioExecutor::new())
             .pool_max_idle_per_host(0)
             .retry_canceled_requests(false)
@@ -89,18 +88,18 @@
         EndpointClient { pooled, unpooled }
     }
 
-    /// Sends a dispatch of a call that may be repeated and returns the head of its answer.
+    /// Sends the dispatch of a repeatable call and returns the response with an unread body.
     ///
     /// # Errors
-    /// Tells whether a byte may have left.
+    /// Any error but [`SendError::NotSent`] means that the call may have started.
     pub async fn send(&self, dispatch: &Dispatch) -> Result<Response<Incoming>, SendError> {
         verify_dispatch(dispatch, self.pooled.request(request(dispatch)?).await)
     }
 
-    /// Sends a dispatch of a call that may not be repeated, and reads the whole answer.
+    /// Sends a dispatch on a new connection and reads the complete answer.
     ///
     /// # Errors
-    /// Anything but [`SendError::NotSent`] leaves open whether the call ran.
+    /// Any error but [`SendError::NotSent`] means that the call may have run.
     pub async fn send_once(
         &self,
         dispatch: &Dispatch,
@@ -115,10 +114,11 @@
         tokio::time::timeout(timeout, sending).await.unwrap_or(Err(SendError::TimedOut))
     }
 
-    /// Sends a small control call (cancel, release, inquiry) and reads the whole answer.
+    /// Sends a control request, such as a cancel, release or status inquiry, and reads the complete
+    /// answer.
     ///
     /// # Errors
-    /// As [`EndpointClient::send`].
+    /// Any error but [`SendError::NotSent`] means that the endpoint may have got the request.
     pub async fn control(
         &self,
         method: Method,
@@ -148,10 +148,10 @@
     }
 }
 
-/// Reads an answer to its end.
+/// Reads the body of a response.
 ///
 /// # Errors
-/// Fails on an answer that is cut short or larger than the limit.
+/// Fails when the body is cut short or larger than 16 MiB.
 pub async fn read_body(response: Response<Incoming>) -> Result<Bytes, SendError> {
     let limited = http_body_util::Limited::new(response.into_body(), MAX_ANSWER_BYTES);
     let collected = limited.collect().await.map_err(|_| SendError::Broken)?;
@@ -172,10 +172,9 @@
 
 type SendResult = Result<Response<Incoming>, hyper_util::client::legacy::Error>;
 
-/// Checks that the answer belongs to the dispatch.
+/// Checks that the response belongs to the dispatch.
 ///
-/// An endpoint that answers late or crossed would otherwise hand one caller another's answer;
-/// the id is unique for each dispatch, so an equal id is proof enough.
+/// The endpoint echoes the unique dispatch id, so a mixed-up response can't reach another caller.
 fn verify_dispatch(dispatch: &Dispatch, sent: SendResult) -> Result<Response<Incoming>, SendError> {
     let response = sent.map_err(classify)?;
     if response.headers().contains_key(NOT_STARTED_HEADER) {
--- a/crates/gypsumglade/src/entry/groups.rs
+++ b/crates/gypsumglade/src/entry/groups.rs
@@ -1,4 +1,4 @@
-//! Finds the leader of a program's group and asks it, across redirects and losses.
+//! Client of the program groups: finds a group's leader, follows redirects and retries.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,21 +15,22 @@
 use crate::rpc::{Method, PeerClients, RpcError, decode, encode};
 use crate::settings::Settings;
 
-/// Pause before a replica is asked again; doubled by jitter so that a fleet does not ask in step.
+/// Backoff after the first attempt; doubled after each, with jitter so that clients don't
+/// synchronise.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(20);
-/// More stores than any deployment has; the first asking starts at a random one of them.
+/// Bound of the random index of the store tried first, larger than any deployment.
 const MAX_STORES: usize = 1_024;
-/// Longest pause between two askings.
+/// Longest backoff, before jitter.
 const MAX_BACKOFF: Duration = Duration::from_millis(500);
 
-/// No replica of a group gave an answer in time.
+/// Error of a request that no replica of the group answered in time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GroupUnavailable {
-    /// True when a request may have reached a leader.
+    /// True when a replica may have received the request.
     pub sent: bool,
 }
 
-/// Where the replicas of the program groups are.
+/// Maps programs to groups, and groups to the stores that may lead them.
 #[derive(Clone, Debug)]
 pub struct GroupMap {
     directory: Arc<Directory>,
@@ -37,12 +38,12 @@
 }
 
 impl GroupMap {
-    /// Creates the map of a deployment whose settings name the count of groups and the stores.
+    /// Creates a map from the group count in the settings and the stores in the directory.
     pub fn new(settings: &Settings, directory: &Arc<Directory>) -> GroupMap {
         GroupMap { directory: Arc::clone(directory), groups: settings.groups }
     }
 
-    /// Returns the group of a program, by the slot of its root.
+    /// Returns the group of a program, by the slot of its root program.
     pub fn group_of(&self, org: &str, program: &str) -> GroupId {
         group_of(org, program, self.groups)
     }
@@ -55,13 +56,13 @@
     }
 }
 
-/// Returns the group of a program among `groups` of them, by the slot of its root.
+/// Returns the group of a program, by the slot of its root program, when there are `groups` groups.
 pub fn group_of(org: &str, program: &str, groups: u32) -> GroupId {
     let slot = Slot::of(org, gypsumglade_core::program::root_of(program));
     GroupId(1 + u32::from(slot.0) % groups.max(1))
 }
 
-/// Asks program groups on behalf of one VM.
+/// Sends requests to program groups on behalf of one VM.
 #[derive(Clone)]
 pub struct GroupClient {
     vm: VmId,
@@ -72,7 +73,7 @@
 }
 
 impl GroupClient {
-    /// Creates a client that gives each asking `timeout`.
+    /// Creates a client that waits up to `attempt_timeout` for each reply.
     pub fn new(
         vm: VmId,
         peers: PeerClients,
@@ -87,12 +88,12 @@
         self.map.group_of(org, program)
     }
 
-    /// Asks the group of `org` and `program` until it answers or `patience` is over.
+    /// Sends a request to the group of a program, and retries until it answers or `timeout` passes.
     ///
-    /// Requests are idempotent by their key, nonce or dispatch id, so asking again is safe.
+    /// Retries are safe, since requests are idempotent by their key, nonce or dispatch id.
     ///
     /// # Errors
-    /// Fails when no leader answered in time, and says whether one may have been reached.
+    /// Fails when no leader answers in time, and says whether a replica may have got the request.
     pub async fn ask(
         &self,
         org: &str,
--- a/crates/gypsumglade/src/entry/leak_audit.rs
+++ b/crates/gypsumglade/src/entry/leak_audit.rs
@@ -1,8 +1,8 @@
-//! Leak audit: has engines free memory that no program under way needs.
+//! Leak audit: frees engine memory that no running program needs.
 //!
-//! Releases follow each end of a program, yet a release can be lost for good: when its program's
-//! record never named the engine, or the engine took a call without the system. So the home VM
-//! of each engine compares what the engine reports with what the program groups know.
+//! Each end of a program releases its memory, but a release can be missed: the program's record
+//! may not name the engine, or the engine may have taken a call that bypassed this system. So the
+//! home VM of each engine compares what the engine holds with what the program groups know.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -20,17 +20,17 @@
 use super::state::EntryState;
 use crate::store::ReleaseAnswer;
 
-/// Pause between two rounds: memory that leaked is held for two to three of them.
+/// Interval between audits; leaked memory is freed after the second audit that finds it.
 const AUDIT_INTERVAL: Duration = Duration::from_secs(5);
-/// Longest wait for a group's answer; a group without a leader is asked in the next round.
+/// Timeout of a request to a program group; a group without a leader is asked in the next round.
 const GROUP_TIMEOUT: Duration = Duration::from_secs(2);
-/// Path under which an engine reports the programs that it holds memory of.
+/// Path at which an engine lists the programs that it holds memory for.
 const PROGRAMS_PATH: &str = "/v1/programs";
 
-/// Memory of one program, as an engine reports it.
+/// Entry of an engine's list; other members are ignored.
 #[derive(Debug, Deserialize)]
 struct HeldMemory {
-    /// `organisation/program`, as calls named it.
+    /// Program as `organisation/program`, taken from the calls' headers.
     program: CompactString,
 }
 
@@ -40,10 +40,10 @@
     address: CompactString,
 }
 
-/// Leaks of each engine in the round before.
+/// Possible leaks of each engine, found in the previous round.
 type Suspects = HashMap<EndpointName, HashSet<QualifiedName>>;
 
-/// Audits the engines that this VM is the home of, until the process ends.
+/// Audits the engines that this VM is the home of, until shutdown.
 pub(super) async fn run(state: Arc<EntryState>, halt: CancellationToken) {
     let mut suspects = Suspects::new();
     loop {
@@ -55,12 +55,11 @@
     }
 }
 
-/// Audits each engine once and returns what it found.
+/// Audits each engine once and returns the possible leaks.
 ///
-/// Memory is freed only when two rounds in a row found it without a program. One look is not
-/// enough: the engine's report is older than the groups' answer, so a program that begins in
-/// between looks unknown, and so it does to a group's earlier leader that doesn't know yet that it
-/// was replaced. The symptom would be a whole prefix filled again, never a wrong answer.
+/// Memory is freed only when two rounds in a row find it unused, since one can be wrong: a replaced
+/// leader that has not noticed yet doesn't know recent programs. A wrong release would only cost
+/// a repeated prefill, never a wrong answer.
 async fn audit_round(state: &EntryState, previous: &Suspects) -> Suspects {
     let audits = engines_to_audit(state).into_iter().map(async |engine| {
         let found = find_leaks(state, &engine).await?;
@@ -89,7 +88,7 @@
         .collect()
 }
 
-/// Returns the programs whose memory the engine holds in vain; `None` if it gave no report.
+/// Returns the programs whose memory the engine holds without need, or `None` if it didn't report.
 async fn find_leaks(state: &EntryState, engine: &AuditedEngine) -> Option<HashSet<QualifiedName>> {
     let mut groups: HashMap<GroupId, Vec<QualifiedName>> = HashMap::new();
     for name in held_programs(state, engine).await? {
@@ -100,8 +99,8 @@
     Some(join_all(asked).await.into_iter().flatten().collect())
 }
 
-/// Asks an engine for the programs that it holds memory of. A name without an organisation was
-/// not given by this system and is left alone.
+/// Returns the programs that an engine holds memory for. Skips names without an organisation,
+/// which don't come from this system.
 async fn held_programs(state: &EntryState, engine: &AuditedEngine) -> Option<Vec<QualifiedName>> {
     let timeout = state.settings.timeouts.peer();
     let asked = state.endpoints.control(
@@ -124,7 +123,7 @@
     )
 }
 
-/// Asks the group of these programs which of them need no memory; none while it has no leader.
+/// Returns those of a group's programs that need no memory, or none if the group doesn't answer.
 async fn ask_group(
     state: &EntryState,
     engine: &AuditedEngine,
@@ -144,11 +143,11 @@
     }
 }
 
-/// Has an engine free a program's memory; what fails is found again in the next round.
+/// Asks an engine to free the memory of a program. The next round finds it again if this fails.
 async fn free_memory(state: &EntryState, engine: &AuditedEngine, name: &QualifiedName) {
     let release = Release { program: Some(name.to_wire()), endpoint: engine.name.to_string() };
     if state.release_memory(&release).await == ReleaseAnswer::Freed {
-        slog::warn!(state.log, "an engine held memory of no program under way; freed";
+        slog::warn!(state.log, "freed leaked memory on an engine";
             "engine" => %engine.name, "org" => %name.org, "program" => %name.program);
     }
 }
--- a/crates/gypsumglade/src/entry/membership_loop.rs
+++ b/crates/gypsumglade/src/entry/membership_loop.rs
@@ -1,4 +1,4 @@
-//! Takes part in VM membership and keeps the directory true to it.
+//! Joins VM membership and keeps the directory up to date with it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,14 +11,14 @@
 use crate::members::{EntryDigest, EntryMember, seeds};
 use crate::membership::{self, ClusterKey, Handle, MembershipSettings};
 
-/// Joins membership, and spreads where this VM takes calls from others.
+/// Joins membership and advertises the address of this VM's RPC listener.
 ///
 /// # Errors
-/// Fails when the datagram address cannot be used.
+/// Fails when the peers token is too short or the UDP address can't be bound.
 pub(super) async fn join(state: &EntryState, peers: SocketAddr) -> anyhow::Result<Handle> {
     let settings = &state.settings;
     let secret = Bytes::copy_from_slice(settings.tokens.peers.reveal().as_bytes());
-    let key = ClusterKey::new(secret).context("tokens.peers is too short to be a key")?;
+    let key = ClusterKey::new(secret).context("tokens.peers is too short for a cluster key")?;
     let handle = membership::start(MembershipSettings {
         vm: state.vm,
         domain: state.place.domain,
@@ -33,7 +33,7 @@
     Ok(handle)
 }
 
-/// Follows the view until the process ends.
+/// Applies changes of the membership view until shutdown.
 pub(super) fn follow(state: &Arc<EntryState>, handle: &Handle, halt: &CancellationToken) {
     let (state, halt) = (Arc::clone(state), halt.clone());
     let mut view = handle.watch();
@@ -52,7 +52,8 @@
 }
 
 impl EntryState {
-    /// Takes the view in. A VM without seeds knows only itself, and keeps the settings' list.
+    /// Updates the directory and the member list. A VM without seeds knows only itself, so its
+    /// directory keeps the entries from the settings.
     fn update_members(&self, members: Vec<EntryMember>, standalone: bool) {
         if !standalone {
             let up = members.iter().filter(|member| member.up);
@@ -62,7 +63,7 @@
         *self.members.lock().expect("no panic while held") = members;
     }
 
-    /// Returns the entry VMs as membership sees them, for stores.
+    /// Returns the entry VMs that membership knows.
     pub fn members(&self) -> Vec<EntryMember> {
         self.members.lock().expect("no panic while held").clone()
     }
--- a/crates/gypsumglade/src/entry/mod.rs
+++ b/crates/gypsumglade/src/entry/mod.rs
@@ -1,4 +1,4 @@
-//! The entry daemon: callers' interface, dispatch and endpoint announcements.
+//! Entry daemon: the callers' interface, dispatch to endpoints and endpoint announcements.
 //!
 //! docs/ARCHITECTURE.md follows one call through these modules.
 
@@ -44,17 +44,17 @@
 pub use serve::{Entry, EntryAddresses, listener_options};
 use state::EntryState;
 
-/// Returns an id that no other process and no other moment gives.
+/// Returns a globally unique id.
 fn unique_id(state: &EntryState) -> String {
     format!("{}-{:032x}", state.vm.0, rand::rng().random::<u128>())
 }
 
-/// Returns the hash under which cache events and routing know a program.
+/// Returns the hash that identifies a program in cache events and routing.
 fn program_hash(org: &str, program: &str) -> u64 {
     xxh3_64(format!("{org}/{program}").as_bytes())
 }
 
-/// Returns the urgency that the bundle gives an agent program.
+/// Returns the default class of an agent's calls, from the bundle.
 fn class_of(agent: &Agent) -> Class {
     match agent.class {
         BundleClass::Normal => Class::Normal,
@@ -75,7 +75,7 @@
     patterns.iter().any(|pattern| pattern.matches(endpoint))
 }
 
-/// Checks that a child's id starts with its parent's, so that both share a program group.
+/// Checks that a child's id starts with its parent's, so that both are in the same program group.
 fn check_parent(program: &str, parent: Option<&str>) -> Result<(), Problem> {
     let Some(parent) = parent else { return Ok(()) };
     let suffix = program.strip_prefix(parent).and_then(|rest| rest.strip_prefix('/'));
@@ -86,24 +86,25 @@
     Err(Problem::not_run(ProblemKind::BadRequest, message))
 }
 
-/// Tells whether this VM acts on the revision that a call was read under, at this moment.
+/// Returns true if `revision`, under which a call was read, is still active on this VM.
 ///
-/// It is asked before a grant is asked for and again when it is there: the call may have waited in
-/// a queue, or the process been paused, beyond its lease. A roll counts a silent VM's lease as
-/// over by then, and a store that lags behind might still grant under the older revision.
+/// Checked before a grant is requested and again when it arrives: the call may have been queued,
+/// or the process paused, until the configuration lease expired. A roll then goes on without this
+/// VM, while a store that lags behind may still grant under the older revision.
 ///
 /// # Errors
-/// Refuses when the lease is out.
+/// Fails when the configuration lease has expired.
 fn is_active_revision(state: &EntryState, revision: RevisionNumber) -> Result<bool, Problem> {
     Ok(state.config.active(state.clock.now())?.revision == revision)
 }
 
-/// Tells that no quorum answered. A call under a caller's own key may have been sent before, and
-/// then only the program's group knows what became of it; any other was not run, since a grant
-/// that this VM never learnt of is never used.
+/// Returns the problem of a call whose program group did not answer.
+///
+/// A call under a caller's own key may have run in an earlier request, so its outcome is unknown.
+/// Any other call did not run: a grant that never reached this VM is not used.
 fn no_quorum(resent: bool) -> Problem {
     let message =
-        "the program's group gave no answer: an earlier turn is missing or under way, or no quorum";
+        "the program group did not answer: an earlier turn is missing or running, or no quorum";
     let problem = match resent {
         true => Problem::unknown(message),
         false => Problem::not_run(ProblemKind::Unavailable, message),
@@ -111,7 +112,7 @@
     problem.retry_after(GROUP_RETRY_MS)
 }
 
-/// When to come back after no replica of a group answered.
+/// Retry-After when no replica of a group answered.
 const GROUP_RETRY_MS: u64 = 1_000;
 
 fn route_retry_ms(error: &RouteError) -> u64 {
@@ -120,10 +121,10 @@
     u64::try_from(retry_after.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Makes an outcome durable at the program's group.
+/// Records the outcome of a dispatch in the program group.
 ///
 /// # Errors
-/// Fails when no quorum took it in time; the caller then learns `unknown`.
+/// Fails with an unknown outcome when no quorum records it before the timeout.
 async fn settle(
     state: &EntryState,
     org: &str,
@@ -134,11 +135,12 @@
     let request = Request { body: Some(RequestBody::Settle(settle)) };
     match state.groups.ask(org, program, &request, timeout).await {
         Ok(ReplyBody::Done(_) | ReplyBody::Recorded(_)) => Ok(()),
-        Ok(ReplyBody::Refused(refused)) => {
-            Err(Problem::unknown(format!("the outcome was refused: {}", refused.detail)))
-        }
+        Ok(ReplyBody::Refused(refused)) => Err(Problem::unknown(format!(
+            "the program group refused the outcome: {}",
+            refused.detail
+        ))),
         Ok(_) | Err(_) => {
-            Err(Problem::unknown("no quorum of the program's group took the outcome"))
+            Err(Problem::unknown("no quorum of the program group recorded the outcome"))
         }
     }
 }
--- a/crates/gypsumglade/src/entry/model_version.rs
+++ b/crates/gypsumglade/src/entry/model_version.rs
@@ -1,4 +1,4 @@
-//! Which version of a model calls go to while engines change from one to the next.
+//! Choice of the model version that calls use while engines change versions.
 
 use gypsumglade_core::bundle::Model;
 use gypsumglade_core::policy::registry::{Endpoint, EndpointKind, ModelId};
@@ -7,11 +7,11 @@
 use super::state::EntryState;
 
 impl EntryState {
-    /// Returns the bundle's version of a model, or another that is served as long as no engine
-    /// serves the bundle's.
+    /// Returns the version of a model to route to: the bundle's, or another one while no available
+    /// engine serves the bundle's.
     ///
-    /// Without this, each call between the roll of a bundle and the first engine's load would be
-    /// refused, although engines with the version before stand idle.
+    /// Otherwise calls would be refused between the roll of a bundle and the first engine's load,
+    /// although engines with the previous version are available.
     pub(super) fn served_version(&self, model: &Model) -> ModelId {
         let wanted = ModelId::new(&model.name, &model.version);
         let now = self.clock.now();
@@ -29,8 +29,8 @@
         available.filter_map(|(_, endpoint)| loaded(endpoint, model)).min().unwrap_or(wanted)
     }
 
-    /// Returns the version that a call of `model` names at an engine: the bundle's if it serves
-    /// that one. An engine with two versions would otherwise pick for itself.
+    /// Returns the version to request from an engine, the bundle's if the engine serves it.
+    /// Without it, an engine with two versions would choose by itself.
     pub(super) fn version_at(&self, endpoint: &str, model: &Model) -> CompactString {
         let routing = self.routing();
         let found = routing.registry.key(endpoint).and_then(|key| routing.registry.get(key));
@@ -39,12 +39,12 @@
     }
 }
 
-/// Tells whether an engine serves any version of a model.
+/// Returns true if an engine serves any version of a model.
 pub(super) fn serves(endpoint: &Endpoint, model: &Model) -> bool {
     loaded(endpoint, model).is_some()
 }
 
-/// Returns the version of a model that an engine serves, the bundle's before any other.
+/// Returns the version of a model that an engine serves, preferably the bundle's.
 fn loaded(endpoint: &Endpoint, model: &Model) -> Option<ModelId> {
     let EndpointKind::Engine { models, .. } = &endpoint.kind else { return None };
     let versions = models.iter().filter(|loaded| loaded.model == model.name);
--- a/crates/gypsumglade/src/entry/newer_revision.rs
+++ b/crates/gypsumglade/src/entry/newer_revision.rs
@@ -1,4 +1,4 @@
-//! Takes a call over to the next bundle revision, when its group has it before this VM does.
+//! Moves a call to a newer bundle revision when its program group has it before this VM.
 
 use gypsumglade_core::prelude::*;
 
@@ -7,20 +7,20 @@
 use super::state::EntryState;
 use super::turn_call::TurnCall;
 
-/// Longest wait for the revision that a group acts under; a roll is in force everywhere by then.
+/// Longest wait for a newer revision to reach this VM, meant to outlast a roll.
 const REVISION_TIMEOUT: Duration = Duration::from_secs(12);
-/// Pause between two looks at the revision of this VM.
+/// Interval between checks of this VM's active revision.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// When to come back after the revision did not arrive.
+/// Retry-After when the revision did not arrive.
 const RETRY_MS: u64 = 1_000;
 
-/// Waits until this VM works under a newer revision, and returns the call as that one has it.
+/// Waits until a newer revision is active on this VM, and returns the call under that revision.
 ///
-/// Groups learn of a revision before most VMs do, and grant nothing under the one before. Without
-/// the wait, each roll of a bundle would have every call refused until its VM has caught up.
+/// Groups learn of a revision before most VMs do, and then refuse grants under the previous one.
+/// Without the wait, a roll would fail calls until their VM has caught up.
 ///
 /// # Errors
-/// Refuses when no newer revision comes in time, or when it doesn't allow the call any more.
+/// Fails when no newer revision arrives in time, or when it no longer allows the call.
 pub(super) async fn wait_for_newer(
     state: &EntryState,
     call: &TurnCall,
@@ -34,11 +34,11 @@
             Ok(_) | Err(_) => tokio::time::sleep(POLL_INTERVAL).await,
         }
     }
-    let message = "a newer bundle revision is in force and has not reached this VM";
+    let message = "a newer bundle revision is active but has not reached this VM yet";
     Err(Problem::not_run(ProblemKind::Unavailable, message).retry_after(RETRY_MS))
 }
 
-/// Looks the call's agent program and model up in another revision.
+/// Returns the call with its agent program and model from another revision.
 fn rebind_call(active: &ActiveBundle, call: &TurnCall) -> Result<TurnCall, Problem> {
     let bundle = &active.bundle;
     let org = bundle.organisations.iter().find(|org| org.name == call.org);
--- a/crates/gypsumglade/src/entry/order_holder.rs
+++ b/crates/gypsumglade/src/entry/order_holder.rs
@@ -1,6 +1,6 @@
-//! Has engines load and drop model versions, on the one VM that holds the order lease.
+//! Orders engines to load and drop model versions, on the VM that holds the order lease.
 //!
-//! The plan and the fencing numbers are the core's; see docs/design/orders.md.
+//! Planning and fencing tokens are in [`gypsumglade_core::orders`]; see docs/design/orders.md.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -25,31 +25,30 @@
 use crate::admin::ControlClient;
 use crate::operator;
 
-/// Loads that the weight store takes at one time.
+/// Most loads at one time, which bounds the load on the weight store.
 const MAX_CONCURRENT_LOADS: usize = 2;
-/// Pause between the starts of two loads.
+/// Shortest time between the starts of two loads.
 const LOAD_INTERVAL: Duration = Duration::from_secs(1);
-/// Longest wait for the control group; a lost answer is asked for again.
+/// Timeout of a lease request to the control group; the next round asks again.
 const LEASE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Longest time that an order without an outcome keeps its engine from other orders. A load that
-/// takes longer is ordered again, which an engine that still loads takes as the same.
+/// Time after which an order without an outcome no longer blocks its engine. A load that takes
+/// longer is ordered again; an engine that is still loading treats it as the same order.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(60);
-/// Pause before an engine that refused an order gets another, so that a weight store that fails is
-/// not asked in a tight loop.
+/// Backoff after a refused order, so that a failing weight store is not asked in a tight loop.
 const REFUSAL_BACKOFF: Duration = Duration::from_secs(5);
-/// Time from an order seen carried out until the engine gets the next, in which the engine's
-/// announcement reaches every VM: none still routes to the version that is then dropped.
+/// Pause between a completed order and the engine's next one. The engine's announcement reaches
+/// every VM meanwhile, so that none routes to a version that is then dropped.
 const PROPAGATION_DELAY: Duration = Duration::from_secs(2);
-/// Most outcomes that wait for the next round.
+/// Order results buffered until the next round.
 const OUTCOME_BUFFER: usize = 1_024;
-/// Names the lease where VMs agree on who asks for it, so that not all do at once.
+/// Rendezvous key by which the VMs agree on the one that requests the lease.
 const LEASE_NAME: &str = "order lease";
-/// Path under which an engine takes orders.
+/// Path for orders on an engine.
 const ORDERS_PATH: &str = "/v1/orders";
-/// Code of an engine's refusal to load one more version.
+/// Error code of an engine that has no slot for another model version.
 const NO_CAPACITY_CODE: &str = "no_model_slot";
 
-/// An order as an engine takes it.
+/// JSON body of an order.
 #[derive(Debug, Serialize)]
 struct OrderBody<'a> {
     fence: FencingToken,
@@ -58,7 +57,7 @@
     version: &'a str,
 }
 
-/// What an engine is to do.
+/// Action that an order asks for.
 #[derive(Clone, Copy, Debug, Serialize)]
 #[serde(rename_all = "lowercase")]
 enum Action {
@@ -66,7 +65,7 @@
     Unload,
 }
 
-/// An engine's refusal, as far as it is read.
+/// JSON body of an engine's refusal; other members are ignored.
 #[derive(Debug, Deserialize)]
 struct RefusalBody {
     error: RefusalCode,
@@ -77,43 +76,44 @@
     code: CompactString,
 }
 
-/// What is known of an order that was sent.
+/// Why an order was not carried out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Outcome {
-    /// The engine refused, or was never reached: it is ordered again after a pause.
+    /// The engine refused the order or was not reached; the order is sent again after a backoff.
     Refused,
-    /// The engine has no room for another version.
+    /// The engine has no slot for another version.
     NoCapacity,
 }
 
-/// The outcome of one order.
+/// Outcome of an order to one engine.
 struct OrderResult {
     endpoint: EndpointName,
     outcome: Outcome,
 }
 
-/// An order given and not yet done with.
+/// An order that was sent and still blocks its engine.
 struct PendingOrder {
     order: Order,
-    /// Until then the engine gets no other order, whatever became of this one.
+    /// When the order stops blocking its engine, unless the engine completes it earlier.
     expires: Time,
-    /// When the engine first announced that it was carried out.
+    /// When the engine's announcements first showed the order as completed.
     completed_at: Option<Time>,
 }
 
-/// How many versions an incarnation of an engine has room for, learnt from its refusal.
+/// Number of versions that an engine can hold, learnt from its refusal. Valid for one incarnation.
 struct Capacity {
     incarnation: u64,
     slots: usize,
 }
 
+/// Holds the order lease and sends orders under it.
 struct OrderController {
     state: Arc<EntryState>,
     control: ControlClient,
     settings: OrderSettings,
     lease_request: TakeOrderLease,
-    /// The lease's number, and who counts the orders under it. Kept while another VM holds the
-    /// lease: the log may give this one the same number again, and the count must go on.
+    /// Lease number and the token counter under it. Kept while another VM holds the lease: this
+    /// VM may get the same number again, and a token must not be used twice.
     holder: Option<(u32, OrderHolder)>,
     planner: Planner,
     pending: HashMap<EndpointName, PendingOrder>,
@@ -121,7 +121,7 @@
     outcomes: mpsc::Sender<OrderResult>,
 }
 
-/// Holds the lease when it is this VM's turn, and gives orders under it, until the process ends.
+/// Renews the order lease and sends orders while this VM is the lease's home, until shutdown.
 pub(super) async fn run(state: Arc<EntryState>, halt: CancellationToken) {
     let (outcomes, mut results) = mpsc::channel(OUTCOME_BUFFER);
     let mut orders = OrderController::new(state, outcomes);
@@ -160,8 +160,8 @@
         }
     }
 
-    /// Tells whether this VM is the one to ask. Two that both believe so are told apart by the
-    /// lease itself.
+    /// Returns true if this VM should request the lease. When two VMs disagree on who that is, the
+    /// lease still has only one holder.
     fn is_home(&self) -> bool {
         let live: Vec<VmId> = self.control.directory.entries().iter().map(|vm| vm.vm).collect();
         home(LEASE_NAME, &live).is_none_or(|vm| vm == self.state.vm)
@@ -182,7 +182,7 @@
     fn handle_lease(&mut self, lease: OrderLease, requested_at: Time) {
         let known = self.holder.as_ref().is_some_and(|(number, _)| *number == lease.number);
         if !known {
-            slog::info!(self.state.log, "holds the order lease"; "number" => lease.number);
+            slog::info!(self.state.log, "acquired the order lease"; "number" => lease.number);
             let holder = OrderHolder::new(self.settings, lease.number, self.state.clock.now());
             self.holder = Some((lease.number, holder));
             self.pending.clear();
@@ -192,7 +192,7 @@
         }
     }
 
-    /// Plans from what the engines announce now, and sends what may be sent.
+    /// Plans orders from the engines' latest announcements, and sends them.
     fn send_orders(&mut self) {
         let now = self.state.clock.now();
         let Ok(active) = self.state.config.active(now) else { return };
@@ -202,7 +202,7 @@
         }
     }
 
-    /// Returns the engines as the planner sees them, and forgets orders that are done with.
+    /// Returns the planner's input, and removes finished orders.
     fn engines(&mut self, now: Time) -> Vec<Engine> {
         let state = Arc::clone(&self.state);
         let routing = state.routing();
@@ -231,7 +231,7 @@
         let capacity = capacity.filter(|capacity| capacity.incarnation == endpoint.incarnation);
         Some(Engine {
             name: endpoint.name.clone(),
-            // An engine doesn't announce its room, so it counts as free until it says otherwise.
+            // Engines don't announce their capacity, so one more slot is assumed until a refusal.
             slots: capacity.map_or(loaded.len() + 1, |capacity| capacity.slots),
             pending: self.pending.get(&endpoint.name).map(|pending| pending.order.clone()),
             leaving: endpoint.leaving,
@@ -246,7 +246,7 @@
         let number =
             self.holder.as_mut().and_then(|(_, holder)| holder.next_token(checks_fencing, now));
         let Some(fence) = number else { return };
-        slog::info!(self.state.log, "gives an order"; "order" => ?order, "fence" => fence.0);
+        slog::info!(self.state.log, "sending order"; "order" => ?order, "fence" => fence.0);
         let (outcomes, name) = (self.outcomes.clone(), endpoint.clone());
         let (state, timeout, sent) =
             (Arc::clone(&self.state), self.settings.delivery_timeout, order.clone());
@@ -255,14 +255,15 @@
             PendingOrder { order, expires: now + ORDER_TIMEOUT, completed_at: None },
         );
         tokio::spawn(async move {
-            // An order without an outcome stays given until the engine shows it or time is over.
+            // An order without an outcome stays pending until the engine announces its result or
+            // the order expires.
             if let Some(outcome) = deliver(&state, &address, fence, &sent, timeout).await {
                 let _ = outcomes.send(OrderResult { endpoint: name, outcome }).await;
             }
         });
     }
 
-    /// Returns an engine's address, and whether it announces that it checks fencing numbers.
+    /// Returns an engine's address, and whether it announces that it checks fencing tokens.
     fn target(&self, name: &str) -> Option<(CompactString, bool)> {
         let routing = self.state.routing();
         let endpoint = routing.registry.get(routing.registry.key(name)?)?;
@@ -288,7 +289,8 @@
     }
 }
 
-/// Sends an order and gives up its connection after the longest flight.
+/// Sends an order and returns why it was not carried out. Returns `None` if the engine accepted it
+/// or may have received it.
 async fn deliver(
     state: &EntryState,
     address: &str,
@@ -322,7 +324,7 @@
 }
 
 impl PendingOrder {
-    /// Tells whether the engine may get another order.
+    /// Returns true if the engine may get another order.
     fn is_finished(&mut self, loaded: &[ModelVersion], now: Time) -> bool {
         let done = match &self.order {
             Order::Load { version, .. } => loaded.contains(version),
--- a/crates/gypsumglade/src/entry/peer_calls.rs
+++ b/crates/gypsumglade/src/entry/peer_calls.rs
@@ -1,4 +1,4 @@
-//! Calls that other processes of the system make to an entry VM.
+//! RPC methods of an entry VM for the other VMs.
 
 use std::sync::Arc;
 
@@ -13,13 +13,13 @@
 use crate::members::MemberNews;
 use crate::rpc::{Method, decode, encode, invalid_payload};
 
-/// Answer to a call that has nothing to tell.
+/// Reply of a method that returns no data.
 const DONE: &str = "done";
 
-/// Returns the methods of an entry VM.
+/// Returns the RPC module of an entry VM.
 ///
 /// # Errors
-/// Fails when a name is registered twice, which is a fault of the program.
+/// Fails when a method name is registered twice.
 pub fn methods(state: Arc<EntryState>) -> anyhow::Result<RpcModule<Arc<EntryState>>> {
     let mut module = RpcModule::new(state);
     module.register_method(Method::Lease.name(), |parameters, state, _| {
--- a/crates/gypsumglade/src/entry/problem.rs
+++ b/crates/gypsumglade/src/entry/problem.rs
@@ -1,4 +1,4 @@
-//! The one error shape that callers see: what happened, whether it ran, and what to do.
+//! Error responses to callers: what happened, whether the call ran and what to do.
 
 use axum::Json;
 use axum::response::{IntoResponse, Response};
@@ -8,39 +8,39 @@
 use http::{HeaderName, HeaderValue, StatusCode, header};
 use serde::Serialize;
 
-/// Outcome of a call, on every answer.
+/// Response header with the outcome of a call.
 pub const OUTCOME_HEADER: HeaderName = HeaderName::from_static("x-program-outcome");
 
-/// What kind of problem a call met; each has one status, one code and one advice.
+/// Kind of a problem, which determines the HTTP status, error code and advice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProblemKind {
-    /// The request itself cannot be served as written.
+    /// The request is invalid.
     BadRequest,
-    /// No valid API key.
+    /// The API key is missing or unknown.
     Unauthorized,
-    /// The program, agent, model or operation does not exist for this organisation.
+    /// The path, program, agent, model or operation does not exist for this organisation.
     NotFound,
-    /// The request contradicts what the program already holds.
+    /// The request conflicts with the program's state.
     Conflict,
-    /// The path takes other methods only.
+    /// The path does not support the HTTP method.
     BadMethod,
     /// The program has ended.
     Ended,
     /// The program's budget does not cover the call.
     Budget,
-    /// The caller's deadline passed before the call could start.
+    /// The caller's deadline passed, or would pass before the call can finish.
     Deadline,
-    /// The request crashed endpoints before and is not run any more.
+    /// The request has crashed endpoints and is quarantined.
     Quarantined,
-    /// There is no room now.
+    /// The VM, the engines or the program group have no capacity left.
     Overloaded,
-    /// No endpoint, or no quorum, can take the call now.
+    /// No endpoint or no quorum is available.
     Unavailable,
-    /// The VM may not take new work: its configuration lease is out, or it is stopping.
+    /// The VM has no valid configuration lease and takes no new calls.
     NoLease,
     /// The call may have run.
     Uncertain,
-    /// The body or head is too large.
+    /// The request is too large.
     TooLarge,
 }
 
@@ -106,24 +106,24 @@
     }
 }
 
-/// When to come back while a group changes its leader or revision.
+/// Default Retry-After of an unavailable group, long enough for most changes of leader or revision.
 const CHANGE_RETRY_MS: u64 = 1_000;
 
-/// A call's problem, ready to be answered.
+/// A problem of a call, sent to the caller as an error response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
-    /// Decides status, code and advice.
+    /// Kind of the problem.
     pub kind: ProblemKind,
-    /// What is known about whether the call ran.
+    /// Whether the call ran, as far as known.
     pub outcome: Outcome,
-    /// What happened, for a person.
+    /// Description of the problem for a person.
     pub message: CompactString,
-    /// When to come back, in milliseconds.
+    /// Time after which to retry, in milliseconds.
     pub retry: Option<u64>,
 }
 
 impl Problem {
-    /// Creates a problem of a call that surely did not run.
+    /// Creates a problem of a call that certainly did not run.
     pub fn not_run(kind: ProblemKind, message: impl ToCompactString) -> Problem {
         Problem {
             kind,
@@ -139,13 +139,13 @@
         Problem { kind: ProblemKind::Uncertain, outcome: Outcome::Unknown, message, retry: None }
     }
 
-    /// Adds when to come back.
+    /// Sets the time after which to retry, in milliseconds.
     pub fn retry_after(mut self, millis: u64) -> Problem {
         self.retry = Some(millis);
         self
     }
 
-    /// Returns the JSON body, also used as the last event of a broken stream.
+    /// Returns the JSON body, which is also the last event of a failed stream.
     pub fn body(&self) -> ProblemBody<'_> {
         ProblemBody {
             error: ProblemDetail {
@@ -159,30 +159,30 @@
     }
 }
 
-/// Body of an error answer.
+/// JSON body of an error response.
 #[derive(Debug, Serialize)]
 pub struct ProblemBody<'a> {
-    /// The only member, as in the published API's errors.
+    /// The error, in the member where the OpenAI format has it.
     pub error: ProblemDetail<'a>,
 }
 
-/// Members of the error.
+/// Error object of the JSON body.
 #[derive(Debug, Serialize)]
 pub struct ProblemDetail<'a> {
-    /// Stable name for programs.
+    /// Stable error code.
     pub code: &'static str,
-    /// What happened, for a person.
+    /// Description of the problem for a person.
     pub message: &'a str,
-    /// What to do.
+    /// What the caller can do.
     pub advice: &'static str,
     /// `done`, `not-run` or `unknown`.
     pub outcome: &'static str,
-    /// When to come back, in milliseconds.
+    /// Time after which to retry, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
 }
 
-/// Returns the outcome's name in answers, logs and metrics.
+/// Returns the name of an outcome in responses and metrics.
 pub fn outcome_name(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Done => "done",
@@ -226,7 +226,7 @@
         };
         let problem = Problem::not_run(kind, refused.detail);
         match (refused.retry_ms, kind) {
-            // The other side is changing leader or revision, which takes about this long.
+            // The group is changing its leader or revision.
             (0, ProblemKind::Unavailable) => problem.retry_after(CHANGE_RETRY_MS),
             (0, _) => problem,
             (millis, _) => problem.retry_after(millis),
--- a/crates/gypsumglade/src/entry/retrying.rs
+++ b/crates/gypsumglade/src/entry/retrying.rs
@@ -1,11 +1,11 @@
-//! Whether a failed attempt is followed by another, and the wait before it.
+//! Retries of a call within its organisation's retry budget.
 
 use gypsumglade_core::policy::retry::{Failure, RetryDecision, RetryRequest};
 use gypsumglade_core::prelude::*;
 
 use super::state::EntryState;
 
-/// One call's attempts, as its organisation's retry budget sees them.
+/// Attempts of one call.
 #[derive(Clone, Debug)]
 pub(super) struct Attempts {
     org: OrgName,
@@ -15,7 +15,7 @@
 }
 
 impl Attempts {
-    /// Begins a call, which earns its organisation a part of a retry.
+    /// Starts a call, which adds to its organisation's retry budget.
     pub(super) fn start(
         state: &EntryState,
         org: &OrgName,
@@ -26,11 +26,10 @@
         Attempts { org: org.clone(), repeatable, deadline, count: 0 }
     }
 
-    /// Waits for the next attempt; false when there is none.
+    /// Waits until the call may be retried. Returns false if it may not.
     ///
-    /// Without a budget, every call of an organisation whose engines fail is sent several times
-    /// just when there is least room for it, and the engines that are left fail too. The drawn
-    /// wait keeps calls that failed together from coming back together.
+    /// The budget keeps retries from overloading the remaining engines after a failure, and the
+    /// randomised delay keeps calls that failed together from retrying at the same time.
     pub(super) async fn wait_for_retry(
         &mut self,
         state: &EntryState,
@@ -55,7 +54,7 @@
                 true
             }
             RetryDecision::Stop(why) => {
-                slog::debug!(state.log, "no further attempt"; "why" => %why, "reason" => reason);
+                slog::debug!(state.log, "call not retried"; "why" => %why, "reason" => reason);
                 false
             }
         }
--- a/crates/gypsumglade/src/entry/serve.rs
+++ b/crates/gypsumglade/src/entry/serve.rs
@@ -1,4 +1,4 @@
-//! Starts and stops an entry VM.
+//! Startup and graceful shutdown of an entry VM.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -37,22 +37,22 @@
     listeners: Vec<Listener>,
     _rpc: RpcServer,
     membership: Handle,
-    /// Ends the background loops and the peers' listener; cancelled last.
+    /// Ends the background loops and all listeners but the callers'; cancelled last.
     halt: CancellationToken,
 }
 
-/// Addresses in use, with the ports that the kernel chose.
+/// Bound addresses of an entry VM, with the actual port where port 0 was configured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct EntryAddresses {
-    /// Callers' interface.
+    /// HTTP interface for callers.
     pub callers: SocketAddr,
-    /// Announcements.
+    /// HTTP interface for endpoint announcements.
     pub endpoints: SocketAddr,
-    /// Calls from other VMs.
+    /// RPC interface for other VMs.
     pub peers: SocketAddr,
-    /// Operators' interface.
+    /// HTTP interface for operators.
     pub admin: SocketAddr,
-    /// Membership datagrams.
+    /// UDP address of the membership protocol.
     pub gossip: SocketAddr,
 }
 
@@ -60,7 +60,8 @@
     /// Binds every listener and starts the background loops.
     ///
     /// # Errors
-    /// Fails when an address cannot be bound or a certificate cannot be read.
+    /// Fails when the settings are inconsistent, an address can't be bound or a certificate can't
+    /// be read.
     pub async fn start(
         settings: Settings,
         directory: Arc<Directory>,
@@ -104,23 +105,22 @@
         Ok(Entry { state, addresses, listeners, _rpc: rpc, membership, halt })
     }
 
-    /// Returns the addresses in use.
+    /// Returns the bound addresses.
     pub fn addresses(&self) -> EntryAddresses {
         self.addresses
     }
 
-    /// Returns what its tasks share, for dumps and embedding.
+    /// Returns the state shared by all tasks of the VM.
     pub fn state(&self) -> &Arc<EntryState> {
         &self.state
     }
 
-    /// Stops as planned: no new work, calls in flight finish, then everything closes.
+    /// Shuts down gracefully: takes no new calls, waits for those in flight, then closes all else.
     ///
-    /// The balancer sees `/readyz` fail at once, so that callers stop coming before the listener
-    /// is gone. Announcements and the lease go on until the last call is done: without them a
-    /// long call could neither retry nor settle.
+    /// `/readyz` fails at once, so that the load balancer stops sending callers. Announcements and
+    /// lease renewal continue until the last call has finished, since retries need them.
     pub async fn stop(self) {
-        slog::info!(self.state.log, "entry stops"; "in_flight" => self.state.tasks.len());
+        slog::info!(self.state.log, "entry stopping"; "in_flight" => self.state.tasks.len());
         self.state.stop.cancel();
         self.state.tasks.close();
         let drain = self.state.settings.timeouts.drain();
@@ -132,7 +132,7 @@
             self.state.tasks.wait().await;
         };
         if tokio::time::timeout(drain, drained).await.is_err() {
-            slog::error!(self.state.log, "calls outlived the drain time; raise timeouts.drain_ms";
+            slog::error!(self.state.log, "calls exceeded the drain time; raise timeouts.drain_ms";
                 "in_flight" => self.state.tasks.len());
         }
         self.membership.leave().await;
@@ -150,7 +150,7 @@
 ) -> anyhow::Result<EntryState> {
     let clock = Clock::start();
     let vm = settings.vm.vm();
-    let place = place(&settings).context("vm.domain or vm.region is not among the peers'")?;
+    let place = place(&settings).context("vm.domain or vm.region is not in discovery.domains")?;
     let peers = PeerClients::new(settings.tokens.peers.clone(), tls::peers(&settings.tls)?);
     let keys = config::operator_keys(&settings.operators);
     let lease = LeaseSettings { length_ms: settings.timeouts.lease_ms, ..LeaseSettings::default() };
@@ -179,7 +179,8 @@
     })
 }
 
-/// Admission starts at what engines announce, and falls when they turn out to take less.
+/// Returns admission settings whose concurrency limit starts at its upper bound. The limit falls
+/// when engines refuse calls.
 fn admission_settings() -> AdmissionSettings {
     let mut settings = AdmissionSettings::default();
     settings.limit.start = settings.limit.max;
@@ -193,10 +194,10 @@
     })
 }
 
-/// Returns how a listener of the process accepts connections.
+/// Returns the options of a listener: TLS with `certificate` if given, header limit and drain time.
 ///
 /// # Errors
-/// Fails when the certificate or key cannot be read.
+/// Fails when the certificate or key can't be read.
 pub fn listener_options(
     settings: &Settings,
     certificate: Option<&CertificateSettings>,
--- a/crates/gypsumglade/src/entry/sse.rs
+++ b/crates/gypsumglade/src/entry/sse.rs
@@ -1,4 +1,4 @@
-//! Server-sent events in the published chat shape: reading an engine's, writing a caller's.
+//! Server-sent events of the OpenAI chat format, read from engines and written to callers.
 
 use std::convert::Infallible;
 use std::pin::Pin;
@@ -11,7 +11,7 @@
 use hyper::body::Incoming;
 use serde_json::Value;
 
-/// Data of the event that ends a stream.
+/// Data of the last event of a stream.
 const DONE: &str = "[DONE]";
 
 /// One event of an engine's stream.
@@ -19,18 +19,18 @@
 pub enum EngineEvent {
     /// A chunk of the answer.
     Chunk(Value),
-    /// The engine's word that the answer is whole.
+    /// The `[DONE]` marker at the end of the stream.
     End,
 }
 
-/// The connection broke, or the engine wrote what is not a chunk.
+/// Error of a stream whose connection broke or that had an event without valid JSON.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StreamBroken;
 
-/// Events of one engine stream.
+/// Stream of an engine's events.
 pub type EngineEvents = Pin<Box<dyn Stream<Item = Result<EngineEvent, StreamBroken>> + Send>>;
 
-/// Reads an engine's answer as events.
+/// Parses an engine's response as a stream of events.
 pub fn engine_events(response: Response<Incoming>) -> EngineEvents {
     let data = response.into_body().into_data_stream();
     let events = data.eventsource().map(|event| {
@@ -43,12 +43,12 @@
     Box::pin(events)
 }
 
-/// Returns the caller's event for a JSON value.
+/// Returns an event with a JSON value as its data.
 pub fn event(value: &Value) -> Result<Event, Infallible> {
     Ok(Event::default().data(value.to_string()))
 }
 
-/// Returns the event that ends a whole answer.
+/// Returns the event that marks an answer as complete.
 pub fn done() -> Result<Event, Infallible> {
     Ok(Event::default().data(DONE))
 }
--- a/crates/gypsumglade/src/entry/state.rs
+++ b/crates/gypsumglade/src/entry/state.rs
@@ -1,4 +1,4 @@
-//! What all tasks of an entry VM share.
+//! State shared by all tasks of an entry VM.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -26,69 +26,69 @@
 use crate::settings::Settings;
 use crate::store::ReleaseAnswer;
 
-/// One entry VM.
+/// Settings, clients and routing state of one entry VM.
 pub struct EntryState {
-    /// Its number.
+    /// Id of this VM.
     pub vm: VmId,
-    /// Its settings.
+    /// Settings of the process.
     pub settings: Settings,
-    /// Its failure domain and region.
+    /// Failure domain and region of this VM.
     pub place: Place,
-    /// Its clock.
+    /// Monotonic clock, which starts with the process.
     pub clock: Clock,
-    /// Where the other VMs are.
+    /// Addresses of the other VMs.
     pub directory: Arc<Directory>,
-    /// Calls to the other VMs.
+    /// RPC clients for the other VMs.
     pub peers: PeerClients,
-    /// The program groups.
+    /// Client of the program groups.
     pub groups: GroupClient,
-    /// HTTP towards endpoints.
+    /// HTTP client for endpoints.
     pub endpoints: EndpointClient,
-    /// The bundle in force and the lease on it.
+    /// Active bundle and the configuration lease.
     pub config: ConfigView,
-    /// Who is let in, and when.
+    /// Admission control, with one pool per model.
     pub admission: AdmissionController,
     /// Metrics of the process.
     pub metrics: Metrics,
-    /// Log of the process.
+    /// Logger of the process.
     pub log: slog::Logger,
-    /// Cancelled when a planned stop begins.
+    /// Cancelled when a graceful shutdown begins.
     pub stop: CancellationToken,
-    /// Calls under way, which a planned stop waits for.
+    /// Calls in flight, which a graceful shutdown waits for.
     pub tasks: TaskTracker,
-    /// Dispatches under way from here, which a store may cancel.
+    /// Dispatches in flight from this VM, which a store may cancel.
     pub running: RunningCalls,
     pub(super) members: Mutex<Vec<EntryMember>>,
     pub(super) routing: Mutex<RoutingState>,
 }
 
-/// Dispatches under way, by id.
+/// Cancellation tokens of the dispatches in flight, by dispatch id.
 #[derive(Debug, Default)]
 pub struct RunningCalls {
     tokens: Mutex<HashMap<CompactString, CancellationToken>>,
 }
 
 impl RunningCalls {
-    /// Adds a dispatch; the token is cancelled when its program ends.
+    /// Adds a dispatch and returns its token, which is cancelled when the program ends.
     pub fn add(&self, dispatch: &str) -> CancellationToken {
         let token = CancellationToken::new();
         self.lock().insert(dispatch.into(), token.clone());
         token
     }
 
-    /// Removes a dispatch that is settled.
+    /// Removes a dispatch once its attempt has ended.
     pub fn remove(&self, dispatch: &str) {
         self.lock().remove(dispatch);
     }
 
-    /// Cancels a dispatch, if it is under way here.
+    /// Cancels a dispatch if it is in flight on this VM.
     pub fn cancel(&self, dispatch: &str) {
         if let Some(token) = self.lock().get(dispatch) {
             token.cancel();
         }
     }
 
-    /// Returns how many are under way.
+    /// Returns the number of dispatches in flight.
     pub fn count(&self) -> usize {
         self.lock().len()
     }
@@ -98,35 +98,35 @@
     }
 }
 
-/// The routing decisions' state, behind one lock that is never held across a wait.
+/// Endpoint registry, router and retry budgets, behind one lock that is never held across an await.
 pub(super) struct RoutingState {
     pub(super) registry: Registry,
     pub(super) router: Router,
     pub(super) retries: RetryPolicy,
 }
 
-/// An endpoint chosen for a dispatch, counted as in flight there until it is settled.
+/// A call assigned to an endpoint, counted as in flight there until [`EntryState::release_call`].
 #[derive(Clone, Debug)]
 pub struct PlacedCall {
-    /// Instance name.
+    /// Name of the endpoint.
     pub name: EndpointName,
-    /// `ip:port`.
+    /// Address of the endpoint, `ip:port`.
     pub address: CompactString,
-    /// Region, for the paid link's count.
+    /// Region of the endpoint; traffic to another region is metered.
     pub region: RegionId,
-    /// Prompt tokens that the engine has to compute.
+    /// Prompt tokens that the engine is expected to prefill.
     pub prefill_tokens: u64,
     key: DispatchKey,
 }
 
-/// How a dispatch on an endpoint ended, for the registry.
+/// How a dispatch to an endpoint ended, as the registry counts it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DispatchEnd {
     /// The endpoint answered.
     Finished,
     /// The endpoint failed.
     Failed,
-    /// The caller went away, or the call was never sent.
+    /// The call was cancelled before its answer was complete.
     Cancelled,
 }
 
@@ -135,10 +135,10 @@
         self.routing.lock().expect("no panic while held")
     }
 
-    /// Chooses an endpoint and counts the dispatch there.
+    /// Chooses an endpoint for a call and counts the call as in flight there.
     ///
     /// # Errors
-    /// Says why no endpoint can take the call, and when to come back.
+    /// Fails when no endpoint can take the call, with the reason and the time to retry after.
     pub fn place_call(&self, request: &RouteRequest) -> Result<PlacedCall, RouteError> {
         let now = self.clock.now();
         let mut routing = self.routing();
@@ -147,7 +147,7 @@
         Ok(routing.record_dispatch(now, &choice, request.isolate))
     }
 
-    /// Counts a dispatch out of flight.
+    /// Removes a call from the in-flight count of its endpoint.
     pub fn release_call(&self, placed: &PlacedCall, end: DispatchEnd) {
         let now = self.clock.now();
         let mut routing = self.routing();
@@ -158,15 +158,15 @@
         }
     }
 
-    /// Notes that an engine has computed a dispatch's prompt.
+    /// Records that the engine has computed the prompt of a call.
     pub fn prefill_finished(&self, placed: &PlacedCall) {
         self.routing().registry.prefilled(placed.key);
     }
 
-    /// Bounds each model's calls by this VM's share of the slots that engines announce.
+    /// Sets each model's concurrency bound to this VM's share of the slots that engines announce.
     ///
-    /// The balancer spreads callers evenly, so an equal share for each entry VM is fair; twice of
-    /// it is allowed, so that an uneven minute leaves no engine idle while calls wait.
+    /// Assumes that the load balancer spreads calls evenly over the entry VMs. `POOL_SLACK` leaves
+    /// room for uneven load, so that engines don't idle while calls wait on a busier VM.
     pub fn resize_pools(&self) {
         let entries = self.directory.entries().len().max(1) as f64;
         for (model, slots) in self.routing().slots() {
@@ -174,7 +174,7 @@
         }
     }
 
-    /// Drops endpoints whose lease is over.
+    /// Removes endpoints whose lease has expired.
     pub fn expire_endpoints(&self) {
         let now = self.clock.now();
         let expired = self.routing().registry.expire(now);
@@ -184,10 +184,10 @@
         }
     }
 
-    /// Frees an engine's memory of an ended program.
+    /// Asks an engine to free the prefix memory of an ended program.
     ///
-    /// An engine counts as gone for good only once this VM has been up for longer than any lease:
-    /// a VM that has just started does not know yet who is there, and would leave memory held.
+    /// An unknown engine is reported as gone only once this VM has run for twice the longest lease.
+    /// Before that, the engine may not have announced itself here, and its memory would leak.
     pub async fn release_memory(&self, release: &Release) -> ReleaseAnswer {
         let Some(address) = self.endpoint_address(&release.endpoint) else {
             let registry_complete = self.clock.now() > Time::ZERO + MAX_LEASE * 2;
@@ -208,7 +208,7 @@
         }
     }
 
-    /// Returns the address of an endpoint with a live lease.
+    /// Returns the address of an endpoint in the registry.
     pub fn endpoint_address(&self, name: &str) -> Option<CompactString> {
         let routing = self.routing();
         let key = routing.registry.key(name)?;
@@ -216,13 +216,13 @@
     }
 }
 
-/// Longest lease that an endpoint can have.
+/// Longest lease that the registry grants to an endpoint.
 const MAX_LEASE: Duration = Duration::from_secs(10);
-/// How far a VM may go beyond its even share of a model's slots.
+/// Factor by which a VM may exceed its even share of a model's slots.
 const POOL_SLACK: f64 = 2.0;
 
 impl RoutingState {
-    /// Returns the slots of each model's engines that take new work.
+    /// Returns the slots of each model, summed over the engines that are not leaving.
     fn slots(&self) -> HashMap<CompactString, u32> {
         let mut slots: HashMap<CompactString, u32> = HashMap::new();
         for (_, endpoint) in self.registry.iter().filter(|(_, endpoint)| !endpoint.leaving) {
@@ -249,7 +249,7 @@
 }
 
 impl EntryState {
-    /// Returns the process's state, for an operator's dump.
+    /// Returns a JSON dump of the process state for operators.
     pub fn dump(&self) -> serde_json::Value {
         let now = self.clock.now();
         let routing = self.routing();
--- a/crates/gypsumglade/src/entry/tool.rs
+++ b/crates/gypsumglade/src/entry/tool.rs
@@ -1,4 +1,4 @@
-//! Runs one call of a plain service, at most once where it may not be repeated.
+//! Runs one call of a plain service, at most once if the operation is not repeatable.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,21 +23,21 @@
 use super::retrying::Attempts;
 use super::state::{DispatchEnd, EntryState, PlacedCall};
 
-/// Longest wait for a grant or an end of program.
+/// Timeout of a grant request without a deadline, and of ending a program.
 const GROUP_TIMEOUT: Duration = Duration::from_secs(15);
-/// Longest wait for a group to take an outcome, across a change of leader.
+/// Timeout for recording an outcome, long enough for a change of leader.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Askings after the status of a call in doubt, each after twice the pause before it.
+/// Status inquiries about a call in doubt, with doubling backoff.
 const MAX_INQUIRIES: u32 = 6;
-/// First pause before a service is asked what became of a call.
+/// Backoff before the first status inquiry.
 const INQUIRY_BACKOFF: Duration = Duration::from_millis(200);
 
-/// One call of a plain service, from its headers, body and bundle.
+/// A checked call of a plain service.
 #[derive(Clone, Debug)]
 pub struct ToolCall {
-    /// Organisation.
+    /// Organisation of the caller.
     pub org: OrgName,
-    /// Program.
+    /// Program that the call belongs to.
     pub program: ProgramName,
     begin: BeginCall,
     service: CompactString,
@@ -50,21 +50,21 @@
     body: Bytes,
 }
 
-/// A plain service's answer.
+/// Answer of a plain service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ToolAnswer {
-    /// Its status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// Its body.
+    /// Response body.
     pub body: Bytes,
 }
 
 impl ToolCall {
-    /// Reads and checks a call.
+    /// Creates a call from its headers, body and the active bundle.
     ///
     /// # Errors
-    /// Refuses what the bundle does not offer, and a call without a program or key where the
-    /// operation may not be repeated.
+    /// Fails if the bundle doesn't allow the operation, if the program is missing, or if the
+    /// operation is not repeatable and the key is missing.
     pub fn new(
         state: &EntryState,
         active: &ActiveBundle,
@@ -125,10 +125,11 @@
     Problem::not_run(ProblemKind::BadRequest, message)
 }
 
-/// Runs the call to its recorded outcome.
+/// Runs a call and returns its recorded answer.
 ///
 /// # Errors
-/// Every problem says whether the call ran.
+/// Fails when the call is refused or can't be completed. The problem's outcome says whether the
+/// call may have run.
 pub async fn run(state: &Arc<EntryState>, call: &ToolCall) -> Result<ToolAnswer, Problem> {
     let mut attempts = Attempts::start(state, &call.org, call.repeatable(), call.deadline);
     loop {
@@ -148,6 +149,7 @@
     }
 }
 
+/// Reply of the program group to a grant request.
 enum Granted {
     Run(Grant),
     Answer(ToolAnswer),
@@ -163,12 +165,12 @@
     Ok(granted)
 }
 
-/// Refuses a call that was read under a revision which this VM no longer acts on.
+/// Refuses a call whose revision is no longer active on this VM.
 fn check_revision(state: &EntryState, call: &ToolCall) -> Result<(), Problem> {
     if super::is_active_revision(state, RevisionNumber(call.begin.revision))? {
         return Ok(());
     }
-    let message = "a newer bundle revision came into force meanwhile";
+    let message = "the bundle revision was replaced while the call waited";
     Err(Problem::not_run(ProblemKind::Unavailable, message).retry_after(super::GROUP_RETRY_MS))
 }
 
@@ -186,14 +188,15 @@
         Ok(ReplyBody::Refused(refused)) => Err(refused.into()),
         Ok(ReplyBody::Unknown(unknown)) => resolve_unknown(state, call, unknown).await,
         Ok(ReplyBody::Done(_) | ReplyBody::Leaks(_)) => {
-            Err(Problem::unknown("the program group gave no grant"))
+            Err(Problem::unknown("the program group sent an unexpected reply to a grant request"))
         }
-        // A caller's own key may have been sent before, and its first call may have run.
+        // A call that is not repeatable has the caller's own key and may have run before.
         Err(_) => Err(super::no_quorum(!call.repeatable())),
     }
 }
 
-/// Asks the service's instances what became of a call in doubt, before its caller is told so.
+/// Asks the instances of the service for the result of a call in doubt, before reporting an unknown
+/// outcome to the caller.
 async fn resolve_unknown(
     state: &EntryState,
     call: &ToolCall,
@@ -245,8 +248,9 @@
                 state.release_call(&placed, DispatchEnd::Failed);
                 excluded.push(placed.name.clone());
                 if !attempts.wait_for_retry(state, Failure::NotRun, "refused").await {
-                    let problem = Problem::not_run(ProblemKind::Overloaded, "the service refused")
-                        .retry_after(super::GROUP_RETRY_MS);
+                    let problem =
+                        Problem::not_run(ProblemKind::Overloaded, "the service refused the call")
+                            .retry_after(super::GROUP_RETRY_MS);
                     return settle_not_run(state, call, grant, problem).await;
                 }
             }
@@ -268,7 +272,7 @@
     Ok(answer)
 }
 
-/// An outcome that the service told on inquiry; any VM may settle with it.
+/// Returns the settlement of an answer learnt by inquiry, which any VM may settle with.
 fn inquired_settle(call: &ToolCall, grant: &Grant, answer: &ToolAnswer) -> Settle {
     Settle { inquired: true, ..done_settle(call, grant, answer) }
 }
@@ -288,16 +292,16 @@
     grant: &Grant,
     problem: Problem,
 ) -> Result<ToolAnswer, Problem> {
-    // Nothing was sent, whether or not the group has heard of it yet; a resend under the key is
-    // granted again only once it has.
+    // The call did not run even if the group couldn't record that. A resend under the key is
+    // granted only once it has.
     let _ = settle(state, call, outcome(call, grant, Outcome::NotRun, &problem.message)).await;
     Err(problem)
 }
 
-/// Handles a call that may have run: it is recorded as unknown, and the service is asked.
+/// Handles a call that may have run.
 ///
-/// It is never sent again under its key. The service's own record can still settle it, also after
-/// the caller was told.
+/// Asks the service for the result, and records the outcome as unknown if it has none. A call that
+/// is not repeatable is never sent again; inquiries continue in the background and may settle it.
 async fn in_doubt(
     state: &Arc<EntryState>,
     call: &ToolCall,
@@ -305,7 +309,7 @@
     placed: &PlacedCall,
     error: SendError,
 ) -> Result<ToolAnswer, Problem> {
-    slog::warn!(state.log, "a service call is in doubt";
+    slog::warn!(state.log, "outcome of a service call unknown, asking the service";
         "program" => %call.program, "dispatch" => &grant.dispatch,
         "endpoint" => %placed.name, "error" => ?error);
     if let Some(answer) = inquire(state, call, &placed.address).await {
@@ -317,7 +321,7 @@
     if !call.repeatable() {
         inquire_later(state, call, grant, placed);
     }
-    Err(Problem::unknown(format!("service {} gave no answer", call.service)))
+    Err(Problem::unknown(format!("service {:?} did not answer", call.service)))
 }
 
 fn inquire_later(state: &Arc<EntryState>, call: &ToolCall, grant: &Grant, placed: &PlacedCall) {
@@ -336,9 +340,10 @@
     });
 }
 
-/// Asks the service what became of the key; only `200` with the answer settles anything.
+/// Asks a service instance for the result of the call's key.
 ///
-/// "It did not run" does not: the request may still be on its way.
+/// Only a `200` with the answer counts. A reply that the call did not run doesn't: the request may
+/// still be on its way.
 async fn inquire(state: &EntryState, call: &ToolCall, address: &str) -> Option<ToolAnswer> {
     let path = format!("/v1/tools/status/{}", service_key(call));
     let timeout = state.settings.timeouts.peer();
@@ -347,13 +352,13 @@
     (status == StatusCode::OK).then_some(ToolAnswer { status, body })
 }
 
-/// Key under which the service knows the call: callers' own keys are unique only in a program.
+/// Returns the key sent to the service, since callers' own keys are unique only within a program.
 fn service_key(call: &ToolCall) -> String {
     let text = format!("{}\n{}\n{}", call.org, call.program, call.begin.key);
     hex::encode(&Sha256::digest(text.as_bytes())[..SERVICE_KEY_BYTES])
 }
 
-/// Bytes of a service key: enough that two never meet.
+/// Length of a service key, 128 bits of the digest.
 const SERVICE_KEY_BYTES: usize = 16;
 
 fn dispatch(call: &ToolCall, grant: &Grant, placed: &PlacedCall) -> Dispatch {
@@ -413,10 +418,10 @@
     super::settle(state, &call.org, &call.program, settle, SETTLE_TIMEOUT).await
 }
 
-/// Ends a program by its caller's word.
+/// Ends a program at its caller's request.
 ///
 /// # Errors
-/// Fails when no quorum of the program's group answers.
+/// Fails when the program group refuses or does not answer.
 pub async fn end(state: &EntryState, org: &str, program: &str) -> Result<(), Problem> {
     let program_ref = ProgramRef { org: org.to_owned(), program: program.to_owned() };
     let request =
@@ -424,15 +429,15 @@
     match state.groups.ask(org, program, &request, GROUP_TIMEOUT).await {
         Ok(ReplyBody::Done(_)) => Ok(()),
         Ok(ReplyBody::Refused(refused)) => Err(refused.into()),
-        _ => Err(Problem::unknown("the end of the program is not confirmed")
+        _ => Err(Problem::unknown("the program group did not confirm the end of the program")
             .retry_after(super::GROUP_RETRY_MS)),
     }
 }
 
-/// Ends a program that exists for one call only; idle time ends it if this does not.
+/// Ends a program that was generated for a single call. If this fails, its idle timeout ends it.
 pub async fn end_or_log(state: &EntryState, org: &str, program: &str) {
     if let Err(problem) = end(state, org, program).await {
-        slog::info!(state.log, "a one-call program ends by idle time";
+        slog::info!(state.log, "failed to end a single-call program, left to its idle timeout";
             "program" => program, "reason" => %problem.message);
     }
 }
--- a/crates/gypsumglade/src/entry/turn.rs
+++ b/crates/gypsumglade/src/entry/turn.rs
@@ -1,4 +1,5 @@
-//! Runs one model call of a program: grant, engine, record, and again elsewhere if need be.
+//! Runs one model call of a program: requests a grant, dispatches to an engine, records the answer
+//! and retries on another engine if one is lost.
 
 use std::borrow::Cow;
 use std::sync::Arc;
@@ -31,17 +32,18 @@
 use super::turn_settlement::{outcome, settle_not_run, settle_or_log};
 use super::waiting_caller::Caller;
 
-/// When to come back after engines refused the call.
+/// Retry-After when the engines refused the call.
 const REFUSED_RETRY_MS: u64 = 1_000;
-/// Longest wait for a grant when the caller gave no deadline.
+/// Timeout of a grant request when the caller gave no deadline.
 const GRANT_TIMEOUT: Duration = Duration::from_secs(15);
-/// Priority of urgent calls towards engines; normal ones go by turns attained.
+/// Engine priority of urgent calls. Normal calls use their turn number, capped below this.
 const URGENT_PRIORITY: u64 = 1_000;
 
-/// Runs the call to its recorded answer.
+/// Runs a model call and returns its recorded answer.
 ///
 /// # Errors
-/// Every problem says whether the call ran.
+/// Fails when the call is refused or can't be completed. The problem's outcome says whether the
+/// call may have run.
 pub async fn run(
     state: &Arc<EntryState>,
     call: &TurnCall,
@@ -74,12 +76,13 @@
     }
 }
 
+/// Reply of the program group to a grant request.
 enum Granted {
     Run(Grant),
     Answer(Recorded),
 }
 
-/// Asks for a grant, and asks again under the next revision if that is in force meanwhile.
+/// Requests a grant, again under a newer revision if the call's is no longer active.
 async fn request_current_grant(
     state: &EntryState,
     call: &mut Cow<'_, TurnCall>,
@@ -101,13 +104,13 @@
     }
 }
 
-/// Asks for a grant; `None` when the group acts under a newer revision than the call.
-/// Gives back a grant that came when this VM might no longer act on its revision.
+/// Returns a grant unused because the revision of the call is no longer active on this VM.
 async fn return_grant(state: &EntryState, call: &TurnCall, grant: &Grant) {
     let settle = outcome(call, grant, Outcome::NotRun, "the bundle revision was replaced");
     settle_or_log(state, call, settle).await;
 }
 
+/// Requests a grant. Returns `None` when the group is at a newer revision than the call.
 async fn request_grant(state: &EntryState, call: &TurnCall) -> Result<Option<Granted>, Problem> {
     let request = Request { body: Some(RequestBody::BeginTurn(begin_turn(state, call))) };
     let timeout = time_left(state, call).unwrap_or(GRANT_TIMEOUT);
@@ -118,7 +121,7 @@
         Ok(ReplyBody::Refused(refused)) => Err(refused.into()),
         Ok(ReplyBody::Unknown(unknown)) => Err(unknown.into()),
         Ok(ReplyBody::Done(_) | ReplyBody::Leaks(_)) => {
-            Err(Problem::unknown("the program group gave no grant"))
+            Err(Problem::unknown("the program group sent an unexpected reply to a grant request"))
         }
         Err(GroupUnavailable { .. }) => Err(super::no_quorum(call.has_key)),
     }
@@ -150,8 +153,8 @@
             }
         };
         let dispatch = dispatch(state, call, grant, &placed, body.clone());
-        // Told beside the sending and not before it: if this VM dies in between, the leak audit
-        // finds what the engine holds, and the caller does not wait for another round trip.
+        // Reported while the request is sent, which saves a round trip. If this VM dies before the
+        // report arrives, the leak audit frees the engine's memory.
         let (_, sent) = tokio::join!(
             report_started(state, call, grant, &placed),
             with_time_limit(state, call, state.endpoints.send(&dispatch)),
@@ -162,8 +165,9 @@
                 state.admission.observe(&call.model.name, Signal::Overloaded);
                 excluded.push(placed.name.clone());
                 if !attempts.wait_for_retry(state, Failure::NotRun, "refused").await {
-                    let problem = Problem::not_run(ProblemKind::Overloaded, "the engines refused")
-                        .retry_after(REFUSED_RETRY_MS);
+                    let problem =
+                        Problem::not_run(ProblemKind::Overloaded, "engines refused the call")
+                            .retry_after(REFUSED_RETRY_MS);
                     return settle_not_run(state, call, grant, problem).await;
                 }
             }
@@ -185,6 +189,7 @@
     }
 }
 
+/// Reports to the program group which engine runs the dispatch and will hold its prefix.
 async fn report_started(state: &EntryState, call: &TurnCall, grant: &Grant, placed: &PlacedCall) {
     let started = Started {
         program: Some(program_ref(call)),
@@ -192,7 +197,7 @@
         endpoint: placed.name.to_string(),
     };
     let request = Request { body: Some(RequestBody::Started(started)) };
-    // The group learns where memory will be held. If it cannot be told now, the settlement tells.
+    // A lost report is made up for by the settlement, which names the endpoint too.
     let timeout = state.settings.timeouts.peer();
     let _ = state.groups.ask(&call.org, &call.program, &request, timeout).await;
 }
@@ -227,9 +232,10 @@
     }
 }
 
-/// Earlier engines that are worth a look; older ones have most likely dropped the prefix.
+/// Most earlier engines considered for prefix reuse; older ones have likely evicted the prefix.
 const MAX_LAST_RUNS: usize = 2;
 
+/// Returns the engines that serve the model but that the bundle doesn't allow for it.
 fn disallowed_endpoints(state: &EntryState, call: &TurnCall) -> Vec<EndpointName> {
     let routing = state.routing();
     let engines = routing.registry.iter().filter(|(_, found)| serves(found, &call.model));
@@ -266,19 +272,22 @@
     }
 }
 
-/// Gives a caller the answer that another asking of the same key has recorded.
+/// Returns an answer that was recorded earlier under the same key, and streams to the caller the
+/// text that it doesn't have yet.
 async fn replay(
     caller: &Caller,
     builder: &AnswerBuilder,
     recorded: &Recorded,
 ) -> Result<Value, Problem> {
     let answer: Value = serde_json::from_slice(&recorded.answer)
-        .map_err(|_| Problem::unknown("the recorded answer cannot be read"))?;
+        .map_err(|_| Problem::unknown("the recorded answer is not valid JSON"))?;
     let has_text = answer.pointer("/choices/0/message/content").is_some_and(Value::is_string);
     match builder.remaining_text(&answer) {
         Some(text) => caller.forward(&text_chunk(&answer, text)).await,
         None if builder.has_output() && has_text => {
-            return Err(Problem::unknown("the recorded answer is worded otherwise; ask again"));
+            return Err(Problem::unknown(
+                "the recorded answer differs from the text streamed so far; resend the call",
+            ));
         }
         None => {}
     }
--- a/crates/gypsumglade/src/entry/turn_call.rs
+++ b/crates/gypsumglade/src/entry/turn_call.rs
@@ -1,4 +1,4 @@
-//! One model call as its headers, body and bundle make it.
+//! A model call, assembled from its headers, its body and the bundle.
 
 use gypsumglade_core::prelude::*;
 use gypsumglade_core::wire::common::Class;
@@ -7,43 +7,43 @@
 use super::chat_request::ChatRequest;
 use super::state::EntryState;
 
-/// Bytes of text that count as one token, for estimates before an engine has counted.
+/// Estimated bytes of text per token, used until an engine reports token counts.
 pub(super) const BYTES_PER_TOKEN: u64 = 4;
 
-/// One model call, from its headers, body and bundle.
+/// A checked model call.
 #[derive(Clone, Debug)]
 pub struct TurnCall {
-    /// Organisation.
+    /// Organisation of the caller.
     pub org: OrgName,
-    /// Program.
+    /// Program that the call belongs to.
     pub program: ProgramName,
-    /// Parent program, empty for a root.
+    /// Parent program, empty for a root program.
     pub parent: ProgramName,
-    /// Agent program of the bundle.
+    /// Agent program, as the bundle defines it.
     pub agent: gypsumglade_core::bundle::Agent,
-    /// Model of the bundle.
+    /// Model, as the bundle defines it.
     pub model: gypsumglade_core::bundle::Model,
-    /// Bundle revision acted under.
+    /// Bundle revision under which the call was read.
     pub revision: RevisionNumber,
-    /// Idempotency key.
+    /// Idempotency key, generated if the caller sent none.
     pub key: CompactString,
-    /// Turn number, or zero for the next.
+    /// Turn number, or zero for the next turn.
     pub turn: u64,
-    /// Urgency.
+    /// Urgency class.
     pub class: Class,
-    /// When the caller gives up.
+    /// Time at which the caller stops waiting.
     pub deadline: Option<Time>,
-    /// The body.
+    /// Parsed body.
     pub request: ChatRequest,
-    /// True when the caller will resend under the key if it loses the answer.
+    /// True when the caller sent the key itself, so that it may resend the call.
     pub has_key: bool,
 }
 
-/// Returns the request for the right to run the call.
+/// Returns the grant request of a call.
 pub(super) fn begin_turn(state: &EntryState, call: &TurnCall) -> BeginTurn {
     let budget = call.agent.budget;
     let prompt = call.request.messages.len() as u64 / BYTES_PER_TOKEN + 1;
-    // A price that wrapped round would reserve next to nothing for the largest call of all.
+    // Saturates, since an overflow would reserve almost nothing for a huge call.
     let output_price = call.request.max_output.saturating_mul(call.model.output_micros);
     let price = prompt.saturating_mul(call.model.input_micros).saturating_add(output_price);
     BeginTurn {
@@ -66,12 +66,12 @@
     }
 }
 
-/// Names the call's program on the wire.
+/// Returns the wire reference of the call's program.
 pub(super) fn program_ref(call: &TurnCall) -> ProgramRef {
     ProgramRef { org: call.org.to_string(), program: call.program.to_string() }
 }
 
-/// Returns how long the caller still waits, `None` if it gave no deadline.
+/// Returns the time until the caller's deadline, or `None` if it gave none.
 pub(super) fn time_left(state: &EntryState, call: &TurnCall) -> Option<Duration> {
     call.deadline.map(|deadline| deadline.since(state.clock.now()))
 }
--- a/crates/gypsumglade/src/entry/turn_dispatch.rs
+++ b/crates/gypsumglade/src/entry/turn_dispatch.rs
@@ -1,4 +1,4 @@
-//! One dispatch that an engine has accepted, up to its recorded answer.
+//! Follows a dispatch that was sent to an engine until its outcome is recorded.
 
 use std::sync::Arc;
 
@@ -25,17 +25,17 @@
 use crate::clock::Clock;
 use crate::metrics::CacheUse;
 
-/// How a granted attempt ended.
+/// Result of one attempt under a grant.
 pub(super) enum Attempt {
-    /// The engine finished; the answer is recorded.
+    /// The engine finished and the answer is recorded.
     Complete(Value),
-    /// Another grant is worth asking for; the last one was settled.
+    /// The engine was lost and the grant is settled; the call may be retried under a new grant.
     Retry(Problem),
-    /// Final.
+    /// The call failed and is not retried.
     Failed(Problem),
 }
 
-/// One dispatch that an engine has accepted.
+/// A dispatch that was sent to an engine and may be running there.
 pub(super) struct RunningDispatch<'a> {
     pub(super) state: &'a Arc<EntryState>,
     pub(super) call: &'a TurnCall,
@@ -45,6 +45,7 @@
 }
 
 impl RunningDispatch<'_> {
+    /// Reads an unstreamed answer and records it.
     pub(super) async fn receive_answer(
         &self,
         response: Response<Incoming>,
@@ -68,7 +69,7 @@
         self.record(answer).await
     }
 
-    /// Passes on an engine's own refusal of the request, such as a context that is too long.
+    /// Passes an engine's error response on to the caller, such as for a context that is too long.
     async fn refused(&self, status: u16, body: &[u8]) -> Attempt {
         let shown: String = String::from_utf8_lossy(body).chars().take(300).collect();
         let problem = Problem::not_run(
@@ -78,6 +79,7 @@
         settle_not_run(self.state, self.call, self.grant, problem).await
     }
 
+    /// Forwards a streamed answer to the caller and records it. Resumes a broken stream once.
     pub(super) async fn receive_stream(
         &self,
         mut events: EngineEvents,
@@ -119,7 +121,7 @@
         match builder.complete(&self.grant.dispatch, Clock::wall_millis() / 1_000) {
             Some(answer) => self.record(answer).await,
             None => {
-                // An end without a finish reason is a cut stream, whatever the engine says.
+                // A stream that ends without a finish reason is incomplete.
                 self.settle_lost(SendError::Mismatched, builder).await
             }
         }
@@ -131,7 +133,7 @@
         self.state.prefill_finished(self.placed);
     }
 
-    /// Takes a stream up again on the same engine, after the last token that arrived.
+    /// Resumes a stream on the same engine after the last token received.
     async fn resume(&self, tokens: u64) -> Option<EngineEvents> {
         self.state.metrics.retry("resume");
         let mut dispatch = self.dispatch.clone();
@@ -140,6 +142,7 @@
         response.status().is_success().then(|| engine_events(response))
     }
 
+    /// Handles an engine that failed or timed out.
     pub(super) async fn engine_lost(&self, error: SendError, builder: &AnswerBuilder) -> Attempt {
         self.state.release_call(self.placed, DispatchEnd::Failed);
         if error == SendError::TimedOut {
@@ -148,11 +151,11 @@
         self.settle_lost(error, builder).await
     }
 
-    /// Settles a dispatch whose engine went silent or away, and says whether to try elsewhere.
+    /// Settles a dispatch whose engine was lost, and retries unless the deadline has passed.
     ///
-    /// The group scores the request against the engine's death, so the next grant may be for an
-    /// engine of its own, or refused: without that, one bad request would take down engine after
-    /// engine from a single VM.
+    /// The group counts a broken connection as a crash that the request may have caused. The next
+    /// grant may then ask for an isolated engine or be refused, so that one request can't crash
+    /// engine after engine.
     async fn settle_lost(&self, error: SendError, builder: &AnswerBuilder) -> Attempt {
         let RunningDispatch { state, call, grant, placed, .. } = self;
         slog::warn!(state.log, "engine lost with a call in flight";
@@ -166,22 +169,26 @@
             return Attempt::Failed(problem);
         }
         if time_left(state, call).is_some_and(|left| left.is_zero()) {
-            let mut problem = Problem::unknown("the deadline passed while an engine had the call");
+            let mut problem = Problem::unknown("the deadline passed while an engine ran the call");
             problem.kind = ProblemKind::Deadline;
             return Attempt::Failed(problem);
         }
-        Attempt::Retry(Problem::unknown("every engine that had the call went away"))
+        Attempt::Retry(Problem::unknown("every engine that ran the call was lost"))
     }
 
+    /// Cancels a retry whose text differs from what the caller already has.
     async fn diverged(&self) -> Attempt {
         self.cancel().await;
         self.state.release_call(self.placed, DispatchEnd::Cancelled);
         let settle = outcome(self.call, self.grant, Outcome::Unknown, "answers diverged");
         settle_or_log(self.state, self.call, settle).await;
-        Attempt::Failed(Problem::unknown("the engine was lost and another words it otherwise"))
+        Attempt::Failed(Problem::unknown(
+            "the engine was lost and the retry generated a different text",
+        ))
     }
 
-    /// Frees the engine and settles what was generated; a resend under the key runs it again.
+    /// Handles a caller that disconnected or a program that ended: cancels the call at the engine
+    /// and settles what was generated. A resend under the same key runs the call again.
     async fn call_abandoned(&self, builder: &AnswerBuilder) -> Attempt {
         self.cancel().await;
         self.state.release_call(self.placed, DispatchEnd::Cancelled);
@@ -189,9 +196,10 @@
         settle.usage = Some(partial_usage(self.call, self.grant, builder));
         settle.endpoint = self.placed.name.to_string();
         settle_or_log(self.state, self.call, settle).await;
-        Attempt::Failed(Problem::unknown("the caller went away"))
+        Attempt::Failed(Problem::unknown("the caller disconnected or the program ended"))
     }
 
+    /// Cancels the dispatch at the engine.
     async fn cancel(&self) {
         let path = format!("/v1/dispatches/{}", self.dispatch.id);
         let timeout = self.state.settings.timeouts.peer();
@@ -202,11 +210,11 @@
             Bytes::new(),
             timeout,
         );
-        // The engine also notices the closed connection; the order only makes it faster.
+        // Best effort: the engine also notices the closed connection.
         let _ = cancel.await;
     }
 
-    /// Makes the answer durable; only then may the caller see its end.
+    /// Records the answer in the program group; the caller sees its end only after that.
     async fn record(&self, answer: Value) -> Attempt {
         let model = &self.call.model;
         let usage = usage_of(&answer, model.input_micros, model.output_micros);
@@ -236,7 +244,7 @@
         let moved =
             self.grant.endpoints.first().is_some_and(|last| last.as_str() != self.placed.name);
         if moved {
-            // The engine that ran the last turn still holds the prefix, and nobody comes back for it.
+            // The engine of the last turn still holds the prefix, which this call didn't reuse.
             metrics.cache(prior, CacheUse::Dropped);
         }
         if self.placed.region != self.state.place.region {
@@ -257,7 +265,8 @@
     }
 }
 
-/// Bounds a step by the caller's deadline and by the silence an engine is allowed.
+/// Runs a step with a timeout: the caller's deadline or the engine's silence limit, whichever is
+/// earlier.
 pub(super) async fn with_time_limit<T>(
     state: &EntryState,
     call: &TurnCall,
--- a/crates/gypsumglade/src/entry/waiting_caller.rs
+++ b/crates/gypsumglade/src/entry/waiting_caller.rs
@@ -1,4 +1,4 @@
-//! The caller's end of a call: where its stream goes, and whether it still waits.
+//! Connection of a running call to its caller: the event stream and the disconnect signal.
 
 use std::convert::Infallible;
 
@@ -9,25 +9,27 @@
 
 use super::sse::event;
 
-/// Where a caller's stream is written to.
+/// Sender of a caller's event stream.
 pub type EventSender = mpsc::Sender<Result<Event, Infallible>>;
 
-/// The waiting side of a call.
+/// Caller of a running call.
 #[derive(Clone, Debug)]
 pub struct Caller {
-    /// The stream, if the caller asked for one.
+    /// Event stream, if the caller asked for one.
     pub events: Option<EventSender>,
-    /// Cancelled when a caller that will not resend has gone away.
+    /// Cancelled when the caller of an unstreamed call without its own key has disconnected.
     pub disconnected: CancellationToken,
-    /// Cancelled when the program ends with the call under way.
+    /// Cancelled when the program ends while the call is running.
     pub program_ended: CancellationToken,
 }
 
 impl Caller {
+    /// Returns the caller with another token for the end of its program.
     pub(super) fn with_program_end(&self, program_ended: CancellationToken) -> Caller {
         Caller { program_ended, ..self.clone() }
     }
 
+    /// Waits until the caller has disconnected or the program has ended.
     pub(super) async fn abandoned(&self) {
         let closed = async {
             match &self.events {
@@ -42,9 +44,10 @@
         }
     }
 
+    /// Sends a chunk to the caller's stream, if it has one.
     pub(super) async fn forward(&self, chunk: &Value) {
         if let Some(events) = &self.events {
-            // A caller that went away is noticed by the loop that reads the engine.
+            // A disconnect is handled by the loop that reads the engine's stream.
             let _ = events.send(event(chunk)).await;
         }
     }
