--- a/crates/gypsumglade/src/entry/leak_audit.rs
+++ b/crates/gypsumglade/src/entry/leak_audit.rs
@@ -1,8 +1,8 @@
-//! Leak audit: has engines free memory that no program under way needs.
+//! Leak audit: frees engine memory that no running program needs.
 //!
-//! Releases follow each end of a program, yet a release can be lost for good: when its program's
-//! record never named the engine, or the engine took a call without the system. So the home VM
-//! of each engine compares what the engine reports with what the program groups know.
+//! Each end of a program releases its memory, but a release can be missed: the program's record
+//! may not name the engine, or the engine may have taken a call that bypassed this system. So the
+//! home VM of each engine compares what the engine holds with what the program groups know.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -20,53 +20,54 @@
 use super::state::EntryState;
 use crate::store::ReleaseAnswer;
 
-/// Pause between two rounds: memory that leaked is held for two to three of them.
-const ROUND_PAUSE: Duration = Duration::from_secs(5);
-/// Longest wait for a group's answer; a group without a leader is asked in the next round.
-const GROUP_PATIENCE: Duration = Duration::from_secs(2);
-/// Path under which an engine reports the programs that it holds memory of.
+/// Interval between audits; leaked memory is freed after the second audit that finds it.
+const AUDIT_INTERVAL: Duration = Duration::from_secs(5);
+/// Timeout of a request to a program group; a group without a leader is asked in the next round.
+const GROUP_TIMEOUT: Duration = Duration::from_secs(2);
+/// Path at which an engine lists the programs that it holds memory for.
 const PROGRAMS_PATH: &str = "/v1/programs";
 
-/// Memory of one program, as an engine reports it.
+/// Entry of an engine's list; other members are ignored.
 #[derive(Debug, Deserialize)]
 struct HeldMemory {
-    /// `organisation/program`, as calls named it.
+    /// Program as `organisation/program`, taken from the calls' headers.
     program: CompactString,
 }
 
 /// An engine that this VM audits.
-struct Audited {
+struct AuditedEngine {
     name: EndpointName,
     address: CompactString,
 }
 
-/// Leaks of each engine in the round before.
+/// Possible leaks of each engine, found in the previous round.
 type Suspects = HashMap<EndpointName, HashSet<QualifiedName>>;
 
-/// Audits the engines that this VM is the home of, until the process ends.
+/// Audits the engines that this VM is the home of, until shutdown.
 pub(super) async fn run(state: Arc<EntryState>, halt: CancellationToken) {
     let mut suspects = Suspects::new();
     loop {
         tokio::select! {
             () = halt.cancelled() => return,
-            () = tokio::time::sleep(ROUND_PAUSE) => {}
+            () = tokio::time::sleep(AUDIT_INTERVAL) => {}
         }
-        suspects = round(&state, &suspects).await;
+        suspects = audit_round(&state, &suspects).await;
     }
 }
 
-/// Audits each engine once and returns what it found.
+/// Audits each engine once and returns the possible leaks.
 ///
-/// Memory is freed only when two rounds in a row found it without a program. One look is not
-/// enough: the engine's report is older than the groups' answer, so a program that begins in
-/// between looks unknown, and so it does to a group's earlier leader that doesn't know yet that it
-/// was replaced. The symptom would be a whole prefix filled again, never a wrong answer.
-async fn round(state: &EntryState, before: &Suspects) -> Suspects {
-    let audits = audited(state).into_iter().map(async |engine| {
+/// Memory is freed only when two rounds in a row find it unused, since one can be wrong: a replaced
+/// leader that has not noticed yet doesn't know recent programs. A wrong release would only cost
+/// a repeated prefill, never a wrong answer.
+async fn audit_round(state: &EntryState, previous: &Suspects) -> Suspects {
+    let audits = engines_to_audit(state).into_iter().map(async |engine| {
         let found = find_leaks(state, &engine).await?;
-        let again = before.get(&engine.name);
-        for name in found.iter().filter(|name| again.is_some_and(|again| again.contains(*name))) {
-            free(state, &engine, name).await;
+        let repeated = previous.get(&engine.name);
+        for name in
+            found.iter().filter(|name| repeated.is_some_and(|repeated| repeated.contains(*name)))
+        {
+            free_memory(state, &engine, name).await;
         }
         Some((engine.name, found))
     });
@@ -74,40 +75,40 @@
 }
 
 /// Returns the engines that this VM is the home of.
-fn audited(state: &EntryState) -> Vec<Audited> {
+fn engines_to_audit(state: &EntryState) -> Vec<AuditedEngine> {
     let mut live: Vec<VmId> = state.directory.entries().iter().map(|entry| entry.vm).collect();
     if live.is_empty() {
         live.push(state.vm);
     }
-    let desk = state.desk();
-    let endpoints = desk.registry.iter().map(|(_, endpoint)| endpoint);
+    let routing = state.routing();
+    let endpoints = routing.registry.iter().map(|(_, endpoint)| endpoint);
     let engines = endpoints.filter(|endpoint| matches!(endpoint.kind, EndpointKind::Engine { .. }));
     let own = engines.filter(|engine| home(&engine.name, &live) == Some(state.vm));
-    own.map(|engine| Audited { name: engine.name.clone(), address: engine.address.clone() })
+    own.map(|engine| AuditedEngine { name: engine.name.clone(), address: engine.address.clone() })
         .collect()
 }
 
-/// Returns the programs whose memory the engine holds in vain; `None` if it gave no report.
-async fn find_leaks(state: &EntryState, engine: &Audited) -> Option<HashSet<QualifiedName>> {
+/// Returns the programs whose memory the engine holds without need, or `None` if it didn't report.
+async fn find_leaks(state: &EntryState, engine: &AuditedEngine) -> Option<HashSet<QualifiedName>> {
     let mut groups: HashMap<GroupId, Vec<QualifiedName>> = HashMap::new();
-    for name in held(state, engine).await? {
+    for name in held_programs(state, engine).await? {
         let group = state.groups.group_of(&name.org, &name.program);
         groups.entry(group).or_default().push(name);
     }
-    let asked = groups.into_values().map(|names| ask(state, engine, names));
+    let asked = groups.into_values().map(|names| ask_group(state, engine, names));
     Some(join_all(asked).await.into_iter().flatten().collect())
 }
 
-/// Asks an engine for the programs that it holds memory of. A name without an organisation was
-/// not given by this system and is left alone.
-async fn held(state: &EntryState, engine: &Audited) -> Option<Vec<QualifiedName>> {
-    let patience = state.settings.timeouts.peer();
+/// Returns the programs that an engine holds memory for. Skips names without an organisation,
+/// which don't come from this system.
+async fn held_programs(state: &EntryState, engine: &AuditedEngine) -> Option<Vec<QualifiedName>> {
+    let timeout = state.settings.timeouts.peer();
     let asked = state.endpoints.control(
         http::Method::GET,
         &engine.address,
         PROGRAMS_PATH,
         Bytes::new(),
-        patience,
+        timeout,
     );
     let (status, body) = asked.await.ok()?;
     if !status.is_success() {
@@ -122,10 +123,10 @@
     )
 }
 
-/// Asks the group of these programs which of them need no memory; none while it has no leader.
-async fn ask(
+/// Returns those of a group's programs that need no memory, or none if the group doesn't answer.
+async fn ask_group(
     state: &EntryState,
-    engine: &Audited,
+    engine: &AuditedEngine,
     names: Vec<QualifiedName>,
 ) -> Vec<QualifiedName> {
     let Some(first) = names.first() else { return Vec::new() };
@@ -134,7 +135,7 @@
         programs: names.iter().map(QualifiedName::to_wire).collect(),
     };
     let request = Request { body: Some(RequestBody::Audit(audit)) };
-    match state.groups.ask(&first.org, &first.program, &request, GROUP_PATIENCE).await {
+    match state.groups.ask(&first.org, &first.program, &request, GROUP_TIMEOUT).await {
         Ok(ReplyBody::Leaks(leaks)) => {
             leaks.programs.iter().map(|program| QualifiedName::from_wire(Some(program))).collect()
         }
@@ -142,11 +143,11 @@
     }
 }
 
-/// Has an engine free a program's memory; what fails is found again in the next round.
-async fn free(state: &EntryState, engine: &Audited, name: &QualifiedName) {
+/// Asks an engine to free the memory of a program. The next round finds it again if this fails.
+async fn free_memory(state: &EntryState, engine: &AuditedEngine, name: &QualifiedName) {
     let release = Release { program: Some(name.to_wire()), endpoint: engine.name.to_string() };
     if state.release_memory(&release).await == ReleaseAnswer::Freed {
-        slog::warn!(state.log, "an engine held memory of no program under way; freed";
+        slog::warn!(state.log, "freed leaked memory on an engine";
             "engine" => %engine.name, "org" => %name.org, "program" => %name.program);
     }
 }
--- a/crates/gypsumglade/src/entry/serve.rs
+++ b/crates/gypsumglade/src/entry/serve.rs
@@ -1,4 +1,4 @@
-//! Starts and stops an entry VM.
+//! Startup and graceful shutdown of an entry VM.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -13,12 +13,12 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-use super::admit::{EXPIRY_PAUSE, Gate};
+use super::admit::{AdmissionController, EXPIRY_INTERVAL};
 use super::config::{self, ConfigView, Renewal};
 use super::endpoint_client::EndpointClient;
 use super::groups::{GroupClient, GroupMap};
 use super::peer_calls;
-use super::state::{Desk, EntryState, RunningCalls};
+use super::state::{EntryState, RoutingState, RunningCalls};
 use super::{announce, callers, leak_audit, membership_loop, order_holder};
 use crate::admin;
 use crate::clock::Clock;
@@ -37,22 +37,22 @@
     listeners: Vec<Listener>,
     _rpc: RpcServer,
     membership: Handle,
-    /// Ends the background loops and the peers' listener; cancelled last.
+    /// Ends the background loops and all listeners but the callers'; cancelled last.
     halt: CancellationToken,
 }
 
-/// Addresses in use, with the ports that the kernel chose.
+/// Bound addresses of an entry VM, with the actual port where port 0 was configured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct EntryAddresses {
-    /// Callers' interface.
+    /// HTTP interface for callers.
     pub callers: SocketAddr,
-    /// Announcements.
+    /// HTTP interface for endpoint announcements.
     pub endpoints: SocketAddr,
-    /// Calls from other VMs.
+    /// RPC interface for other VMs.
     pub peers: SocketAddr,
-    /// Operators' interface.
+    /// HTTP interface for operators.
     pub admin: SocketAddr,
-    /// Membership datagrams.
+    /// UDP address of the membership protocol.
     pub gossip: SocketAddr,
 }
 
@@ -60,7 +60,8 @@
     /// Binds every listener and starts the background loops.
     ///
     /// # Errors
-    /// Fails when an address cannot be bound or a certificate cannot be read.
+    /// Fails when the settings are inconsistent, an address can't be bound or a certificate can't
+    /// be read.
     pub async fn start(
         settings: Settings,
         directory: Arc<Directory>,
@@ -68,22 +69,24 @@
     ) -> anyhow::Result<Entry> {
         let state = Arc::new(entry_state(settings, directory, log)?);
         let halt = CancellationToken::new();
-        let with_tls = |pair: Option<&CertificateSettings>| listener_options(&state.settings, pair);
-        let pairs = state.settings.tls.clone();
+        let with_tls = |certificate: Option<&CertificateSettings>| {
+            listener_options(&state.settings, certificate)
+        };
+        let certificates = state.settings.tls.clone();
         let listen = state.settings.listen.clone();
         let stop = state.stop.clone();
         let callers = callers::routes(Arc::clone(&state));
-        let options = with_tls(pairs.callers.as_ref())?;
+        let options = with_tls(certificates.callers.as_ref())?;
         let callers = Listener::bind(listen.callers, callers, options, stop.clone()).await?;
         let endpoints = announce::routes(Arc::clone(&state));
-        let options = with_tls(pairs.endpoints.as_ref())?;
+        let options = with_tls(certificates.endpoints.as_ref())?;
         let endpoints = Listener::bind(listen.endpoints, endpoints, options, halt.clone()).await?;
         let admin = admin::entry_routes(Arc::clone(&state));
-        let options = with_tls(pairs.admin.as_ref())?;
+        let options = with_tls(certificates.admin.as_ref())?;
         let admin = Listener::bind(listen.admin, admin, options, halt.clone()).await?;
         let methods = peer_calls::methods(Arc::clone(&state))?;
         let token = state.settings.tokens.peers.clone();
-        let options = with_tls(pairs.peers.as_ref())?;
+        let options = with_tls(certificates.peers.as_ref())?;
         let rpc = RpcServer::bind(listen.peers, token, methods.into(), None, options, halt.clone())
             .await?;
         let membership = membership_loop::join(&state, rpc.address()).await?;
@@ -102,23 +105,22 @@
         Ok(Entry { state, addresses, listeners, _rpc: rpc, membership, halt })
     }
 
-    /// Returns the addresses in use.
+    /// Returns the bound addresses.
     pub fn addresses(&self) -> EntryAddresses {
         self.addresses
     }
 
-    /// Returns what its tasks share, for dumps and embedding.
+    /// Returns the state shared by all tasks of the VM.
     pub fn state(&self) -> &Arc<EntryState> {
         &self.state
     }
 
-    /// Stops as planned: no new work, calls in flight finish, then everything closes.
+    /// Shuts down gracefully: takes no new calls, waits for those in flight, then closes all else.
     ///
-    /// The balancer sees `/readyz` fail at once, so that callers stop coming before the listener
-    /// is gone. Announcements and the lease go on until the last call is done: without them a
-    /// long call could neither retry nor settle.
+    /// `/readyz` fails at once, so that the load balancer stops sending callers. Announcements and
+    /// lease renewal continue until the last call has finished, since retries need them.
     pub async fn stop(self) {
-        slog::info!(self.state.log, "entry stops"; "in_flight" => self.state.tasks.len());
+        slog::info!(self.state.log, "entry stopping"; "in_flight" => self.state.tasks.len());
         self.state.stop.cancel();
         self.state.tasks.close();
         let drain = self.state.settings.timeouts.drain();
@@ -130,7 +132,7 @@
             self.state.tasks.wait().await;
         };
         if tokio::time::timeout(drain, drained).await.is_err() {
-            slog::error!(self.state.log, "calls outlived the drain time; raise timeouts.drain_ms";
+            slog::error!(self.state.log, "calls exceeded the drain time; raise timeouts.drain_ms";
                 "in_flight" => self.state.tasks.len());
         }
         self.membership.leave().await;
@@ -148,7 +150,7 @@
 ) -> anyhow::Result<EntryState> {
     let clock = Clock::start();
     let vm = settings.vm.vm();
-    let place = place(&settings).context("vm.domain or vm.region is not among the peers'")?;
+    let place = place(&settings).context("vm.domain or vm.region is not in discovery.domains")?;
     let peers = PeerClients::new(settings.tokens.peers.clone(), tls::peers(&settings.tls)?);
     let keys = config::operator_keys(&settings.operators);
     let lease = LeaseSettings { length_ms: settings.timeouts.lease_ms, ..LeaseSettings::default() };
@@ -163,13 +165,13 @@
         groups: GroupClient::new(vm, peers.clone(), map, settings.timeouts.peer()),
         endpoints: EndpointClient::new(),
         config: ConfigView::new(lease, vm, keys, clock.now()),
-        gate: Gate::new(admission_settings(), clock),
+        admission: AdmissionController::new(admission_settings(), clock),
         metrics: Metrics::new()?,
         stop: CancellationToken::new(),
         tasks: TaskTracker::new(),
         running: RunningCalls::default(),
         members: Mutex::default(),
-        desk: Mutex::new(Desk { registry, router, retries }),
+        routing: Mutex::new(RoutingState { registry, router, retries }),
         log,
         peers,
         directory,
@@ -177,7 +179,8 @@
     })
 }
 
-/// Admission starts at what engines announce, and falls when they turn out to take less.
+/// Returns admission settings whose concurrency limit starts at its upper bound. The limit falls
+/// when engines refuse calls.
 fn admission_settings() -> AdmissionSettings {
     let mut settings = AdmissionSettings::default();
     settings.limit.start = settings.limit.max;
@@ -191,16 +194,16 @@
     })
 }
 
-/// Returns how a listener of the process accepts connections.
+/// Returns the options of a listener: TLS with `certificate` if given, header limit and drain time.
 ///
 /// # Errors
-/// Fails when the certificate or key cannot be read.
+/// Fails when the certificate or key can't be read.
 pub fn listener_options(
     settings: &Settings,
-    pair: Option<&CertificateSettings>,
+    certificate: Option<&CertificateSettings>,
 ) -> anyhow::Result<ListenerOptions> {
     Ok(ListenerOptions {
-        tls: tls::server(pair)?,
+        tls: tls::server(certificate)?,
         header_bytes: usize::try_from(settings.limits.header_bytes).unwrap_or(usize::MAX),
         drain: settings.timeouts.drain(),
     })
@@ -221,7 +224,7 @@
             let policy = &active.bundle.policy;
             let weights =
                 PolicyWeights { latency: policy.latency_weight, waste: policy.waste_weight };
-            renewing.desk().router.set_weights(weights);
+            renewing.routing().router.set_weights(weights);
         })
         .await;
     });
@@ -230,9 +233,9 @@
     let (expiring, halt) = (Arc::clone(state), halt.clone());
     tokio::spawn(async move {
         while !halt.is_cancelled() {
-            expiring.gate.expire();
+            expiring.admission.expire();
             expiring.expire_endpoints();
-            tokio::time::sleep(EXPIRY_PAUSE).await;
+            tokio::time::sleep(EXPIRY_INTERVAL).await;
         }
     });
 }
--- a/crates/gypsumglade/src/entry/tool.rs
+++ b/crates/gypsumglade/src/entry/tool.rs
@@ -1,4 +1,4 @@
-//! Runs one call of a plain service, at most once where it may not be repeated.
+//! Runs one call of a plain service, at most once if the operation is not repeatable.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,23 +21,23 @@
 use super::endpoint_client::{Dispatch, KEY_HEADER, PROGRAM_HEADER, SendError};
 use super::problem::{Problem, ProblemKind};
 use super::retrying::Attempts;
-use super::state::{DispatchEnd, EntryState, Placed};
-
-/// Longest wait for a grant or an end of program.
-const GROUP_PATIENCE: Duration = Duration::from_secs(15);
-/// Longest wait for a group to take an outcome, across a change of leader.
-const SETTLE_PATIENCE: Duration = Duration::from_secs(30);
-/// Askings after the status of a call in doubt, each after twice the pause before it.
-const INQUIRIES: u32 = 6;
-/// First pause before a service is asked what became of a call.
-const INQUIRY_PAUSE: Duration = Duration::from_millis(200);
-
-/// One call of a plain service, from its headers, body and bundle.
+use super::state::{DispatchEnd, EntryState, PlacedCall};
+
+/// Timeout of a grant request without a deadline, and of ending a program.
+const GROUP_TIMEOUT: Duration = Duration::from_secs(15);
+/// Timeout for recording an outcome, long enough for a change of leader.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Status inquiries about a call in doubt, with doubling backoff.
+const MAX_INQUIRIES: u32 = 6;
+/// Backoff before the first status inquiry.
+const INQUIRY_BACKOFF: Duration = Duration::from_millis(200);
+
+/// A checked call of a plain service.
 #[derive(Clone, Debug)]
 pub struct ToolCall {
-    /// Organisation.
+    /// Organisation of the caller.
     pub org: OrgName,
-    /// Program.
+    /// Program that the call belongs to.
     pub program: ProgramName,
     begin: BeginCall,
     service: CompactString,
@@ -50,21 +50,21 @@
     body: Bytes,
 }
 
-/// A plain service's answer.
+/// Answer of a plain service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ToolAnswer {
-    /// Its status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// Its body.
+    /// Response body.
     pub body: Bytes,
 }
 
 impl ToolCall {
-    /// Reads and checks a call.
+    /// Creates a call from its headers, body and the active bundle.
     ///
     /// # Errors
-    /// Refuses what the bundle does not offer, and a call without a program or key where the
-    /// operation may not be repeated.
+    /// Fails if the bundle doesn't allow the operation, if the program is missing, or if the
+    /// operation is not repeatable and the key is missing.
     pub fn new(
         state: &EntryState,
         active: &ActiveBundle,
@@ -76,12 +76,12 @@
         let org = active.organisation(&headers.token)?;
         let agent = active.agent(org, headers)?;
         let (service, operation) = active.operation(agent, service, operation)?;
-        let program = headers.program.clone().ok_or_else(|| missing("x-program-id"))?;
+        let program = headers.program.clone().ok_or_else(|| missing_header("x-program-id"))?;
         super::check_parent(&program, headers.parent.as_deref())?;
         let key = match &headers.key {
             Some(key) => key.clone(),
-            None if operation.repeatable => super::fresh_id(state).into(),
-            None => return Err(missing("idempotency-key")),
+            None if operation.repeatable => super::unique_id(state).into(),
+            None => return Err(missing_header("idempotency-key")),
         };
         let timeout = Duration::from_millis(operation.timeout_ms);
         let begin = BeginCall {
@@ -120,19 +120,20 @@
     }
 }
 
-fn missing(header: &str) -> Problem {
+fn missing_header(header: &str) -> Problem {
     let message = format!("header {header} is required for this operation");
     Problem::not_run(ProblemKind::BadRequest, message)
 }
 
-/// Runs the call to its recorded outcome.
+/// Runs a call and returns its recorded answer.
 ///
 /// # Errors
-/// Every problem says whether the call ran.
+/// Fails when the call is refused or can't be completed. The problem's outcome says whether the
+/// call may have run.
 pub async fn run(state: &Arc<EntryState>, call: &ToolCall) -> Result<ToolAnswer, Problem> {
-    let mut attempts = Attempts::begin(state, &call.org, call.repeatable(), call.deadline);
+    let mut attempts = Attempts::start(state, &call.org, call.repeatable(), call.deadline);
     loop {
-        let grant = match ask_grant(state, call).await? {
+        let grant = match request_grant(state, call).await? {
             Granted::Run(grant) => grant,
             Granted::Answer(answer) => return Ok(answer),
         };
@@ -140,7 +141,7 @@
             Ok(answer) => return Ok(answer),
             Err(problem) if problem.outcome == Outcome::NotRun => return Err(problem),
             Err(problem) => {
-                if !attempts.again(state, Failure::Unknown, "service_lost").await {
+                if !attempts.wait_for_retry(state, Failure::Unknown, "service_lost").await {
                     return Err(problem);
                 }
             }
@@ -148,53 +149,55 @@
     }
 }
 
+/// Reply of the program group to a grant request.
 enum Granted {
     Run(Grant),
     Answer(ToolAnswer),
 }
 
-async fn ask_grant(state: &EntryState, call: &ToolCall) -> Result<Granted, Problem> {
+async fn request_grant(state: &EntryState, call: &ToolCall) -> Result<Granted, Problem> {
     check_revision(state, call)?;
-    let granted = ask_group(state, call).await?;
+    let granted = begin_call(state, call).await?;
     let Granted::Run(grant) = &granted else { return Ok(granted) };
     if let Err(problem) = check_revision(state, call) {
-        return not_run(state, call, grant, problem).await.map(Granted::Answer);
+        return settle_not_run(state, call, grant, problem).await.map(Granted::Answer);
     }
     Ok(granted)
 }
 
-/// Refuses a call that was read under a revision which this VM no longer acts on.
+/// Refuses a call whose revision is no longer active on this VM.
 fn check_revision(state: &EntryState, call: &ToolCall) -> Result<(), Problem> {
-    if super::acts_on(state, RevisionNumber(call.begin.revision))? {
+    if super::is_active_revision(state, RevisionNumber(call.begin.revision))? {
         return Ok(());
     }
-    let message = "a newer bundle revision came into force meanwhile";
+    let message = "the bundle revision was replaced while the call waited";
     Err(Problem::not_run(ProblemKind::Unavailable, message).retry_after(super::GROUP_RETRY_MS))
 }
 
-async fn ask_group(state: &EntryState, call: &ToolCall) -> Result<Granted, Problem> {
+async fn begin_call(state: &EntryState, call: &ToolCall) -> Result<Granted, Problem> {
     let mut begin = call.begin.clone();
-    begin.nonce = super::fresh_id(state);
+    begin.nonce = super::unique_id(state);
     let request = Request { body: Some(RequestBody::BeginCall(begin)) };
-    let patience = call.deadline.map_or(GROUP_PATIENCE, |at| at.since(state.clock.now()));
-    match state.groups.ask(&call.org, &call.program, &request, patience).await {
+    let timeout = call.deadline.map_or(GROUP_TIMEOUT, |at| at.since(state.clock.now()));
+    match state.groups.ask(&call.org, &call.program, &request, timeout).await {
         Ok(ReplyBody::Grant(grant)) => Ok(Granted::Run(grant)),
         Ok(ReplyBody::Recorded(recorded)) => Ok(Granted::Answer(ToolAnswer {
             status: status_of(recorded.status),
             body: recorded.answer,
         })),
         Ok(ReplyBody::Refused(refused)) => Err(refused.into()),
-        Ok(ReplyBody::Unknown(unknown)) => settled_late(state, call, unknown).await,
+        Ok(ReplyBody::Unknown(unknown)) => resolve_unknown(state, call, unknown).await,
         Ok(ReplyBody::Done(_) | ReplyBody::Leaks(_)) => {
-            Err(Problem::unknown("the program group gave no grant"))
+            Err(Problem::unknown("the program group sent an unexpected reply to a grant request"))
         }
-        // A caller's own key may have been sent before, and its first call may have run.
+        // A call that is not repeatable has the caller's own key and may have run before.
         Err(_) => Err(super::no_quorum(!call.repeatable())),
     }
 }
 
-/// Asks the service's instances what became of a call in doubt, before its caller is told so.
-async fn settled_late(
+/// Asks the instances of the service for the result of a call in doubt, before reporting an unknown
+/// outcome to the caller.
+async fn resolve_unknown(
     state: &EntryState,
     call: &ToolCall,
     unknown: Unknown,
@@ -209,9 +212,9 @@
 }
 
 fn instances(state: &EntryState, call: &ToolCall) -> Vec<CompactString> {
-    let desk = state.desk();
-    let keys = desk.registry.services(&call.service).iter();
-    keys.filter_map(|key| Some(desk.registry.get(*key)?.address.clone())).collect()
+    let routing = state.routing();
+    let keys = routing.registry.services(&call.service).iter();
+    keys.filter_map(|key| Some(routing.registry.get(*key)?.address.clone())).collect()
 }
 
 fn status_of(status: u32) -> StatusCode {
@@ -225,29 +228,30 @@
     grant: &Grant,
     attempts: &mut Attempts,
 ) -> Result<ToolAnswer, Problem> {
-    let mut excluded = not_allowed(state, call);
+    let mut excluded = disallowed_endpoints(state, call);
     loop {
-        let placed = match state.place_call(&route_ask(state, call, &excluded)) {
+        let placed = match state.place_call(&route_request(state, call, &excluded)) {
             Ok(placed) => placed,
             Err(error) => {
                 let problem = Problem::not_run(ProblemKind::Unavailable, &error)
                     .retry_after(super::route_retry_ms(&error));
-                return not_run(state, call, grant, problem).await;
+                return settle_not_run(state, call, grant, problem).await;
             }
         };
         let dispatch = dispatch(call, grant, &placed);
         match state.endpoints.send_once(&dispatch, call.timeout).await {
             Ok((status, body)) => {
                 state.release_call(&placed, DispatchEnd::Finished);
-                return done(state, call, grant, ToolAnswer { status, body }).await;
+                return settle_done(state, call, grant, ToolAnswer { status, body }).await;
             }
             Err(SendError::NotSent) => {
                 state.release_call(&placed, DispatchEnd::Failed);
                 excluded.push(placed.name.clone());
-                if !attempts.again(state, Failure::NotRun, "refused").await {
-                    let problem = Problem::not_run(ProblemKind::Overloaded, "the service refused")
-                        .retry_after(super::GROUP_RETRY_MS);
-                    return not_run(state, call, grant, problem).await;
+                if !attempts.wait_for_retry(state, Failure::NotRun, "refused").await {
+                    let problem =
+                        Problem::not_run(ProblemKind::Overloaded, "the service refused the call")
+                            .retry_after(super::GROUP_RETRY_MS);
+                    return settle_not_run(state, call, grant, problem).await;
                 }
             }
             Err(error) => {
@@ -258,7 +262,7 @@
     }
 }
 
-async fn done(
+async fn settle_done(
     state: &EntryState,
     call: &ToolCall,
     grant: &Grant,
@@ -268,7 +272,7 @@
     Ok(answer)
 }
 
-/// An outcome that the service told on inquiry; any VM may settle with it.
+/// Returns the settlement of an answer learnt by inquiry, which any VM may settle with.
 fn inquired_settle(call: &ToolCall, grant: &Grant, answer: &ToolAnswer) -> Settle {
     Settle { inquired: true, ..done_settle(call, grant, answer) }
 }
@@ -282,52 +286,52 @@
     }
 }
 
-async fn not_run(
+async fn settle_not_run(
     state: &EntryState,
     call: &ToolCall,
     grant: &Grant,
     problem: Problem,
 ) -> Result<ToolAnswer, Problem> {
-    // Nothing was sent, whether or not the group has heard of it yet; a resend under the key is
-    // granted again only once it has.
+    // The call did not run even if the group couldn't record that. A resend under the key is
+    // granted only once it has.
     let _ = settle(state, call, outcome(call, grant, Outcome::NotRun, &problem.message)).await;
     Err(problem)
 }
 
-/// Handles a call that may have run: it is recorded as unknown, and the service is asked.
+/// Handles a call that may have run.
 ///
-/// It is never sent again under its key. The service's own record can still settle it, also after
-/// the caller was told.
+/// Asks the service for the result, and records the outcome as unknown if it has none. A call that
+/// is not repeatable is never sent again; inquiries continue in the background and may settle it.
 async fn in_doubt(
     state: &Arc<EntryState>,
     call: &ToolCall,
     grant: &Grant,
-    placed: &Placed,
+    placed: &PlacedCall,
     error: SendError,
 ) -> Result<ToolAnswer, Problem> {
-    slog::warn!(state.log, "a service call is in doubt";
+    slog::warn!(state.log, "outcome of a service call unknown, asking the service";
         "program" => %call.program, "dispatch" => &grant.dispatch,
         "endpoint" => %placed.name, "error" => ?error);
     if let Some(answer) = inquire(state, call, &placed.address).await {
-        return done(state, call, grant, answer).await;
+        return settle_done(state, call, grant, answer).await;
     }
     let mut settled = outcome(call, grant, Outcome::Unknown, "no answer from the service");
     settled.endpoint = placed.name.to_string();
     settle(state, call, settled).await?;
     if !call.repeatable() {
-        keep_asking(state, call, grant, placed);
+        inquire_later(state, call, grant, placed);
     }
-    Err(Problem::unknown(format!("service {} gave no answer", call.service)))
+    Err(Problem::unknown(format!("service {:?} did not answer", call.service)))
 }
 
-fn keep_asking(state: &Arc<EntryState>, call: &ToolCall, grant: &Grant, placed: &Placed) {
+fn inquire_later(state: &Arc<EntryState>, call: &ToolCall, grant: &Grant, placed: &PlacedCall) {
     let (state, call) = (Arc::clone(state), call.clone());
     let (grant, placed) = (grant.clone(), placed.clone());
     tokio::spawn(async move {
-        let mut pause = INQUIRY_PAUSE;
-        for _ in 0..INQUIRIES {
-            tokio::time::sleep(pause).await;
-            pause *= 2;
+        let mut backoff = INQUIRY_BACKOFF;
+        for _ in 0..MAX_INQUIRIES {
+            tokio::time::sleep(backoff).await;
+            backoff *= 2;
             if let Some(answer) = inquire(&state, &call, &placed.address).await {
                 let _ = settle(&state, &call, inquired_settle(&call, &grant, &answer)).await;
                 return;
@@ -336,9 +340,10 @@
     });
 }
 
-/// Asks the service what became of the key; only `200` with the answer settles anything.
+/// Asks a service instance for the result of the call's key.
 ///
-/// "It did not run" does not: the request may still be on its way.
+/// Only a `200` with the answer counts. A reply that the call did not run doesn't: the request may
+/// still be on its way.
 async fn inquire(state: &EntryState, call: &ToolCall, address: &str) -> Option<ToolAnswer> {
     let path = format!("/v1/tools/status/{}", service_key(call));
     let timeout = state.settings.timeouts.peer();
@@ -347,16 +352,16 @@
     (status == StatusCode::OK).then_some(ToolAnswer { status, body })
 }
 
-/// Key under which the service knows the call: callers' own keys are unique only in a program.
+/// Returns the key sent to the service, since callers' own keys are unique only within a program.
 fn service_key(call: &ToolCall) -> String {
     let text = format!("{}\n{}\n{}", call.org, call.program, call.begin.key);
     hex::encode(&Sha256::digest(text.as_bytes())[..SERVICE_KEY_BYTES])
 }
 
-/// Bytes of a service key: enough that two never meet.
+/// Length of a service key, 128 bits of the digest.
 const SERVICE_KEY_BYTES: usize = 16;
 
-fn dispatch(call: &ToolCall, grant: &Grant, placed: &Placed) -> Dispatch {
+fn dispatch(call: &ToolCall, grant: &Grant, placed: &PlacedCall) -> Dispatch {
     let mut headers = Vec::new();
     if let Ok(value) = HeaderValue::from_str(&service_key(call)) {
         headers.push((KEY_HEADER, value));
@@ -373,7 +378,7 @@
     }
 }
 
-fn route_ask(state: &EntryState, call: &ToolCall, excluded: &[EndpointName]) -> RouteRequest {
+fn route_request(state: &EntryState, call: &ToolCall, excluded: &[EndpointName]) -> RouteRequest {
     RouteRequest {
         target: Target::Service(call.service.clone()),
         program: super::program_hash(&call.org, &call.program),
@@ -392,11 +397,11 @@
     }
 }
 
-fn not_allowed(state: &EntryState, call: &ToolCall) -> Vec<EndpointName> {
-    let desk = state.desk();
-    let keys = desk.registry.services(&call.service).iter();
-    let names = keys.filter_map(|key| desk.registry.get(*key)).map(|found| &found.name);
-    names.filter(|name| !super::allows(&call.allowed, name)).cloned().collect()
+fn disallowed_endpoints(state: &EntryState, call: &ToolCall) -> Vec<EndpointName> {
+    let routing = state.routing();
+    let keys = routing.registry.services(&call.service).iter();
+    let names = keys.filter_map(|key| routing.registry.get(*key)).map(|found| &found.name);
+    names.filter(|name| !super::matches_any(&call.allowed, name)).cloned().collect()
 }
 
 fn outcome(call: &ToolCall, grant: &Grant, outcome: Outcome, reason: &str) -> Settle {
@@ -410,29 +415,29 @@
 }
 
 async fn settle(state: &EntryState, call: &ToolCall, settle: Settle) -> Result<(), Problem> {
-    super::settle(state, &call.org, &call.program, settle, SETTLE_PATIENCE).await
+    super::settle(state, &call.org, &call.program, settle, SETTLE_TIMEOUT).await
 }
 
-/// Ends a program by its caller's word.
+/// Ends a program at its caller's request.
 ///
 /// # Errors
-/// Fails when no quorum of the program's group answers.
+/// Fails when the program group refuses or does not answer.
 pub async fn end(state: &EntryState, org: &str, program: &str) -> Result<(), Problem> {
     let program_ref = ProgramRef { org: org.to_owned(), program: program.to_owned() };
     let request =
         Request { body: Some(RequestBody::EndProgram(EndProgram { program: Some(program_ref) })) };
-    match state.groups.ask(org, program, &request, GROUP_PATIENCE).await {
+    match state.groups.ask(org, program, &request, GROUP_TIMEOUT).await {
         Ok(ReplyBody::Done(_)) => Ok(()),
         Ok(ReplyBody::Refused(refused)) => Err(refused.into()),
-        _ => Err(Problem::unknown("the end of the program is not confirmed")
+        _ => Err(Problem::unknown("the program group did not confirm the end of the program")
             .retry_after(super::GROUP_RETRY_MS)),
     }
 }
 
-/// Ends a program that exists for one call only; idle time ends it if this does not.
-pub async fn end_quietly(state: &EntryState, org: &str, program: &str) {
+/// Ends a program that was generated for a single call. If this fails, its idle timeout ends it.
+pub async fn end_or_log(state: &EntryState, org: &str, program: &str) {
     if let Err(problem) = end(state, org, program).await {
-        slog::info!(state.log, "a one-call program ends by idle time";
+        slog::info!(state.log, "failed to end a single-call program, left to its idle timeout";
             "program" => program, "reason" => %problem.message);
     }
 }
