--- a/crates/gypsumglade/src/admin.rs
+++ b/crates/gypsumglade/src/admin.rs
@@ -31,11 +31,11 @@
     let control =
         ControlClient { directory: Arc::clone(&state.directory), peers: state.peers.clone() };
     let token = state.settings.tokens.admin.clone();
-    let own = Router::new()
+    let routes = Router::new()
         .route("/metrics", get(entry_metrics))
         .route("/v1/dump", get(entry_dump))
         .with_state(state);
-    guarded(own.merge(control_routes(control)), token)
+    require_token(routes.merge(control_routes(control)), token)
 }
 
 /// Returns the operators' routes of a store.
@@ -45,15 +45,15 @@
         peers: state.context.peers.clone(),
     };
     let token = state.settings.tokens.admin.clone();
-    let own = Router::new()
+    let routes = Router::new()
         .route("/metrics", get(store_metrics))
         .route("/v1/dump", get(store_dump))
         .with_state(state);
-    guarded(own.merge(control_routes(control)), token)
+    require_token(routes.merge(control_routes(control)), token)
 }
 
 /// Returns a store's metrics page without a token.
-pub fn open_metrics(state: Arc<StoreState>) -> Router {
+pub fn unauthenticated_metrics(state: Arc<StoreState>) -> Router {
     Router::new().route("/metrics", get(store_metrics)).with_state(state)
 }
 
@@ -81,12 +81,12 @@
         .with_state(control)
 }
 
-fn guarded(routes: Router, token: Secret) -> Router {
+fn require_token(routes: Router, token: Secret) -> Router {
     routes.layer(from_fn_with_state(token, check_token))
 }
 
 async fn check_token(State(token): State<Secret>, request: Request, next: Next) -> Response {
-    if !token.borne_by(request.headers()) {
+    if !token.matches_bearer(request.headers()) {
         let advice = "send `Authorization: Bearer <tokens.admin of the settings>`";
         return (StatusCode::UNAUTHORIZED, advice).into_response();
     }
@@ -130,15 +130,15 @@
 }
 
 async fn entry_metrics(State(state): State<Arc<EntryState>>) -> Response {
-    page(state.metrics.page())
+    metrics_response(state.metrics.page())
 }
 
 async fn store_metrics(State(state): State<Arc<StoreState>>) -> Response {
     let gauges = store::page(&state).await;
-    page(state.context.metrics.page().and_then(|own| Ok(own + &gauges?)))
+    metrics_response(state.context.metrics.page().and_then(|page| Ok(page + &gauges?)))
 }
 
-fn page(page: anyhow::Result<String>) -> Response {
+fn metrics_response(page: anyhow::Result<String>) -> Response {
     match page {
         Ok(text) => text.into_response(),
         Err(error) => (StatusCode::INTERNAL_SERVER_ERROR, error.to_string()).into_response(),
--- a/crates/gypsumglade/src/cli/admin_client.rs
+++ b/crates/gypsumglade/src/cli/admin_client.rs
@@ -30,9 +30,9 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
 /// Longest wait for an answer; the asked VM looks for a leader meanwhile.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(60);
-const AGAIN_ADVICE: &str = "run the same command again, or ask another VM";
+const RETRY_ADVICE: &str = "run the same command again, or ask another VM";
 /// Largest answer, in bytes; a dump is the largest.
-const ANSWER_BYTES: usize = 256 << 20;
+const MAX_ANSWER_BYTES: usize = 256 << 20;
 
 /// Which process to ask, and the token that it wants.
 #[derive(Debug, clap::Args)]
@@ -63,22 +63,25 @@
 impl AdminClient {
     pub(super) fn new(args: &AdminArgs) -> Result<AdminClient, Failure> {
         let settings = match &args.settings {
-            Some(file) => Some(Settings::load(file).map_err(Failure::of_settings)?),
+            Some(file) => Some(Settings::load(file).map_err(Failure::from_findings)?),
             None => None,
         };
         let named = settings.as_ref().map(|s| s.listen.admin);
         let Some(address) = args.vm.or(named) else {
             let message = "no process to ask";
-            return Err(unaddressed(message, "give --vm IP:PORT, or --settings FILE"));
+            return Err(missing_argument(message, "give --vm IP:PORT, or --settings FILE"));
         };
         let token = match (&args.token_file, &settings) {
             (Some(file), _) => read_token(file)?,
             (None, Some(settings)) => settings.tokens.admin.reveal().into(),
             (None, None) => {
-                return Err(unaddressed("no admin token", "give --token-file or --settings FILE"));
+                return Err(missing_argument(
+                    "no admin token",
+                    "give --token-file or --settings FILE",
+                ));
             }
         };
-        let tls = match authority(args, settings.as_ref()) {
+        let tls = match authority_file(args, settings.as_ref()) {
             Some(file) => Some(tls::client(&file)?),
             None => None,
         };
@@ -128,7 +131,7 @@
         let sending = async {
             let response = sender.send_request(request).await?;
             let status = response.status();
-            let body = Limited::new(response.into_body(), ANSWER_BYTES).collect().await;
+            let body = Limited::new(response.into_body(), MAX_ANSWER_BYTES).collect().await;
             let body = body.map_err(|error| anyhow::anyhow!(error))?;
             anyhow::Ok((status, body.to_bytes()))
         };
@@ -157,7 +160,7 @@
     /// An order may have been carried out; its caller says how to repeat it.
     fn lost(&self, error: &dyn std::fmt::Display) -> Failure {
         let message = format!("the answer of {} was lost: {error}", self.address);
-        Failure::new(FailureKind::Unknown, message, AGAIN_ADVICE)
+        Failure::new(FailureKind::Unknown, message, RETRY_ADVICE)
     }
 
     fn unreadable(&self, error: &dyn std::fmt::Display) -> Failure {
@@ -177,7 +180,7 @@
         status if status.is_client_error() => {
             Failure::new(FailureKind::Refused, message, "use a tool of the process's version")
         }
-        _ => Failure::new(FailureKind::Unknown, message, AGAIN_ADVICE),
+        _ => Failure::new(FailureKind::Unknown, message, RETRY_ADVICE),
     }
 }
 
@@ -192,12 +195,12 @@
 }
 
 /// Returns the authority's file if the admin listener speaks TLS.
-fn authority(args: &AdminArgs, settings: Option<&Settings>) -> Option<PathBuf> {
+fn authority_file(args: &AdminArgs, settings: Option<&Settings>) -> Option<PathBuf> {
     let named = settings.filter(|s| s.tls.admin.is_some()).and_then(|s| s.tls.authority.clone());
     args.authority.clone().or(named)
 }
 
-fn unaddressed(message: &str, advice: &'static str) -> Failure {
+fn missing_argument(message: &str, advice: &'static str) -> Failure {
     Failure::new(FailureKind::Unreachable, message, advice)
 }
 
--- a/crates/gypsumglade/src/cli/bundle.rs
+++ b/crates/gypsumglade/src/cli/bundle.rs
@@ -13,16 +13,16 @@
 
 use super::admin_client::{AdminArgs, AdminClient};
 use super::failure::FailureKind;
-use super::orders::{self, OrderHead, RollReport, StatusReport};
+use super::orders::{self, OrderHeader, RollReport, StatusReport};
 use super::{Failure, Output, key};
 use crate::operator;
 
 /// Pause between two looks whether a revision is in force.
-const STATUS_PAUSE: Duration = Duration::from_millis(200);
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// A new order on another base could undo what a colleague rolled out meanwhile; the same order
 /// can't, since its base is checked.
-const SAME_ORDER_ADVICE: &str = "repeat the command with --order and --base as printed above: \
+const RESEND_ADVICE: &str = "repeat the command with --order and --base as printed above: \
                                  the same order is not carried out twice";
 
 #[derive(Debug, clap::Subcommand)]
@@ -86,7 +86,9 @@
     match verb {
         BundleVerb::Sign { file, key, out } => sign(&file, &key, out, output),
         BundleVerb::Roll { file, order } => roll(&file, &order, output),
-        BundleVerb::Back { to, bundle, keys, order } => back(to, &bundle, &keys, &order, output),
+        BundleVerb::Back { to, bundle, keys, order } => {
+            roll_back(to, &bundle, &keys, &order, output)
+        }
         BundleVerb::Status { admin } => {
             let status = status(&AdminClient::new(&admin)?, 0)?;
             output.print(&StatusReport::new(&status))
@@ -96,16 +98,16 @@
 
 /// What `bundle sign` tells.
 #[derive(Serialize)]
-struct Signed {
+struct SignReport {
     file: PathBuf,
     version: CompactString,
     digest: CompactString,
     signatures: usize,
 }
 
-impl fmt::Display for Signed {
+impl fmt::Display for SignReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Signed { file, version, digest, signatures } = self;
+        let SignReport { file, version, digest, signatures } = self;
         let file = file.display();
         write!(f, "{file}: version {version}, digest {digest}, {signatures} signature(s)")
     }
@@ -114,11 +116,11 @@
 fn sign(file: &Path, key: &Path, out: PathBuf, output: Output) -> Result<(), Failure> {
     let pair = key::read(key)?;
     let mut signed = read(file)?;
-    signed.sign(&pair).map_err(|f| findings(file, &f))?;
+    signed.sign(&pair).map_err(|f| findings_failure(file, &f))?;
     let bundle = parse(file, &signed)?;
     let text = serde_json::to_vec(&signed).map_err(anyhow::Error::from)?;
     std::fs::write(&out, text).with_context(|| format!("can't write {}", out.display()))?;
-    output.print(&Signed {
+    output.print(&SignReport {
         file: out,
         version: bundle.version,
         digest: hex::encode(signed.digest().0).into(),
@@ -134,13 +136,13 @@
         let advice = "sign it first: `gypsumglade bundle sign`";
         return Err(Failure::new(FailureKind::Findings, message, advice));
     }
-    let head = head(&client, args)?;
-    let base = RevisionNumber(head.base);
-    let command = operator::accept_command(&signed, base, &head.id);
-    give(&client, &command.map_err(|f| findings(file, &f))?, args.wait, output)
+    let header = order_header(&client, args)?;
+    let base = RevisionNumber(header.base);
+    let command = operator::accept_command(&signed, base, &header.id);
+    submit(&client, &command.map_err(|f| findings_failure(file, &f))?, args.wait, output)
 }
 
-fn back(
+fn roll_back(
     to: u64,
     file: &Path,
     keys: &[PathBuf],
@@ -149,24 +151,24 @@
 ) -> Result<(), Failure> {
     let client = AdminClient::new(&args.admin)?;
     let digest = read(file)?.digest();
-    let head = head(&client, args)?;
-    let signatures = sign_back(&head, to, digest, keys)?;
-    give(&client, &orders::roll_back(&head, to, &signatures), args.wait, output)
+    let header = order_header(&client, args)?;
+    let signatures = sign_roll_back(&header, to, digest, keys)?;
+    submit(&client, &orders::roll_back(&header, to, &signatures), args.wait, output)
 }
 
-fn sign_back(
-    head: &OrderHead,
+fn sign_roll_back(
+    header: &OrderHeader,
     to: u64,
     digest: Digest,
     keys: &[PathBuf],
 ) -> anyhow::Result<Vec<gypsumglade_core::bundle::Signature>> {
     let order =
-        RollBackOrder { base: RevisionNumber(head.base), target: RevisionNumber(to), digest };
+        RollBackOrder { base: RevisionNumber(header.base), target: RevisionNumber(to), digest };
     keys.iter().map(|file| Ok(key::read(file)?.sign_roll_back(&order))).collect()
 }
 
 /// Names the order and its base, and tells both, so that a resend can repeat them.
-fn head(client: &AdminClient, args: &OrderArgs) -> Result<OrderHead, Failure> {
+fn order_header(client: &AdminClient, args: &OrderArgs) -> Result<OrderHeader, Failure> {
     let base = match args.base {
         Some(base) => base,
         None => status(client, 0)?.current,
@@ -174,17 +176,17 @@
     let fresh = || hex::encode(rand::random::<[u8; 8]>()).into();
     let id = args.order.clone().unwrap_or_else(fresh);
     eprintln!("order {id} on revision {base}");
-    Ok(OrderHead { id, base })
+    Ok(OrderHeader { id, base })
 }
 
 /// Gives an order and waits until its revision is in force.
-fn give(
+fn submit(
     client: &AdminClient,
     command: &Command,
     seconds: u64,
     output: Output,
 ) -> Result<(), Failure> {
-    let answer = client.command(command).map_err(|f| f.or_advice(SAME_ORDER_ADVICE))?;
+    let answer = client.command(command).map_err(|f| f.with_unknown_advice(RESEND_ADVICE))?;
     let accepted = orders::outcome(answer)?;
     let report = wait_in_force(client, &accepted, Duration::from_secs(seconds))?;
     output.print(&report)?;
@@ -204,15 +206,15 @@
 fn wait_in_force(
     client: &AdminClient,
     accepted: &Accepted,
-    patience: Duration,
+    timeout: Duration,
 ) -> Result<RollReport, Failure> {
     let start = Instant::now();
     loop {
         let report = RollReport::new(accepted, &status(client, accepted.revision)?);
-        if report.in_force || start.elapsed() >= patience {
+        if report.in_force || start.elapsed() >= timeout {
             return Ok(report);
         }
-        std::thread::sleep(STATUS_PAUSE);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
@@ -225,15 +227,15 @@
     let content = std::fs::read(file).with_context(|| format!("can't read {}", file.display()))?;
     match serde_json::from_slice::<SignedBundle>(&content) {
         Ok(signed) => Ok(signed),
-        Err(_) => SignedBundle::new(Bytes::from(content)).map_err(|f| findings(file, &f)),
+        Err(_) => SignedBundle::new(Bytes::from(content)).map_err(|f| findings_failure(file, &f)),
     }
 }
 
 fn parse(file: &Path, signed: &SignedBundle) -> Result<Bundle, Failure> {
-    Bundle::parse(&signed.content).map_err(|f| findings(file, &f))
+    Bundle::parse(&signed.content).map_err(|f| findings_failure(file, &f))
 }
 
-fn findings(file: &Path, findings: &Findings) -> Failure {
+fn findings_failure(file: &Path, findings: &Findings) -> Failure {
     let message = format!("{}:\n{findings}", file.display());
     Failure::new(FailureKind::Findings, message, "mend each place and sign again")
 }
--- a/crates/gypsumglade/src/cli/daemon.rs
+++ b/crates/gypsumglade/src/cli/daemon.rs
@@ -68,9 +68,9 @@
 
 /// Runs the role that the settings name, in a platform's dialect, to its end: a store where they
 /// have a `store` section, otherwise a gateway.
-pub fn main_on(platform: Platform) -> ExitCode {
+pub fn main_with_platform(platform: Platform) -> ExitCode {
     let args = DaemonArgs::parse();
-    exit_code(run_on(platform, &args.settings))
+    exit_code(run_platform(platform, &args.settings))
 }
 
 fn exit_code(outcome: Result<(), Failure>) -> ExitCode {
@@ -85,28 +85,28 @@
 
 /// Loads settings, with the findings as the failure.
 pub(super) fn load(file: &Path) -> Result<Settings, Failure> {
-    Settings::load(file).map_err(Failure::of_settings)
+    Settings::load(file).map_err(Failure::from_findings)
 }
 
 /// Runs roles until a planned stop is over.
 pub(super) fn run(roles: Roles, settings: Settings) -> Result<(), Failure> {
-    let runtime = runtime(settings.threads).context("can't start the runtime")?;
+    let runtime = build_runtime(settings.threads).context("can't start the runtime")?;
     // The guard writes the log's last lines, so it outlives the roles.
     let (log, _guard) = logs::start(&settings.log, settings.vm.id, roles.name())?;
     Ok(runtime.block_on(serve(roles, settings, log))?)
 }
 
-fn run_on(platform: Platform, file: &Path) -> Result<(), Failure> {
+fn run_platform(platform: Platform, file: &Path) -> Result<(), Failure> {
     let settings = load(file)?;
-    let runtime = runtime(settings.threads).context("can't start the runtime")?;
+    let runtime = build_runtime(settings.threads).context("can't start the runtime")?;
     let role = if settings.store.is_some() { "store" } else { "gateway" };
     let (log, _guard) = logs::start(&settings.log, settings.vm.id, role)?;
-    Ok(runtime.block_on(serve_on(platform, file.to_path_buf(), settings, log))?)
+    Ok(runtime.block_on(serve_platform(platform, file.to_path_buf(), settings, log))?)
 }
 
 /// Builds the runtime. One thread spares a VM with a part of one processor the switches between
 /// threads.
-fn runtime(threads: u16) -> std::io::Result<tokio::runtime::Runtime> {
+fn build_runtime(threads: u16) -> std::io::Result<tokio::runtime::Runtime> {
     match threads {
         0 => tokio::runtime::Runtime::new(),
         1 => tokio::runtime::Builder::new_current_thread().enable_all().build(),
@@ -117,7 +117,7 @@
     }
 }
 
-async fn serve_on(
+async fn serve_platform(
     platform: Platform,
     file: PathBuf,
     settings: Settings,
@@ -133,20 +133,20 @@
     } else {
         Running::Gateway(Box::new(Gateway::start(settings, platform.dialect, log.clone()).await?))
     };
-    let mut watch = Watch::new(&file);
-    let mut look = tokio::time::interval(WATCH_PAUSE);
+    let mut watcher = SettingsWatcher::new(&file);
+    let mut poll = tokio::time::interval(WATCH_INTERVAL);
     loop {
-        let wish = tokio::select! {
-            wish = signals.next() => Some(wish),
-            _ = look.tick() => watch.has_changed().then_some(Wish::Reload),
+        let action = tokio::select! {
+            action = signals.next() => Some(action),
+            _ = poll.tick() => watcher.has_changed().then_some(SignalAction::Reload),
         };
-        match wish {
-            Some(Wish::Stop) => break,
-            Some(Wish::Reload) => watch.reload(&running, &log),
+        match action {
+            Some(SignalAction::Stop) => break,
+            Some(SignalAction::Reload) => watcher.reload(&running, &log),
             None => {}
         }
     }
-    stop_now(running, signals).await
+    shut_down(running, signals).await
 }
 
 async fn serve(roles: Roles, settings: Settings, log: slog::Logger) -> anyhow::Result<()> {
@@ -157,19 +157,21 @@
         Roles::Store => Running::Store(Store::start(settings, directory, log).await?),
         Roles::Both => Running::Both(Box::new(Embedded::start(settings, log).await?)),
     };
-    running.tell();
-    stop_as_planned(running, signals).await
+    running.print_addresses();
+    stop_on_signal(running, signals).await
 }
 
-async fn stop_as_planned(running: Running, mut signals: Signals) -> anyhow::Result<()> {
-    signals.stop().await;
-    stop_now(running, signals).await
+async fn stop_on_signal(running: Running, mut signals: Signals) -> anyhow::Result<()> {
+    signals.wait_for_stop().await;
+    shut_down(running, signals).await
 }
 
-async fn stop_now(running: Running, mut signals: Signals) -> anyhow::Result<()> {
+async fn shut_down(running: Running, mut signals: Signals) -> anyhow::Result<()> {
     tokio::select! {
         () = running.stop() => Ok(()),
-        () = signals.stop() => anyhow::bail!("stopped by a second signal; calls were cut off"),
+        () = signals.wait_for_stop() => {
+            anyhow::bail!("stopped by a second signal; calls were cut off")
+        }
     }
 }
 
@@ -183,7 +185,7 @@
 
 impl Running {
     /// Prints the addresses in use as one line of JSON, for scripts that let the kernel choose.
-    fn tell(&self) {
+    fn print_addresses(&self) {
         let line = match self {
             Running::Entry(entry) => serde_json::to_string(&entry.addresses()),
             Running::Store(store) => serde_json::to_string(&store.addresses()),
@@ -215,7 +217,7 @@
 
 /// What a signal asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Wish {
+enum SignalAction {
     Stop,
     Reload,
 }
@@ -234,39 +236,39 @@
         Ok(Signals { terminate, interrupt, hangup: signal(SignalKind::hangup())? })
     }
 
-    async fn next(&mut self) -> Wish {
+    async fn next(&mut self) -> SignalAction {
         tokio::select! {
-            _ = self.terminate.recv() => Wish::Stop,
-            _ = self.interrupt.recv() => Wish::Stop,
-            _ = self.hangup.recv() => Wish::Reload,
+            _ = self.terminate.recv() => SignalAction::Stop,
+            _ = self.interrupt.recv() => SignalAction::Stop,
+            _ = self.hangup.recv() => SignalAction::Reload,
         }
     }
 
-    async fn stop(&mut self) {
-        while self.next().await != Wish::Stop {}
+    async fn wait_for_stop(&mut self) {
+        while self.next().await != SignalAction::Stop {}
     }
 }
 
 /// Looks out for changes of the settings file.
-struct Watch {
+struct SettingsWatcher {
     file: PathBuf,
     modified: Option<SystemTime>,
 }
 
 /// Pause between two looks at the settings file, which may change without a signal.
-const WATCH_PAUSE: Duration = Duration::from_secs(3);
+const WATCH_INTERVAL: Duration = Duration::from_secs(3);
 
-impl Watch {
-    fn new(file: &Path) -> Watch {
-        let mut watch = Watch { file: file.to_path_buf(), modified: None };
-        watch.has_changed();
-        watch
+impl SettingsWatcher {
+    fn new(file: &Path) -> SettingsWatcher {
+        let mut watcher = SettingsWatcher { file: file.to_path_buf(), modified: None };
+        watcher.has_changed();
+        watcher
     }
 
     fn has_changed(&mut self) -> bool {
-        let found = std::fs::metadata(&self.file).and_then(|data| data.modified()).ok();
-        let changed = found.is_some() && found != self.modified;
-        self.modified = found.or(self.modified);
+        let modified = std::fs::metadata(&self.file).and_then(|data| data.modified()).ok();
+        let changed = modified.is_some() && modified != self.modified;
+        self.modified = modified.or(self.modified);
         changed
     }
 
--- a/crates/gypsumglade/src/cli/demo.rs
+++ b/crates/gypsumglade/src/cli/demo.rs
@@ -12,7 +12,7 @@
 use crate::settings::LogSettings;
 
 /// Pause between two steps of the spinner.
-const SPIN: std::time::Duration = std::time::Duration::from_millis(100);
+const SPINNER_TICK: std::time::Duration = std::time::Duration::from_millis(100);
 
 #[derive(Debug, clap::Args)]
 pub(super) struct DemoArgs {
@@ -22,28 +22,33 @@
 }
 
 pub(super) fn run(args: DemoArgs, output: Output) -> Result<(), Failure> {
-    let given = args.folder.is_some();
-    let fresh = || std::env::temp_dir().join(format!("gypsumglade-demo-{}", std::process::id()));
-    let folder = args.folder.unwrap_or_else(fresh);
+    let keep_folder = args.folder.is_some();
+    let temporary =
+        || std::env::temp_dir().join(format!("gypsumglade-demo-{}", std::process::id()));
+    let folder = args.folder.unwrap_or_else(temporary);
     std::fs::create_dir_all(&folder)
         .with_context(|| format!("can't create {}; choose one by --folder", folder.display()))?;
     let settings = LogSettings { file: Some(folder.join("demo.jsonl")), ..LogSettings::default() };
     let (log, guard) = logs::start(&settings, 1, "demo")?;
     let spinner = ProgressBar::new_spinner();
-    spinner.enable_steady_tick(SPIN);
+    spinner.enable_steady_tick(SPINNER_TICK);
     let progress = |step: &str| spinner.set_message(step.to_owned());
     let runtime = tokio::runtime::Runtime::new().context("can't start the runtime")?;
     let outcome = runtime.block_on(demo::run(&folder.join("state"), log, &progress));
     spinner.finish_and_clear();
     drop(guard);
-    let kept = format!("state and log are in {}", folder.display());
-    let report = outcome.with_context(|| kept.clone())?;
+    let location = format!("state and log are in {}", folder.display());
+    let report = outcome.with_context(|| location.clone())?;
     output.print(&report)?;
     if !report.passed() {
         let advice = "report it with the log and the folder";
-        return Err(Failure::new(FailureKind::Failed, format!("a promise broke; {kept}"), advice));
+        return Err(Failure::new(
+            FailureKind::Failed,
+            format!("a promise broke; {location}"),
+            advice,
+        ));
     }
-    if !given {
+    if !keep_folder {
         // What is left behind in a folder for such does no harm.
         let _ = std::fs::remove_dir_all(&folder);
     }
--- a/crates/gypsumglade/src/cli/failure.rs
+++ b/crates/gypsumglade/src/cli/failure.rs
@@ -57,7 +57,7 @@
 }
 
 #[derive(Serialize)]
-struct Report<'a> {
+struct ErrorReport<'a> {
     error: &'a Failure,
 }
 
@@ -68,14 +68,14 @@
     }
 
     /// Builds the failure of a settings file.
-    pub fn of_settings(findings: Findings) -> Failure {
+    pub fn from_findings(findings: Findings) -> Failure {
         let advice = "mend each place; `gypsumglade settings example store` shows all keys";
         let failure = Failure::new(FailureKind::Findings, &findings, advice);
         Failure { findings: Some(findings), ..failure }
     }
 
     /// Replaces the advice if the outcome is unknown.
-    pub(super) fn or_advice(self, advice: &'static str) -> Failure {
+    pub(super) fn with_unknown_advice(self, advice: &'static str) -> Failure {
         match self.kind {
             FailureKind::Unknown => Failure { advice, ..self },
             _ => self,
@@ -99,7 +99,7 @@
         match output {
             Output::Text => eprintln!("{}\n{}", self.message, self.advice),
             Output::Json => {
-                let report = serde_json::to_string_pretty(&Report { error: self });
+                let report = serde_json::to_string_pretty(&ErrorReport { error: self });
                 eprintln!("{}", report.unwrap_or_default());
             }
         }
--- a/crates/gypsumglade/src/cli/inspect.rs
+++ b/crates/gypsumglade/src/cli/inspect.rs
@@ -19,9 +19,9 @@
 
 #[derive(Serialize)]
 #[serde(transparent)]
-struct Inspected(Report);
+struct InspectReport(Report);
 
-impl fmt::Display for Inspected {
+impl fmt::Display for InspectReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let report = &self.0;
         let owner = report.vm.map_or("no VM yet".to_owned(), |vm| vm.to_string());
@@ -49,7 +49,7 @@
 }
 
 pub(super) fn run(args: InspectArgs, output: Output) -> Result<(), Failure> {
-    let report = Inspected(disk::inspect(&args.folder)?);
+    let report = InspectReport(disk::inspect(&args.folder)?);
     output.print(&report)?;
     if report.0.is_sound() {
         return Ok(());
--- a/crates/gypsumglade/src/cli/key.rs
+++ b/crates/gypsumglade/src/cli/key.rs
@@ -56,11 +56,11 @@
 
 /// Writes a fresh private key to a new file.
 pub(super) fn create(file: &Path) -> anyhow::Result<()> {
-    write_private(file, &hex::encode(rand::random::<[u8; 32]>()))
+    write_secret(file, &hex::encode(rand::random::<[u8; 32]>()))
 }
 
 /// Writes a secret line to a new file that only its owner may read.
-pub(super) fn write_private(path: &Path, line: &str) -> anyhow::Result<()> {
+pub(super) fn write_secret(path: &Path, line: &str) -> anyhow::Result<()> {
     let mut file = OpenOptions::new()
         .write(true)
         .create_new(true)
--- a/crates/gypsumglade/src/cli/orders.rs
+++ b/crates/gypsumglade/src/cli/orders.rs
@@ -17,7 +17,7 @@
 
 /// Who gives an order, and on what.
 #[derive(Clone, Debug)]
-pub(super) struct OrderHead {
+pub(super) struct OrderHeader {
     /// Names the order; a resend repeats it.
     pub(super) id: CompactString,
     /// Revision that it replaces; refused if another one is the current one.
@@ -25,10 +25,10 @@
 }
 
 /// Builds the command that makes an earlier revision's content the next revision.
-pub(super) fn roll_back(head: &OrderHead, to: u64, signatures: &[Signature]) -> Command {
+pub(super) fn roll_back(header: &OrderHeader, to: u64, signatures: &[Signature]) -> Command {
     let back = RollBack {
-        order_id: head.id.to_string(),
-        base_revision: head.base,
+        order_id: header.id.to_string(),
+        base_revision: header.base,
         to_revision: to,
         signatures: signatures.iter().map(Signature::to_wire).collect(),
     };
@@ -39,7 +39,7 @@
 pub(super) fn outcome(answer: Answer) -> Result<Accepted, Failure> {
     match answer.body {
         Some(AnswerBody::Accepted(accepted)) => Ok(accepted),
-        Some(AnswerBody::Conflict(conflict)) => Err(conflicting(&conflict)),
+        Some(AnswerBody::Conflict(conflict)) => Err(conflict_failure(&conflict)),
         Some(AnswerBody::Stale(stale)) => {
             let message = format!(
                 "the order replaces revision {}, but {} is the current one (digest {})",
@@ -64,7 +64,7 @@
     }
 }
 
-fn conflicting(conflict: &VersionConflict) -> Failure {
+fn conflict_failure(conflict: &VersionConflict) -> Failure {
     let message = format!(
         "version {} is taken: revision {} has digest {}, the offered bundle {}",
         conflict.version,
--- a/crates/gypsumglade/src/cli/serve.rs
+++ b/crates/gypsumglade/src/cli/serve.rs
@@ -10,7 +10,7 @@
 use crate::settings::{OperatorSettings, Secret, Settings};
 
 /// Folder of the embedded default, under the current one.
-const FOLDER: &str = "data";
+const DEFAULT_FOLDER: &str = "data";
 
 #[derive(Debug, clap::Args)]
 pub(super) struct ServeArgs {
@@ -18,7 +18,7 @@
     #[arg(long, value_name = "FILE", env = "GYPSUMGLADE_SETTINGS")]
     settings: Option<PathBuf>,
     /// Folder for state, tokens and an operator's key when there is no settings file.
-    #[arg(long, value_name = "FOLDER", default_value = FOLDER, conflicts_with = "settings")]
+    #[arg(long, value_name = "FOLDER", default_value = DEFAULT_FOLDER, conflicts_with = "settings")]
     folder: PathBuf,
 }
 
@@ -37,9 +37,10 @@
     std::fs::create_dir_all(folder)
         .with_context(|| format!("can't create {}; {advice}", folder.display()))?;
     let mut settings = Settings::embedded(&folder.join("state"));
-    settings.tokens.admin = kept_token(&folder.join("admin.token"), &settings.tokens.admin)?;
+    settings.tokens.admin =
+        load_or_create_token(&folder.join("admin.token"), &settings.tokens.admin)?;
     settings.tokens.endpoints =
-        kept_token(&folder.join("endpoints.token"), &settings.tokens.endpoints)?;
+        load_or_create_token(&folder.join("endpoints.token"), &settings.tokens.endpoints)?;
     let file = folder.join("operator.key");
     if !file.exists() {
         key::create(&file)?;
@@ -51,9 +52,9 @@
 }
 
 /// Reads a token that an earlier start wrote, or writes this one.
-fn kept_token(file: &Path, fresh: &Secret) -> anyhow::Result<Secret> {
+fn load_or_create_token(file: &Path, initial: &Secret) -> anyhow::Result<Secret> {
     if !file.exists() {
-        key::write_private(file, fresh.reveal())?;
+        key::write_secret(file, initial.reveal())?;
     }
     let text = std::fs::read_to_string(file)
         .with_context(|| format!("can't read the token file {}", file.display()))?;
--- a/crates/gypsumglade/src/cli/settings.rs
+++ b/crates/gypsumglade/src/cli/settings.rs
@@ -26,7 +26,7 @@
 
 /// What a check without findings tells.
 #[derive(Serialize)]
-struct Checked {
+struct CheckReport {
     file: PathBuf,
     vm: u32,
     domain: CompactString,
@@ -34,13 +34,13 @@
     role: Role,
 }
 
-impl fmt::Display for Checked {
+impl fmt::Display for CheckReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let role = match self.role {
             Role::Entry => "entry",
             Role::Store => "entry and store",
         };
-        let Checked { file, vm, domain, region, .. } = self;
+        let CheckReport { file, vm, domain, region, .. } = self;
         write!(f, "{}: no findings; VM {vm} in {domain} ({region}), {role}", file.display())
     }
 }
@@ -53,8 +53,8 @@
 }
 
 fn check(file: PathBuf, output: Output) -> Result<(), Failure> {
-    let settings = Settings::load(&file).map_err(Failure::of_settings)?;
+    let settings = Settings::load(&file).map_err(Failure::from_findings)?;
     let role = if settings.store.is_some() { Role::Store } else { Role::Entry };
     let vm = settings.vm;
-    output.print(&Checked { file, vm: vm.id, domain: vm.domain, region: vm.region, role })
+    output.print(&CheckReport { file, vm: vm.id, domain: vm.domain, region: vm.region, role })
 }
--- a/crates/gypsumglade/src/demo/stage.rs
+++ b/crates/gypsumglade/src/demo/stage.rs
@@ -149,7 +149,7 @@
     let command =
         operator::accept_command(&signed, base, &format!("demo-{:x}", rand::random::<u64>()))
             .map_err(|findings| anyhow::anyhow!("{findings}"))?;
-    let answer = operator::give(control, command).await.context("the bundle got no answer")?;
+    let answer = operator::submit(control, command).await.context("the bundle got no answer")?;
     let Some(AnswerBody::Accepted(accepted)) = answer.body else {
         bail!("the bundle was not accepted: {answer:?}");
     };
--- a/crates/gypsumglade/src/embedded.rs
+++ b/crates/gypsumglade/src/embedded.rs
@@ -41,13 +41,13 @@
     }
 }
 
-/// Waits until `done` is true, looking every few milliseconds; false once `patience` is over.
-pub async fn wait_until(patience: Duration, done: impl AsyncFn() -> bool) -> bool {
-    const LOOK: Duration = Duration::from_millis(20);
+/// Waits until `done` is true, looking every few milliseconds; false once `timeout` is over.
+pub async fn wait_until(timeout: Duration, done: impl AsyncFn() -> bool) -> bool {
+    const POLL_INTERVAL: Duration = Duration::from_millis(20);
     let waiting = async {
         while !done().await {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    tokio::time::timeout(patience, waiting).await.is_ok()
+    tokio::time::timeout(timeout, waiting).await.is_ok()
 }
--- a/crates/gypsumglade/src/entry/announce.rs
+++ b/crates/gypsumglade/src/entry/announce.rs
@@ -121,7 +121,7 @@
     headers: HeaderMap,
     body: Result<Json<AnnouncementBody>, axum::extract::rejection::JsonRejection>,
 ) -> Response {
-    if !state.settings.tokens.endpoints.borne_by(&headers) {
+    if !state.settings.tokens.endpoints.matches_bearer(&headers) {
         return (StatusCode::UNAUTHORIZED, "send the endpoints' token").into_response();
     }
     let Json(body) = match body {
--- a/crates/gypsumglade/src/entry/order_holder.rs
+++ b/crates/gypsumglade/src/entry/order_holder.rs
@@ -170,7 +170,7 @@
     async fn renew(&mut self) {
         let asked = self.state.clock.now();
         let command = Command { body: Some(CommandBody::TakeOrders(self.take)) };
-        let asking = operator::give(&self.control, command);
+        let asking = operator::submit(&self.control, command);
         let Ok(Some(answer)) = tokio::time::timeout(LEASE_PATIENCE, asking).await else { return };
         let Some(AnswerBody::Orders(lease)) = answer.body else { return };
         if lease.vm == self.take.vm && lease.incarnation == self.take.incarnation {
--- a/crates/gypsumglade/src/entry/serve.rs
+++ b/crates/gypsumglade/src/entry/serve.rs
@@ -149,7 +149,7 @@
     let clock = Clock::start();
     let vm = settings.vm.vm();
     let place = place(&settings).context("vm.domain or vm.region is not among the peers'")?;
-    let peers = PeerClients::new(settings.tokens.peers.clone(), tls::peers(&settings.tls)?);
+    let peers = PeerClients::new(settings.tokens.peers.clone(), tls::peer_client(&settings.tls)?);
     let keys = config::operator_keys(&settings.operators);
     let lease = LeaseSettings { length_ms: settings.timeouts.lease_ms, ..LeaseSettings::default() };
     let registry = Registry::new(RegistrySettings::default());
--- a/crates/gypsumglade/src/gateway/serve.rs
+++ b/crates/gypsumglade/src/gateway/serve.rs
@@ -142,7 +142,7 @@
     let clock = Clock::start();
     let vm = fresh_identity();
     let directory = Arc::new(Directory::new(&settings));
-    let peers = PeerClients::new(settings.tokens.peers.clone(), tls::peers(&settings.tls)?);
+    let peers = PeerClients::new(settings.tokens.peers.clone(), tls::peer_client(&settings.tls)?);
     let keys = operator_keys(&settings.operators);
     let lease = settings.timeouts.config_lease();
     let place = Place {
--- a/crates/gypsumglade/src/listener.rs
+++ b/crates/gypsumglade/src/listener.rs
@@ -21,7 +21,7 @@
 /// Time a connection may take to send its request head, so that idle peers cannot pin sockets.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(15);
 /// Pause after a failed accept (typically: out of file descriptors), so that the loop cannot spin.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
 /// How one listener accepts connections.
 #[derive(Clone)]
@@ -98,7 +98,7 @@
             accepted = socket.accept() => match accepted {
                 Ok((stream, _)) => stream,
                 Err(_) => {
-                    tokio::time::sleep(ACCEPT_PAUSE).await;
+                    tokio::time::sleep(ACCEPT_BACKOFF).await;
                     continue;
                 }
             },
--- a/crates/gypsumglade/src/logs.rs
+++ b/crates/gypsumglade/src/logs.rs
@@ -56,9 +56,9 @@
         }
     };
     let json = slog_json::Json::default(target);
-    let lossy = std::sync::Mutex::new(json).ignore_res();
+    let drain = std::sync::Mutex::new(json).ignore_res();
     let (writer, guard) =
-        slog_async::Async::new(lossy).chan_size(BUFFERED_LINES).build_with_guard();
+        slog_async::Async::new(drain).chan_size(BUFFERED_LINES).build_with_guard();
     let filtered = slog::LevelFilter::new(writer, level(settings.level)).ignore_res();
     let logger = Logger::root(filtered, o!(VM => vm, ROLE => role));
     Ok((logger, LogGuard { _guard: guard }))
--- a/crates/gypsumglade/src/membership/driver.rs
+++ b/crates/gypsumglade/src/membership/driver.rs
@@ -14,10 +14,10 @@
 use super::seal::{self, ClusterKey};
 
 /// Largest datagram read; longer ones are cut and so fail their authentication.
-const READ: usize = 2_048;
+const READ_BUFFER_BYTES: usize = 2_048;
 /// Time in which changes are collected before the view is published: with many VMs, digests
 /// change all the time, and each view is a copy of all members.
-const COLLECT: Duration = Duration::from_millis(50);
+const PUBLISH_DELAY: Duration = Duration::from_millis(50);
 
 /// What the handle asks of the task.
 #[derive(Debug)]
@@ -36,8 +36,8 @@
     started: Instant,
     publisher: watch::Sender<Arc<View>>,
     /// When the view is published next, if it changed.
-    publish: Option<Instant>,
-    strangers: u64,
+    publish_at: Option<Instant>,
+    rejected: u64,
     departed: bool,
 }
 
@@ -62,16 +62,16 @@
             membership,
             started,
             publisher,
-            publish: None,
-            strangers: 0,
+            publish_at: None,
+            rejected: 0,
             departed: false,
         }
     }
 
     /// Runs until this VM has left or its handle is gone.
     pub async fn run(mut self, mut commands: mpsc::Receiver<Command>) {
-        let mut buffer = [0; READ];
-        let mut waiting = None;
+        let mut buffer = [0; READ_BUFFER_BYTES];
+        let mut leave_done = None;
         while !self.departed {
             let event = self.next_event(&mut commands, &mut buffer).await;
             match event {
@@ -80,16 +80,16 @@
                 Event::Command(None) => return,
                 Event::Command(Some(Command::SetDigest(digest))) => {
                     self.step(Input::SetDigest(digest)).await;
-                    self.changed();
+                    self.schedule_publish();
                 }
                 Event::Command(Some(Command::Leave(done))) => {
-                    waiting = Some(done);
+                    leave_done = Some(done);
                     self.step(Input::Leave).await;
                 }
             }
         }
         self.publish();
-        if let Some(done) = waiting {
+        if let Some(done) = leave_done {
             // The receiver is gone if the caller gave up waiting; there is no one to tell then.
             let _ = done.send(());
         }
@@ -97,7 +97,7 @@
 
     async fn next_event(&self, commands: &mut mpsc::Receiver<Command>, buffer: &mut [u8]) -> Event {
         let wake = self.started + Duration::from_micros(self.membership.next_tick().0);
-        let due = self.publish.map_or(wake, |publish| publish.min(wake));
+        let due = self.publish_at.map_or(wake, |at| at.min(wake));
         tokio::select! {
             received = self.socket.recv_from(buffer) => match received {
                 Ok((length, from)) => Event::Received(from, length),
@@ -115,12 +115,12 @@
         }
         match seal::open(self.key.as_ref(), sealed) {
             Some(bytes) => self.step(Input::Datagram { from, bytes }).await,
-            None => self.strangers += 1,
+            None => self.rejected += 1,
         }
     }
 
     async fn tick(&mut self) {
-        if self.publish.is_some_and(|publish| publish <= Instant::now()) {
+        if self.publish_at.is_some_and(|at| at <= Instant::now()) {
             self.publish();
         }
         self.step(Input::Tick).await;
@@ -136,23 +136,23 @@
                     // A datagram that can't be sent is one that got lost: probes allow for it.
                     let _ = self.socket.send_to(&sealed, to).await;
                 }
-                Effect::Changed(_) => self.changed(),
+                Effect::Changed(_) => self.schedule_publish(),
                 Effect::Departed => self.departed = true,
             }
         }
     }
 
-    fn changed(&mut self) {
-        self.publish.get_or_insert_with(|| Instant::now() + COLLECT);
+    fn schedule_publish(&mut self) {
+        self.publish_at.get_or_insert_with(|| Instant::now() + PUBLISH_DELAY);
     }
 
     fn publish(&mut self) {
-        self.publish = None;
+        self.publish_at = None;
         let me = std::iter::once(self.membership.me().clone());
         let view = View {
             members: me.chain(self.membership.members().cloned()).collect(),
             counts: self.membership.counts(),
-            strangers: self.strangers,
+            strangers: self.rejected,
         };
         self.publisher.send_replace(Arc::new(view));
     }
--- a/crates/gypsumglade/src/membership/mod.rs
+++ b/crates/gypsumglade/src/membership/mod.rs
@@ -23,7 +23,7 @@
 use driver::{Command, Driver};
 
 /// Commands that may wait for the driver.
-const COMMANDS: usize = 64;
+const COMMAND_QUEUE: usize = 64;
 
 /// Who this VM is and whom it contacts first.
 #[derive(Clone, Debug)]
@@ -98,10 +98,10 @@
     }
     let started = tokio::time::Instant::now();
     let membership = core::Membership::new(core_settings(&settings, address), Time::ZERO);
-    let (commands, receiver) = mpsc::channel(COMMANDS);
-    let first =
+    let (commands, receiver) = mpsc::channel(COMMAND_QUEUE);
+    let initial =
         View { members: vec![membership.me().clone()], counts: membership.counts(), strangers: 0 };
-    let (publisher, view) = watch::channel(Arc::new(first));
+    let (publisher, view) = watch::channel(Arc::new(initial));
     let driver = Driver::new(socket, settings.key, membership, started, publisher);
     let task = tokio::spawn(driver.run(receiver));
     Ok(Handle { commands, view, address, task })
--- a/crates/gypsumglade/src/membership/seal.rs
+++ b/crates/gypsumglade/src/membership/seal.rs
@@ -11,7 +11,7 @@
 use sha2::Sha256;
 
 /// Bytes of the tag behind each datagram.
-pub const TAG: usize = 32;
+pub const TAG_BYTES: usize = 32;
 
 /// Secret shared by all VMs of a deployment.
 #[derive(Clone, PartialEq, Eq)]
@@ -19,11 +19,11 @@
 
 impl ClusterKey {
     /// Fewest bytes of a secret.
-    pub const MIN: usize = 16;
+    pub const MIN_BYTES: usize = 16;
 
-    /// Takes a secret, or returns `None` if it has fewer than [`ClusterKey::MIN`] bytes.
+    /// Takes a secret, or returns `None` if it has fewer than [`ClusterKey::MIN_BYTES`] bytes.
     pub fn new(secret: Bytes) -> Option<ClusterKey> {
-        (secret.len() >= ClusterKey::MIN).then_some(ClusterKey(secret))
+        (secret.len() >= ClusterKey::MIN_BYTES).then_some(ClusterKey(secret))
     }
 
     fn tag(&self, content: &[u8]) -> Hmac<Sha256> {
@@ -43,7 +43,7 @@
 pub fn seal(key: Option<&ClusterKey>, content: Bytes) -> Bytes {
     let Some(key) = key else { return content };
     let tag = key.tag(&content).finalize().into_bytes();
-    let mut sealed = Vec::with_capacity(content.len() + TAG);
+    let mut sealed = Vec::with_capacity(content.len() + TAG_BYTES);
     sealed.extend_from_slice(&content);
     sealed.extend_from_slice(&tag);
     sealed.into()
@@ -52,7 +52,7 @@
 /// Returns the datagram in received bytes, or `None` if it isn't from a VM with the key.
 pub fn open(key: Option<&ClusterKey>, sealed: &[u8]) -> Option<Bytes> {
     let Some(key) = key else { return Some(Bytes::copy_from_slice(sealed)) };
-    let (content, tag) = sealed.split_at_checked(sealed.len().checked_sub(TAG)?)?;
+    let (content, tag) = sealed.split_at_checked(sealed.len().checked_sub(TAG_BYTES)?)?;
     key.tag(content).verify_slice(tag).ok()?;
     Some(Bytes::copy_from_slice(content))
 }
--- a/crates/gypsumglade/src/metrics.rs
+++ b/crates/gypsumglade/src/metrics.rs
@@ -22,9 +22,9 @@
 
 /// Times from a proposal to its outcome, by kind of group.
 #[derive(Clone, Debug)]
-pub struct CommitSeconds(Histogram<f64>);
+pub struct CommitLatency(Histogram<f64>);
 
-impl CommitSeconds {
+impl CommitLatency {
     /// Notes one proposal.
     pub fn record(&self, group: GroupId, took: Duration, outcome: &'static str) {
         let labels = [label("group", group_name(group)), label("outcome", outcome)];
@@ -66,10 +66,10 @@
     shed: Counter<u64>,
     retries: Counter<u64>,
     region_bytes: Counter<u64>,
-    commits: CommitSeconds,
+    commits: CommitLatency,
     resident: IntGauge,
     waiting: UpDownCounter<i64>,
-    flight: UpDownCounter<i64>,
+    in_flight: UpDownCounter<i64>,
 }
 
 /// What became of prefix tokens.
@@ -115,10 +115,10 @@
             shed: count("calls_shed"),
             retries: count("call_retries"),
             region_bytes: count("region_link_bytes"),
-            commits: CommitSeconds(seconds("replica_commit", &COMMIT_SECONDS)),
+            commits: CommitLatency(seconds("replica_commit", &COMMIT_SECONDS)),
             resident,
             waiting: meter.i64_up_down_counter("calls_waiting").build(),
-            flight: meter.i64_up_down_counter("calls_in_flight").build(),
+            in_flight: meter.i64_up_down_counter("calls_in_flight").build(),
             registry,
             _provider: provider,
         })
@@ -138,7 +138,7 @@
     }
 
     /// Returns where replicas note the time that proposals take.
-    pub fn commits(&self) -> CommitSeconds {
+    pub fn commits(&self) -> CommitLatency {
         self.commits.clone()
     }
 
@@ -202,7 +202,7 @@
 
     /// Counts a call into (+1) or out of (-1) flight.
     pub fn in_flight(&self, change: i64) {
-        self.flight.add(change, &[]);
+        self.in_flight.add(change, &[]);
     }
 }
 
--- a/crates/gypsumglade/src/operator.rs
+++ b/crates/gypsumglade/src/operator.rs
@@ -43,7 +43,7 @@
 }
 
 /// Gives a command to the control group; `None` when no leader answered.
-pub async fn give(control: &ControlClient, command: Command) -> Option<Answer> {
+pub async fn submit(control: &ControlClient, command: Command) -> Option<Answer> {
     let request = ControlRequest { body: Some(RequestBody::Command(command)) };
     match control.ask(&request).await?.body? {
         ReplyBody::Answer(answer) => Some(answer),
--- a/crates/gypsumglade/src/replica/host.rs
+++ b/crates/gypsumglade/src/replica/host.rs
@@ -13,7 +13,7 @@
 use super::engine::{self, Command};
 use super::event::{ChangeError, Event, HostStatus, Outbound, ProposeError, ReadError};
 use super::settings::HostSettings;
-use crate::metrics::CommitSeconds;
+use crate::metrics::CommitLatency;
 
 /// Bytes of batches and proposals that may wait for the replicas. They wait while the processor or the
 /// disk's thread stands still, and could fill all memory meanwhile.
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug)]
 pub struct Host {
     commands: mpsc::UnboundedSender<Command>,
-    commits: Option<CommitSeconds>,
+    commits: Option<CommitLatency>,
     inbox: Arc<ByteBudget>,
 }
 
--- a/crates/gypsumglade/src/replica/settings.rs
+++ b/crates/gypsumglade/src/replica/settings.rs
@@ -6,7 +6,7 @@
 use gypsumglade_core::replication::Settings;
 
 use crate::disk::Faults;
-use crate::metrics::CommitSeconds;
+use crate::metrics::CommitLatency;
 
 /// Settings of the replicas on one VM.
 #[derive(Clone, Debug)]
@@ -33,7 +33,7 @@
     /// Spreads election timeouts; drawn at random when not set.
     pub seed: Option<u64>,
     /// Where the time from a proposal to its outcome is noted.
-    pub commits: Option<CommitSeconds>,
+    pub commits: Option<CommitLatency>,
     /// Failures of the disk that a test wants to see.
     #[doc(hidden)]
     pub faults: Faults,
--- a/crates/gypsumglade/src/rpc/client.rs
+++ b/crates/gypsumglade/src/rpc/client.rs
@@ -31,7 +31,7 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Time for which an address counts as unreachable after a connect failed: short against any
 /// restart, long against the calls that queue up meanwhile.
-const REFUSE_FOR: Duration = Duration::from_millis(150);
+const RECONNECT_BACKOFF: Duration = Duration::from_millis(150);
 /// Calls in flight on one connection.
 const MAX_CALLS: usize = 8_192;
 
@@ -63,7 +63,7 @@
 #[derive(Default)]
 struct Slot {
     client: Option<Arc<WsClient>>,
-    failed: Option<Instant>,
+    failed_at: Option<Instant>,
 }
 
 impl PeerClients {
@@ -83,17 +83,17 @@
         parameters: ArrayParams,
         timeout: Duration,
     ) -> Result<String, RpcError> {
-        let until = tokio::time::Instant::now() + timeout;
-        let opening = tokio::time::timeout_at(until, self.client(address)).await;
+        let deadline = tokio::time::Instant::now() + timeout;
+        let opening = tokio::time::timeout_at(deadline, self.client(address)).await;
         let client = opening.map_err(|_| RpcError::Unreachable(address))??;
         let request = client.request::<String, _>(method.name(), parameters);
-        match tokio::time::timeout_at(until, request).await {
+        match tokio::time::timeout_at(deadline, request).await {
             Ok(Ok(text)) => Ok(text),
             Ok(Err(ClientError::Call(error))) => {
                 Err(RpcError::Refused(address, error.message().to_owned()))
             }
             Ok(Err(_)) | Err(_) => {
-                self.forget_broken(address, &client).await;
+                self.discard_broken(address, &client).await;
                 Err(RpcError::Lost(address))
             }
         }
@@ -107,7 +107,7 @@
         &self,
         address: SocketAddr,
         method: Method,
-        question: &Q,
+        request: &Q,
         timeout: Duration,
     ) -> Result<A, RpcError>
     where
@@ -115,7 +115,7 @@
         A: Message + Default,
     {
         let mut parameters = ArrayParams::new();
-        let inserted = parameters.insert(encode(question));
+        let inserted = parameters.insert(encode(request));
         inserted.map_err(|error| RpcError::Refused(address, error.to_string()))?;
         let text = self.call(address, method, parameters, timeout).await?;
         decode(&text).map_err(|error| RpcError::Refused(address, error.to_string()))
@@ -134,17 +134,17 @@
         let stream = TcpStream::connect(address).await.ok()?;
         stream.set_nodelay(true).ok()?;
         match &self.tls {
-            None => self.upgrade_on(stream, address, vm).await,
+            None => self.upgrade_stream(stream, address, vm).await,
             Some(tls) => {
                 let name = ServerName::IpAddress(address.ip().into());
                 let connector = TlsConnector::from(Arc::clone(tls));
                 let stream = connector.connect(name, stream).await.ok()?;
-                self.upgrade_on(stream, address, vm).await
+                self.upgrade_stream(stream, address, vm).await
             }
         }
     }
 
-    async fn upgrade_on<S>(&self, stream: S, address: SocketAddr, vm: VmId) -> Option<Link>
+    async fn upgrade_stream<S>(&self, stream: S, address: SocketAddr, vm: VmId) -> Option<Link>
     where
         S: AsyncRead + AsyncWrite + Send + Unpin + 'static,
     {
@@ -152,8 +152,8 @@
         let (mut sender, connection) = http1::handshake(io).await.ok()?;
         // Its error shows on the link that it carries.
         tokio::spawn(async move { drop(connection.with_upgrades().await) });
-        let mut request = link::open_request(&address.to_string(), vm);
-        request.headers_mut().insert(AUTHORIZATION, self.bearer()?);
+        let mut request = link::upgrade_request(&address.to_string(), vm);
+        request.headers_mut().insert(AUTHORIZATION, self.bearer_header()?);
         let response = sender.send_request(request).await.ok()?;
         if response.status() != StatusCode::SWITCHING_PROTOCOLS {
             return None;
@@ -161,7 +161,7 @@
         hyper::upgrade::on(response).await.ok().map(Link::new)
     }
 
-    fn bearer(&self) -> Option<HeaderValue> {
+    fn bearer_header(&self) -> Option<HeaderValue> {
         HeaderValue::from_str(&format!("Bearer {}", self.token.reveal())).ok()
     }
 
@@ -173,12 +173,12 @@
         }
         // Calls that queued up behind one that found nobody would otherwise each wait out a
         // connect of their own, one after another, long past their timeouts.
-        if slot.failed.is_some_and(|failed| failed.elapsed() < REFUSE_FOR) {
+        if slot.failed_at.is_some_and(|failed| failed.elapsed() < RECONNECT_BACKOFF) {
             return Err(RpcError::Unreachable(address));
         }
-        slot.failed = Some(Instant::now());
+        slot.failed_at = Some(Instant::now());
         let client = self.open(address).await.ok_or(RpcError::Unreachable(address));
-        slot.failed = client.is_err().then(Instant::now);
+        slot.failed_at = client.is_err().then(Instant::now);
         let client = Arc::new(client?);
         slot.client = Some(Arc::clone(&client));
         Ok(client)
@@ -191,7 +191,7 @@
 
     async fn open(&self, address: SocketAddr) -> Option<WsClient> {
         let mut headers = HeaderMap::new();
-        headers.insert(AUTHORIZATION, self.bearer()?);
+        headers.insert(AUTHORIZATION, self.bearer_header()?);
         let builder = WsClientBuilder::default()
             .set_headers(headers)
             .connection_timeout(CONNECT_TIMEOUT)
@@ -216,7 +216,7 @@
     ///
     /// A peer that was frozen keeps its socket open; without this every later call would wait out
     /// its timeout on the same dead connection.
-    async fn forget_broken(&self, address: SocketAddr, broken: &Arc<WsClient>) {
+    async fn discard_broken(&self, address: SocketAddr, broken: &Arc<WsClient>) {
         let connection = self.connection(address);
         let mut slot = connection.lock().await;
         if slot.client.as_ref().is_some_and(|client| Arc::ptr_eq(client, broken)) {
--- a/crates/gypsumglade/src/rpc/link.rs
+++ b/crates/gypsumglade/src/rpc/link.rs
@@ -23,12 +23,12 @@
 /// Protocol named in the upgrade.
 const PROTOCOL: &str = "replication";
 /// Who opens the link.
-const SENDER: HeaderName = HeaderName::from_static("x-vm");
+const SENDER_HEADER: HeaderName = HeaderName::from_static("x-vm");
 /// Most bytes of a frame: a piece of a snapshot with room for all that goes with it.
-const MOST_FRAME: usize = 32 * 1024 * 1024;
+const MAX_FRAME_BYTES: usize = 32 * 1024 * 1024;
 
 /// Takes the frames that a process sends.
-pub type TakeFrame = Arc<dyn Fn(VmId, Bytes) + Send + Sync>;
+pub type FrameHandler = Arc<dyn Fn(VmId, Bytes) + Send + Sync>;
 
 /// The sending end of a link.
 #[derive(Debug)]
@@ -41,7 +41,7 @@
         Link { framed: Framed::new(TokioIo::new(upgraded), codec()) }
     }
 
-    /// Sends a frame. Each is answered by [`Link::answered`] once the other process has taken it.
+    /// Sends a frame. Each is answered by [`Link::acknowledged`] once the other process has taken it.
     ///
     /// # Errors
     /// Fails when the link is broken.
@@ -50,17 +50,17 @@
     }
 
     /// Resolves with the next answer; false when the link is broken.
-    pub async fn answered(&mut self) -> bool {
+    pub async fn acknowledged(&mut self) -> bool {
         matches!(self.framed.next().await, Some(Ok(_)))
     }
 }
 
 /// Returns the request that opens a link.
-pub(super) fn open_request(host: &str, vm: VmId) -> Request<http_body_util::Empty<Bytes>> {
+pub(super) fn upgrade_request(host: &str, vm: VmId) -> Request<http_body_util::Empty<Bytes>> {
     let mut request = Request::new(http_body_util::Empty::new());
     *request.uri_mut() = http::Uri::from_static(PATH);
     let headers = request.headers_mut();
-    headers.insert(SENDER, HeaderValue::from(vm.0));
+    headers.insert(SENDER_HEADER, HeaderValue::from(vm.0));
     headers.insert(CONNECTION, HeaderValue::from_static("upgrade"));
     headers.insert(UPGRADE, HeaderValue::from_static(PROTOCOL));
     if let Ok(host) = HeaderValue::from_str(host) {
@@ -70,18 +70,19 @@
 }
 
 /// Answers the request that opens a link, and takes its frames until it ends.
-pub(super) fn accept(request: Request<Incoming>, take: &TakeFrame) -> Response<HttpBody> {
+pub(super) fn accept(request: Request<Incoming>, handler: &FrameHandler) -> Response<HttpBody> {
     let mut response = Response::new(HttpBody::empty());
-    let vm = request.headers().get(SENDER).and_then(|value| value.to_str().ok()?.parse().ok());
+    let vm =
+        request.headers().get(SENDER_HEADER).and_then(|value| value.to_str().ok()?.parse().ok());
     let Some(vm) = vm.map(VmId) else {
         *response.status_mut() = StatusCode::BAD_REQUEST;
         return response;
     };
-    let take = Arc::clone(take);
+    let handler = Arc::clone(handler);
     tokio::spawn(async move {
         // A peer that goes away before the upgrade opens another link.
         if let Ok(upgraded) = hyper::upgrade::on(request).await {
-            receive(upgraded, vm, &take).await;
+            receive(upgraded, vm, &handler).await;
         }
     });
     *response.status_mut() = StatusCode::SWITCHING_PROTOCOLS;
@@ -91,10 +92,10 @@
     response
 }
 
-async fn receive(upgraded: Upgraded, vm: VmId, take: &TakeFrame) {
+async fn receive(upgraded: Upgraded, vm: VmId, handler: &FrameHandler) {
     let mut framed = Framed::new(TokioIo::new(upgraded), codec());
     while let Some(Ok(frame)) = framed.next().await {
-        take(vm, BytesMut::freeze(frame));
+        handler(vm, BytesMut::freeze(frame));
         if framed.send(Bytes::new()).await.is_err() {
             return;
         }
@@ -102,5 +103,5 @@
 }
 
 fn codec() -> LengthDelimitedCodec {
-    LengthDelimitedCodec::builder().max_frame_length(MOST_FRAME).new_codec()
+    LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec()
 }
--- a/crates/gypsumglade/src/rpc/mod.rs
+++ b/crates/gypsumglade/src/rpc/mod.rs
@@ -12,6 +12,6 @@
 
 pub use client::{PeerClients, RpcError};
 pub use codec::{decode, encode};
-pub use link::{Link, TakeFrame};
+pub use link::{FrameHandler, Link};
 pub use method::Method;
 pub use server::{RpcServer, invalid_payload};
--- a/crates/gypsumglade/src/rpc/server.rs
+++ b/crates/gypsumglade/src/rpc/server.rs
@@ -12,7 +12,7 @@
 use jsonrpsee::types::error::INVALID_PARAMS_CODE;
 use tokio_util::sync::CancellationToken;
 
-use super::link::{self, TakeFrame};
+use super::link::{self, FrameHandler};
 use crate::listener::{Listener, ListenerOptions};
 use crate::secret::Secret;
 
@@ -27,7 +27,7 @@
 }
 
 impl RpcServer {
-    /// Serves `methods` to peers that present `token`, and takes frames of their links with `take`
+    /// Serves `methods` to peers that present `token`, and takes frames of their links with `handler`
     /// where the process takes any.
     ///
     /// # Errors
@@ -36,7 +36,7 @@
         address: SocketAddr,
         token: Secret,
         methods: Methods,
-        take: Option<TakeFrame>,
+        handler: Option<FrameHandler>,
         options: ListenerOptions,
         stop: CancellationToken,
     ) -> anyhow::Result<RpcServer> {
@@ -58,14 +58,14 @@
             let mut rpc = builder.clone().build(methods.clone(), stop_handle.clone());
             // A stranger that reaches the port could otherwise settle calls or vote; the handshake is
             // where it is turned away, before a single call is parsed.
-            let allowed = token.borne_by(request.headers());
-            let take = take.clone();
+            let allowed = token.matches_bearer(request.headers());
+            let handler = handler.clone();
             async move {
                 if !allowed {
-                    return Ok::<_, Infallible>(denied());
+                    return Ok::<_, Infallible>(unauthorized());
                 }
-                if let Some(take) = take.filter(|_| request.uri().path() == link::PATH) {
-                    return Ok(link::accept(request, &take));
+                if let Some(handler) = handler.filter(|_| request.uri().path() == link::PATH) {
+                    return Ok(link::accept(request, &handler));
                 }
                 let answer: Result<Response<HttpBody>, BoxError> =
                     tower::Service::call(&mut rpc, request).await;
@@ -89,7 +89,7 @@
     });
 }
 
-fn denied() -> Response<HttpBody> {
+fn unauthorized() -> Response<HttpBody> {
     status_only(StatusCode::UNAUTHORIZED)
 }
 
--- a/crates/gypsumglade/src/secret.rs
+++ b/crates/gypsumglade/src/secret.rs
@@ -25,7 +25,7 @@
     }
 
     /// Tells whether a request's `Authorization: Bearer` header presents this secret.
-    pub fn borne_by(&self, headers: &HeaderMap) -> bool {
+    pub fn matches_bearer(&self, headers: &HeaderMap) -> bool {
         let given = headers.get(AUTHORIZATION).and_then(|value| value.to_str().ok());
         let given = given.and_then(|value| value.strip_prefix("Bearer "));
         given.is_some_and(|given| self.matches(given))
--- a/crates/gypsumglade/src/settings/discovery.rs
+++ b/crates/gypsumglade/src/settings/discovery.rs
@@ -25,7 +25,7 @@
 
 impl DiscoverySettings {
     pub(super) fn check(&self, vm: &VmSettings, findings: &mut Findings) {
-        findings.name("discovery.name", &self.name);
+        findings.check_name("discovery.name", &self.name);
         if self.seeds.is_empty() {
             findings.add("discovery.seeds", "nothing", "the address of at least one store");
         }
--- a/crates/gypsumglade/src/settings/finding.rs
+++ b/crates/gypsumglade/src/settings/finding.rs
@@ -42,7 +42,7 @@
     }
 
     /// Adds a finding if `value` lies outside `range`; `unit` names what it counts.
-    pub fn range(&mut self, place: &str, value: u64, range: RangeInclusive<u64>, unit: &str) {
+    pub fn check_range(&mut self, place: &str, value: u64, range: RangeInclusive<u64>, unit: &str) {
         if range.contains(&value) {
             return;
         }
@@ -53,9 +53,9 @@
     ///
     /// Names go into log fields, metric labels and headers, where other characters would need
     /// escapes.
-    pub fn name(&mut self, place: &str, value: &str) {
+    pub fn check_name(&mut self, place: &str, value: &str) {
         let plain = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
-        if !value.is_empty() && value.len() <= NAME_BYTES && value.chars().all(plain) {
+        if !value.is_empty() && value.len() <= MAX_NAME_BYTES && value.chars().all(plain) {
             return;
         }
         let allowed = "1 to 64 of the characters a-z, A-Z, 0-9, '-', '_' and '.'";
@@ -64,7 +64,7 @@
 }
 
 /// Longest name of a failure domain or region, in bytes.
-const NAME_BYTES: usize = 64;
+const MAX_NAME_BYTES: usize = 64;
 
 impl fmt::Display for Findings {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
--- a/crates/gypsumglade/src/settings/limits.rs
+++ b/crates/gypsumglade/src/settings/limits.rs
@@ -32,9 +32,9 @@
 
 impl LimitSettings {
     pub(super) fn check(&self, findings: &mut Findings) {
-        findings.range("limits.body_bytes", self.body_bytes, 1_024..=64 << 20, "bytes");
-        findings.range("limits.header_bytes", self.header_bytes, 1_024..=1 << 20, "bytes");
-        findings.range("limits.concurrent", self.concurrent, 1..=65_536, "calls");
-        findings.range("limits.queue", self.queue, 0..=65_536, "calls");
+        findings.check_range("limits.body_bytes", self.body_bytes, 1_024..=64 << 20, "bytes");
+        findings.check_range("limits.header_bytes", self.header_bytes, 1_024..=1 << 20, "bytes");
+        findings.check_range("limits.concurrent", self.concurrent, 1..=65_536, "calls");
+        findings.check_range("limits.queue", self.queue, 0..=65_536, "calls");
     }
 }
--- a/crates/gypsumglade/src/settings/listen.rs
+++ b/crates/gypsumglade/src/settings/listen.rs
@@ -50,8 +50,8 @@
             ("listen.admin", self.admin),
         ];
         for (i, (place, address)) in tcp.iter().enumerate() {
-            let twin = tcp[..i].iter().find(|(_, a)| a == address && a.port() != 0);
-            if let Some((other, _)) = twin {
+            let duplicate = tcp[..i].iter().find(|(_, a)| a == address && a.port() != 0);
+            if let Some((other, _)) = duplicate {
                 findings.add(place, address, &format!("an address that {other} does not use"));
             }
         }
--- a/crates/gypsumglade/src/settings/load.rs
+++ b/crates/gypsumglade/src/settings/load.rs
@@ -8,7 +8,7 @@
 use super::{Findings, Settings};
 
 /// Most type errors that one check reports; more of them mean that the file is of another kind.
-const TYPE_ERRORS: usize = 64;
+const MAX_TYPE_ERRORS: usize = 64;
 
 /// Reads, parses and checks a file.
 pub(super) fn from_file(path: &Path) -> Result<Settings, Findings> {
@@ -55,7 +55,7 @@
 /// Serde stops at the first type error. The key that failed is removed, so that its default stands
 /// in, and the next pass finds the next error.
 fn decode(mut tree: Value, findings: &mut Findings) -> Settings {
-    for _ in 0..TYPE_ERRORS {
+    for _ in 0..MAX_TYPE_ERRORS {
         let mut unknown = Vec::new();
         let mut track = Track::new();
         let decoder = serde_path_to_error::Deserializer::new(tree.clone(), &mut track);
@@ -69,8 +69,8 @@
             Err(error) => error,
         };
         let path = track.path();
-        let bad = take(&mut tree, &path);
-        findings.add(&path.to_string(), shown(bad.as_ref()), &error.to_string());
+        let bad = remove_at(&mut tree, &path);
+        findings.add(&path.to_string(), describe(bad.as_ref()), &error.to_string());
         if bad.is_none() {
             break;
         }
@@ -80,13 +80,13 @@
 
 fn report_unknown(tree: &Value, unknown: &[String], findings: &mut Findings) {
     for path in unknown {
-        let siblings = known_keys(path);
-        let value = path.split('.').try_fold(tree, |at, key| match key.parse::<usize>() {
-            Ok(index) => at.get(index),
-            Err(_) => at.get(key),
+        let allowed = known_keys(path);
+        let value = path.split('.').try_fold(tree, |node, key| match key.parse::<usize>() {
+            Ok(index) => node.get(index),
+            Err(_) => node.get(key),
         });
-        let found = format!("unknown key with value {}", shown(value));
-        findings.add(path, found, siblings);
+        let found = format!("unknown key with value {}", describe(value));
+        findings.add(path, found, allowed);
     }
 }
 
@@ -101,38 +101,38 @@
 
 /// Removes what `path` names, and returns it; a list element that is no text is emptied, to keep the
 /// positions of its neighbours.
-fn take(tree: &mut Value, path: &KeyPath) -> Option<Value> {
+fn remove_at(tree: &mut Value, path: &KeyPath) -> Option<Value> {
     let segments: Vec<&Segment> = path.iter().collect();
-    let (last, front) = segments.split_last()?;
-    let parent = front.iter().try_fold(tree, |at, segment| step(at, segment))?;
+    let (last, parents) = segments.split_last()?;
+    let parent = parents.iter().try_fold(tree, |node, segment| child_mut(node, segment))?;
     match last {
         Segment::Map { key } => parent.as_mapping_mut()?.remove(key.as_str()),
         Segment::Seq { index } => {
             let list = parent.as_sequence_mut()?;
-            let slot = list.get_mut(*index)?;
-            if slot.is_mapping() {
+            let element = list.get_mut(*index)?;
+            if element.is_mapping() {
                 return None;
             }
             // An empty mapping in the place of a text would be the next error.
-            if slot.is_string() {
+            if element.is_string() {
                 return Some(list.remove(*index));
             }
-            Some(std::mem::replace(slot, Value::Mapping(Mapping::new())))
+            Some(std::mem::replace(element, Value::Mapping(Mapping::new())))
         }
         Segment::Enum { .. } | Segment::Unknown => None,
     }
 }
 
-fn step<'a>(at: &'a mut Value, segment: &Segment) -> Option<&'a mut Value> {
+fn child_mut<'a>(node: &'a mut Value, segment: &Segment) -> Option<&'a mut Value> {
     match segment {
-        Segment::Map { key } => at.get_mut(key.as_str()),
-        Segment::Seq { index } => at.get_mut(*index),
+        Segment::Map { key } => node.get_mut(key.as_str()),
+        Segment::Seq { index } => node.get_mut(*index),
         Segment::Enum { .. } | Segment::Unknown => None,
     }
 }
 
 /// Shows a value on one line, as a person would write it.
-fn shown(value: Option<&Value>) -> String {
+fn describe(value: Option<&Value>) -> String {
     match value {
         None => "nothing".to_owned(),
         Some(Value::Mapping(_)) => "a section".to_owned(),
--- a/crates/gypsumglade/src/settings/mod.rs
+++ b/crates/gypsumglade/src/settings/mod.rs
@@ -81,7 +81,7 @@
 
 /// Program groups of a deployment whose settings name no count: enough that a store's processors
 /// are used, few enough that nine VMs' heartbeats stay small.
-const GROUPS: u32 = 8;
+const DEFAULT_GROUPS: u32 = 8;
 
 impl Default for Settings {
     fn default() -> Settings {
@@ -92,7 +92,7 @@
             discovery: None,
             gateway: None,
             threads: 0,
-            groups: GROUPS,
+            groups: DEFAULT_GROUPS,
             store: None,
             tokens: TokenSettings::default(),
             operators: OperatorSettings::default(),
@@ -132,7 +132,7 @@
         Settings {
             vm: VmSettings { id: 1, domain: "local".into(), region: "local".into() },
             store: Some(StoreSettings { folder: folder.to_path_buf(), ..StoreSettings::default() }),
-            tokens: TokenSettings::fresh(),
+            tokens: TokenSettings::random(),
             ..Settings::default()
         }
     }
@@ -182,8 +182,13 @@
     fn check(&self, findings: &mut Findings) {
         self.vm.check(self.discovery.is_some(), findings);
         self.listen.check(findings);
-        let least = if self.gateway.is_some() || self.discovery.is_some() { 0 } else { 1 };
-        findings.range("groups", u64::from(self.groups), least..=u64::from(SLOTS), "groups");
+        let minimum = if self.gateway.is_some() || self.discovery.is_some() { 0 } else { 1 };
+        findings.check_range(
+            "groups",
+            u64::from(self.groups),
+            minimum..=u64::from(SLOTS),
+            "groups",
+        );
         match &self.discovery {
             Some(discovery) => discovery.check(&self.vm, findings),
             None => peers::check(&self.vm, &self.peers, self.store.is_some(), findings),
--- a/crates/gypsumglade/src/settings/operators.rs
+++ b/crates/gypsumglade/src/settings/operators.rs
@@ -17,7 +17,7 @@
 
 impl OperatorSettings {
     /// Returns the keys that decode; a loaded file has no others.
-    pub fn decoded(&self) -> Vec<VerifyingKey> {
+    pub fn verifying_keys(&self) -> Vec<VerifyingKey> {
         self.keys.iter().filter_map(|k| decode(k)).collect()
     }
 
@@ -34,7 +34,7 @@
         }
         let count = self.keys.len() as u64;
         let threshold = u64::from(self.threshold);
-        findings.range("operators.threshold", threshold, 1..=count.max(1), "signatures");
+        findings.check_range("operators.threshold", threshold, 1..=count.max(1), "signatures");
         if self.keys.is_empty() {
             findings.add("operators.keys", "no key", "at least one operator's public key");
         }
--- a/crates/gypsumglade/src/settings/peers.rs
+++ b/crates/gypsumglade/src/settings/peers.rs
@@ -52,12 +52,12 @@
     for (i, peer) in peers.iter().enumerate() {
         let at = |key: &str| format!("peers[{i}].{key}");
         let number = u64::from(peer.vm);
-        findings.range(&at("vm"), number, 1..=u64::from(u32::MAX), "as a VM's number");
+        findings.check_range(&at("vm"), number, 1..=u64::from(u32::MAX), "as a VM's number");
         if !seen.insert(peer.vm) {
             findings.add(&at("vm"), peer.vm, "a number that no earlier peer has");
         }
-        findings.name(&at("domain"), &peer.domain);
-        findings.name(&at("region"), &peer.region);
+        findings.check_name(&at("domain"), &peer.domain);
+        findings.check_name(&at("region"), &peer.region);
         for (key, address) in [("peers", peer.peers), ("gossip", peer.gossip)] {
             if address.port() == 0 || address.ip().is_unspecified() {
                 findings.add(&at(key), address, "an IP address and port that others can reach");
--- a/crates/gypsumglade/src/settings/policy.rs
+++ b/crates/gypsumglade/src/settings/policy.rs
@@ -18,7 +18,7 @@
 }
 
 /// Highest price of a megabyte, in seconds: at it a prompt of 20 KB would rather wait half an hour.
-const MOST_PRICE: f64 = 100_000.0;
+const MAX_PRICE: f64 = 100_000.0;
 
 impl Default for PolicySettings {
     fn default() -> PolicySettings {
@@ -38,7 +38,7 @@
             ("policy.region_price", self.region_price),
         ];
         for (place, price) in prices {
-            if !(0.0..=MOST_PRICE).contains(&price) {
+            if !(0.0..=MAX_PRICE).contains(&price) {
                 findings.add(place, price, "seconds for a megabyte, from 0 to 100000");
             }
         }
--- a/crates/gypsumglade/src/settings/store.rs
+++ b/crates/gypsumglade/src/settings/store.rs
@@ -70,13 +70,18 @@
         if self.folder.as_os_str().is_empty() {
             findings.add("store.folder", "an empty path", "a folder on a disk that syncs");
         }
-        findings.range("store.heartbeat_ms", self.heartbeat_ms, 10..=10_000, "milliseconds");
-        findings.range("store.tolerate", u64::from(self.tolerate), 0..=4, "VMs");
+        findings.check_range("store.heartbeat_ms", self.heartbeat_ms, 10..=10_000, "milliseconds");
+        findings.check_range("store.tolerate", u64::from(self.tolerate), 0..=4, "VMs");
         let texts = 1024 * 1024..=u64::MAX;
-        findings.range("store.text_bytes", self.text_bytes, texts, "bytes");
+        findings.check_range("store.text_bytes", self.text_bytes, texts, "bytes");
         let lease = self.endpoint_lease_ms;
-        findings.range("store.endpoint_lease_ms", lease, 100..=600_000, "milliseconds");
-        let least = self.heartbeat_ms.saturating_mul(3);
-        findings.range("store.election_ms", self.election_ms, least..=60_000, "milliseconds");
+        findings.check_range("store.endpoint_lease_ms", lease, 100..=600_000, "milliseconds");
+        let minimum = self.heartbeat_ms.saturating_mul(3);
+        findings.check_range(
+            "store.election_ms",
+            self.election_ms,
+            minimum..=60_000,
+            "milliseconds",
+        );
     }
 }
--- a/crates/gypsumglade/src/settings/timeouts.rs
+++ b/crates/gypsumglade/src/settings/timeouts.rs
@@ -40,7 +40,7 @@
 }
 
 /// Longest timeout that is taken for meant, one hour.
-const LONGEST_MS: u64 = 3_600_000;
+const MAX_TIMEOUT_MS: u64 = 3_600_000;
 
 impl TimeoutSettings {
     /// Returns the bound on a connect.
@@ -90,10 +90,10 @@
             ("timeouts.peer_ms", self.peer_ms),
             ("timeouts.drain_ms", self.drain_ms),
         ] {
-            findings.range(place, value, 1..=LONGEST_MS, "milliseconds");
+            findings.check_range(place, value, 1..=MAX_TIMEOUT_MS, "milliseconds");
         }
         // A bundle must be in force everywhere within 12 s, and the lease bounds that.
-        findings.range("timeouts.lease_ms", self.lease_ms, 1_000..=10_000, "milliseconds");
-        findings.range("timeouts.confirm_ms", self.confirm_ms, 50..=5_000, "milliseconds");
+        findings.check_range("timeouts.lease_ms", self.lease_ms, 1_000..=10_000, "milliseconds");
+        findings.check_range("timeouts.confirm_ms", self.confirm_ms, 50..=5_000, "milliseconds");
     }
 }
--- a/crates/gypsumglade/src/settings/tokens.rs
+++ b/crates/gypsumglade/src/settings/tokens.rs
@@ -8,22 +8,22 @@
 use crate::secret::Secret;
 
 /// Mark of a secret that stands in a file of its own.
-const FILE_MARK: &str = "file:";
+const FILE_PREFIX: &str = "file:";
 /// Shortest secret that a guess over the network can't find.
-const SECRET_BYTES: usize = 16;
+const MIN_SECRET_BYTES: usize = 16;
 
 /// One secret for each listener that is not the callers', whose keys are in the bundle.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default)]
 pub struct TokenSettings {
     /// Shared by the VMs of the deployment.
-    #[serde(deserialize_with = "secret")]
+    #[serde(deserialize_with = "deserialize_secret")]
     pub peers: Secret,
     /// Asked of operators by the admin listener.
-    #[serde(deserialize_with = "secret")]
+    #[serde(deserialize_with = "deserialize_secret")]
     pub admin: Secret,
     /// Asked of endpoints that announce themselves.
-    #[serde(deserialize_with = "secret")]
+    #[serde(deserialize_with = "deserialize_secret")]
     pub endpoints: Secret,
 }
 
@@ -33,15 +33,15 @@
     }
 }
 
-fn secret<'de, D: serde::Deserializer<'de>>(decoder: D) -> Result<Secret, D::Error> {
+fn deserialize_secret<'de, D: serde::Deserializer<'de>>(decoder: D) -> Result<Secret, D::Error> {
     CompactString::deserialize(decoder).map(Secret::new)
 }
 
 impl TokenSettings {
     /// Returns random tokens for a process that is the whole deployment.
-    pub fn fresh() -> TokenSettings {
-        let draw = || Secret::new(hex::encode(rand::random::<[u8; SECRET_BYTES]>()));
-        TokenSettings { peers: draw(), admin: draw(), endpoints: draw() }
+    pub fn random() -> TokenSettings {
+        let token = || Secret::new(hex::encode(rand::random::<[u8; MIN_SECRET_BYTES]>()));
+        TokenSettings { peers: token(), admin: token(), endpoints: token() }
     }
 
     /// Replaces each `file:PATH` by the file's trimmed text; a relative path starts at `folder`.
@@ -51,7 +51,7 @@
             ("tokens.admin", &mut self.admin),
             ("tokens.endpoints", &mut self.endpoints),
         ] {
-            let Some(path) = secret.reveal().strip_prefix(FILE_MARK) else {
+            let Some(path) = secret.reveal().strip_prefix(FILE_PREFIX) else {
                 continue;
             };
             match std::fs::read_to_string(folder.join(path)) {
@@ -60,7 +60,7 @@
                     let found = format!("{:?} ({error})", secret.reveal());
                     findings.add(place, found, "`file:` and the path of a readable file");
                     // Long enough that the length check adds no second finding.
-                    *secret = Secret::new("-".repeat(SECRET_BYTES));
+                    *secret = Secret::new("-".repeat(MIN_SECRET_BYTES));
                 }
             }
         }
@@ -73,7 +73,7 @@
             ("tokens.endpoints", &self.endpoints),
         ] {
             let length = secret.reveal().len();
-            if length < SECRET_BYTES {
+            if length < MIN_SECRET_BYTES {
                 let found = format!("a secret of {length} bytes");
                 findings.add(place, found, "at least 16 bytes, inline or as `file:PATH`");
             }
--- a/crates/gypsumglade/src/settings/vm.rs
+++ b/crates/gypsumglade/src/settings/vm.rs
@@ -25,10 +25,10 @@
 
     /// Checks the values; a VM that makes its own identity has no number here.
     pub(super) fn check(&self, discovered: bool, findings: &mut Findings) {
-        let least = if discovered { 0 } else { 1 };
-        let numbers = least..=u64::from(u32::MAX);
-        findings.range("vm.id", u64::from(self.id), numbers, "as a VM's number");
-        findings.name("vm.domain", &self.domain);
-        findings.name("vm.region", &self.region);
+        let minimum = if discovered { 0 } else { 1 };
+        let numbers = minimum..=u64::from(u32::MAX);
+        findings.check_range("vm.id", u64::from(self.id), numbers, "as a VM's number");
+        findings.check_name("vm.domain", &self.domain);
+        findings.check_name("vm.region", &self.region);
     }
 }
--- a/crates/gypsumglade/src/store/outbound.rs
+++ b/crates/gypsumglade/src/store/outbound.rs
@@ -226,7 +226,7 @@
                     Ok(Err(_)) | Err(_) => return,
                 }
             }
-            answered = link.answered() => {
+            answered = link.acknowledged() => {
                 if !answered {
                     return;
                 }
--- a/crates/gypsumglade/src/store/serve.rs
+++ b/crates/gypsumglade/src/store/serve.rs
@@ -33,7 +33,7 @@
 use crate::listener::Listener;
 use crate::metrics::Metrics;
 use crate::replica::{Event, Host, HostSettings};
-use crate::rpc::{PeerClients, RpcServer, TakeFrame};
+use crate::rpc::{FrameHandler, PeerClients, RpcServer};
 use crate::settings::{DiscoverySettings, Settings, StoreSettings};
 use crate::texts::{TextLimits, TextOptions, TextStore};
 use crate::tls;
@@ -124,7 +124,8 @@
         let own = settings.store.clone().context("the settings have no `store` section")?;
         let halt = CancellationToken::new();
         let vm = identity(&settings, &own)?;
-        let peers = PeerClients::new(settings.tokens.peers.clone(), tls::peers(&settings.tls)?);
+        let peers =
+            PeerClients::new(settings.tokens.peers.clone(), tls::peer_client(&settings.tls)?);
         let clock = Clock::start();
         let process = Process { vm, role: Role::Store, address: own.peers };
         let (shared, callers) = (Arc::clone(&directory), peers.clone());
@@ -165,7 +166,7 @@
         let metrics = match state.settings.listen.metrics {
             Some(address) => {
                 let options = listener_options(&state.settings, None)?;
-                let routes = admin::open_metrics(Arc::clone(&state));
+                let routes = admin::unauthenticated_metrics(Arc::clone(&state));
                 Some(Listener::bind(address, routes, options, halt.clone()).await?)
             }
             None => None,
@@ -291,9 +292,10 @@
     let methods = peer_calls::methods(Arc::clone(state))?;
     let token = state.settings.tokens.peers.clone();
     let host = state.context.host.clone();
-    let take: TakeFrame = Arc::new(move |from, batch| host.receive(from, batch));
+    let handler: FrameHandler = Arc::new(move |from, batch| host.receive(from, batch));
     let methods = methods.into();
-    let rpc = RpcServer::bind(own.peers, token, methods, Some(take), options, halt.clone()).await?;
+    let rpc =
+        RpcServer::bind(own.peers, token, methods, Some(handler), options, halt.clone()).await?;
     let options = listener_options(&state.settings, pairs.admin.as_ref())?;
     let routes = admin::store_routes(Arc::clone(state));
     let admin = Listener::bind(own.admin, routes, options, halt.clone()).await?;
--- a/crates/gypsumglade/src/tls.rs
+++ b/crates/gypsumglade/src/tls.rs
@@ -33,7 +33,7 @@
 ///
 /// # Errors
 /// Fails when peers speak TLS but no authority is named, or its file cannot be read.
-pub fn peers(settings: &TlsSettings) -> anyhow::Result<Option<Arc<ClientConfig>>> {
+pub fn peer_client(settings: &TlsSettings) -> anyhow::Result<Option<Arc<ClientConfig>>> {
     if settings.peers.is_none() {
         return Ok(None);
     }
--- a/crates/gypsumglade/tests/border_rpc.rs
+++ b/crates/gypsumglade/tests/border_rpc.rs
@@ -145,7 +145,7 @@
     for _ in 0..200 {
         let garbage = vec(any::<u8>(), 0..200).new_tree(&mut runner).expect("a value").current();
         link.send(garbage.into()).await.expect("sent");
-        assert!(link.answered().await, "the frame is taken");
+        assert!(link.acknowledged().await, "the frame is taken");
     }
     check_serving(&system, "good").await;
 }
@@ -288,7 +288,7 @@
         let mut link = peers.open_link(store(&system), VmId(9)).await.expect("a link");
         for batch in batches(number) {
             link.send(batch.encode_to_vec().into()).await.expect("sent");
-            assert!(link.answered().await, "the batch is taken");
+            assert!(link.acknowledged().await, "the batch is taken");
         }
         let lease = control_wire::ConfirmRequest {
             vm: number as u32,
--- a/crates/gypsumglade/tests/border_support/mod.rs
+++ b/crates/gypsumglade/tests/border_support/mod.rs
@@ -61,7 +61,7 @@
         let signed = operator::sign(&bundle(), &key).expect("the bundle is sound");
         let command = operator::accept_command(&signed, RevisionNumber(0), "border");
         let command = command.expect("the bundle is sound");
-        operator::give(&control, command).await.expect("the control group answers");
+        operator::submit(&control, command).await.expect("the control group answers");
         let ready = async || state.config.active(state.clock.now()).is_ok();
         assert!(wait_until(PATIENCE, ready).await, "the bundle is not in force");
         system
--- a/crates/gypsumglade/tests/fault_run/outside.rs
+++ b/crates/gypsumglade/tests/fault_run/outside.rs
@@ -105,7 +105,7 @@
         let bundle = operator::sign(&content, &KeyPair::from_seed(OPERATOR)).expect("it signs");
         let order = format!("{version}-{mark}");
         let command = operator::accept_command(&bundle, RevisionNumber(base), &order);
-        operator::give(&control, command.expect("it holds")).await
+        operator::submit(&control, command.expect("it holds")).await
     }
 }
 
--- a/crates/gypsumglade/tests/support/mod.rs
+++ b/crates/gypsumglade/tests/support/mod.rs
@@ -91,7 +91,7 @@
         let order = format!("order-{patch}");
         let command = operator::accept_command(&bundle, base, &order).expect("it holds");
         let control = self.control();
-        let answer = operator::give(&control, command).await.expect("the control group answers");
+        let answer = operator::submit(&control, command).await.expect("the control group answers");
         let Some(AnswerBody::Accepted(accepted)) = answer.body else {
             panic!("not accepted: {answer:?}");
         };
