--- a/crates/gypsumglade/src/settings/discovery.rs
+++ b/crates/gypsumglade/src/settings/discovery.rs
@@ -1,4 +1,4 @@
-//! How a process finds the others where nobody hands out a list.
+//! Settings for finding the other processes from seed addresses instead of a full peer list.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,19 +7,19 @@
 
 use super::{Findings, VmSettings};
 
-/// Where to look for the other processes.
+/// Seed addresses and the layout of the deployment; used in place of `peers`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(default)]
 pub struct DiscoverySettings {
-    /// Name of this VM, as operators use it.
+    /// Name of this VM for operators.
     pub name: CompactString,
-    /// Stores to ask first. Their ports are replaced by this VM's own port for calls between
+    /// Stores to contact first. Their ports are replaced by this VM's own port for calls between
     /// processes, which is the same on all VMs.
     pub seeds: Vec<SocketAddr>,
-    /// True only when the whole deployment starts for the first time, with empty disks: the stores
-    /// among the seeds then form the groups.
+    /// Whether the deployment starts for the first time, with empty disks. The stores among the
+    /// seeds then form the groups.
     pub first_start: bool,
-    /// Region of each failure domain.
+    /// Region of each failure domain, by the domain's name.
     pub domains: BTreeMap<CompactString, CompactString>,
 }
 
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Returns the seeds' addresses for calls between processes.
+    /// Returns the seeds' addresses with `port` in place of their own.
     pub fn peers(&self, port: u16) -> Vec<SocketAddr> {
         self.seeds.iter().map(|seed| SocketAddr::new(seed.ip(), port)).collect()
     }
--- a/crates/gypsumglade/src/settings/example.rs
+++ b/crates/gypsumglade/src/settings/example.rs
@@ -1,19 +1,19 @@
-//! Example settings, one annotated file for each role.
+//! Example settings files, one for each role.
 
 use gypsumglade_core::prelude::*;
 
-/// What a VM does, as far as its settings differ.
+/// Role of a VM, which decides the sections that its settings need.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, clap::ValueEnum)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
-    /// A VM without a disk: callers' interface, routing and membership.
+    /// A VM without a disk: serves callers and routes their requests.
     Entry,
-    /// A VM with a disk: replicas as well.
+    /// A VM with a disk: holds replicas as well.
     Store,
 }
 
 impl Role {
-    /// Returns the annotated file.
+    /// Returns the example file of this role.
     pub(super) fn text(self) -> &'static str {
         match self {
             Role::Entry => include_str!("../../../../examples/entry.yaml"),
--- a/crates/gypsumglade/src/settings/finding.rs
+++ b/crates/gypsumglade/src/settings/finding.rs
@@ -1,4 +1,4 @@
-//! Findings of a settings check, collected and reported together.
+//! Errors found in a settings file, collected so that they are reported together.
 
 use std::fmt;
 use std::ops::RangeInclusive;
@@ -6,33 +6,33 @@
 
 use gypsumglade_core::prelude::*;
 
-/// One thing that is wrong in a settings file.
+/// One error in a settings file.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Finding {
-    /// Place in the file: a key path such as `listen.callers`, or `line 3, column 5`.
+    /// Key path such as `listen.callers`, or a position such as `line 3, column 5`.
     pub place: CompactString,
-    /// The value found there, or a short word for it when it is absent or unknown.
+    /// The value found there, or a description of it such as `nothing` or `a list`.
     pub value: CompactString,
-    /// What would be accepted instead.
+    /// Description of the accepted values.
     pub allowed: CompactString,
 }
 
-/// Every finding of one settings file.
+/// All errors found in one settings file.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Findings {
     /// The file that was checked.
     pub file: PathBuf,
-    /// What is wrong in it, in the order in which it was found.
+    /// The errors, in the order in which they were found.
     pub list: Vec<Finding>,
 }
 
 impl Findings {
-    /// Starts a check of `file` with nothing found.
+    /// Creates an empty list for `file`.
     pub fn new(file: &Path) -> Findings {
         Findings { file: file.to_path_buf(), list: Vec::new() }
     }
 
-    /// Adds a finding.
+    /// Adds a finding for the key path or position `place`.
     pub fn add(&mut self, place: &str, value: impl fmt::Display, allowed: &str) {
         self.list.push(Finding {
             place: place.into(),
@@ -41,7 +41,7 @@
         });
     }
 
-    /// Adds a finding if `value` lies outside `range`; `unit` names what it counts.
+    /// Adds a finding if `value` is outside `range`; `unit` is printed after the bounds.
     pub fn check_range(&mut self, place: &str, value: u64, range: RangeInclusive<u64>, unit: &str) {
         if range.contains(&value) {
             return;
@@ -49,10 +49,8 @@
         self.add(place, value, &format!("{} to {} {unit}", range.start(), range.end()));
     }
 
-    /// Adds a finding if `value` is not a plain name.
-    ///
-    /// Names go into log fields, metric labels and headers, where other characters would need
-    /// escapes.
+    /// Adds a finding if `value` is empty, too long, or has characters that would need escaping in
+    /// log fields, metric labels and headers.
     pub fn check_name(&mut self, place: &str, value: &str) {
         let plain = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
         if !value.is_empty() && value.len() <= MAX_NAME_BYTES && value.chars().all(plain) {
@@ -63,7 +61,7 @@
     }
 }
 
-/// Longest name of a failure domain or region, in bytes.
+/// Maximum length of a name, in bytes.
 const MAX_NAME_BYTES: usize = 64;
 
 impl fmt::Display for Findings {
--- a/crates/gypsumglade/src/settings/gateway.rs
+++ b/crates/gypsumglade/src/settings/gateway.rs
@@ -1,19 +1,20 @@
-//! The interface for requests that are passed through to endpoints.
+//! Settings of the gateway, which passes callers' requests through to endpoints.
 
 use std::net::SocketAddr;
 
 use super::listen::LOOPBACK;
 use gypsumglade_core::prelude::*;
 
-/// Addresses of the gateway.
+/// Listen addresses of the gateway and the replication of kept turns.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(default)]
 pub struct GatewaySettings {
-    /// Requests of callers.
+    /// Listener for callers' requests.
     pub callers: SocketAddr,
-    /// The balancer's question whether this VM takes callers.
+    /// Listener for the load balancer's readiness check.
     pub ready: SocketAddr,
-    /// Stores whose loss at one time kept turns bear; each text is put on one more.
+    /// Number of stores that can be lost at once without losing kept turns. Each text is written to
+    /// one store more than this.
     pub tolerate: u32,
 }
 
--- a/crates/gypsumglade/src/settings/limits.rs
+++ b/crates/gypsumglade/src/settings/limits.rs
@@ -1,27 +1,27 @@
-//! Bounds on size and concurrency.
+//! Limits on request size and concurrency.
 
 use gypsumglade_core::prelude::*;
 
 use super::Findings;
 
-/// What the callers' interface accepts before it refuses with `not-run`.
+/// Limits of the callers' interface; requests beyond them are refused with `not-run`.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(default)]
 pub struct LimitSettings {
-    /// Largest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: u64,
-    /// Largest sum of request headers, in bytes.
+    /// Maximum total size of the request headers, in bytes.
     pub header_bytes: u64,
-    /// Calls in flight to endpoints at one time.
+    /// Maximum number of calls in flight to endpoints.
     pub concurrent: u64,
-    /// Calls that wait for an endpoint at one time.
+    /// Maximum number of calls that wait for an endpoint.
     pub queue: u64,
 }
 
 impl Default for LimitSettings {
     fn default() -> LimitSettings {
         LimitSettings {
-            // A history of 140,000 tokens is some 0.6 MB of text.
+            // Leaves ample room for a long history: 140,000 tokens are about 0.6 MB of text.
             body_bytes: 4 << 20,
             header_bytes: 16 << 10,
             concurrent: 2_048,
--- a/crates/gypsumglade/src/settings/listen.rs
+++ b/crates/gypsumglade/src/settings/listen.rs
@@ -1,4 +1,4 @@
-//! Addresses that the process listens on.
+//! Listen addresses of the process.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
@@ -6,26 +6,26 @@
 
 use super::Findings;
 
-/// Addresses of the listeners, each apart so that a firewall can keep them apart.
+/// Listen addresses. Each listener has its own, so that firewall rules can tell them apart.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(default)]
 pub struct ListenSettings {
-    /// The callers' HTTP interface, behind the platform's balancer.
+    /// The callers' HTTP interface, behind the platform's load balancer.
     pub callers: SocketAddr,
-    /// Announcements of endpoints.
+    /// Announcements from endpoints.
     pub endpoints: SocketAddr,
-    /// Calls from the other VMs of the system.
+    /// Calls from other VMs.
     pub peers: SocketAddr,
-    /// The operators' interface, metrics and dumps.
+    /// The operators' interface, with metrics and dumps.
     pub admin: SocketAddr,
-    /// Metrics page without a token, for a network that only the provider reaches; absent where
-    /// the operators' interface serves it.
+    /// Metrics without a token, for a network that only the provider can reach. If absent, only the
+    /// operators' interface serves them.
     pub metrics: Option<SocketAddr>,
-    /// Membership datagrams, UDP.
+    /// Membership datagrams (UDP).
     pub gossip: SocketAddr,
 }
 
-/// Loopback with a free port, which suits an embedded process and a test.
+/// Loopback with a port chosen by the kernel, for embedded processes and tests.
 pub(super) const LOOPBACK: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
 impl Default for ListenSettings {
--- a/crates/gypsumglade/src/settings/load.rs
+++ b/crates/gypsumglade/src/settings/load.rs
@@ -1,4 +1,4 @@
-//! Reading a settings file so that one bad value doesn't hide the next.
+//! Reads a settings file and reports all of its errors, not only the first.
 
 use std::path::Path;
 
@@ -7,10 +7,10 @@
 
 use super::{Findings, Settings};
 
-/// Most type errors that one check reports; more of them mean that the file is of another kind.
+/// Maximum number of type errors reported. A file with more is probably not a settings file.
 const MAX_TYPE_ERRORS: usize = 64;
 
-/// Reads, parses and checks a file.
+/// Reads, parses and validates a settings file.
 pub(super) fn from_file(path: &Path) -> Result<Settings, Findings> {
     match std::fs::read_to_string(path) {
         Ok(text) => from_text(path, &text),
@@ -22,7 +22,7 @@
     }
 }
 
-/// Parses and checks text.
+/// Parses and validates settings text; `path` names it in findings and resolves `file:` paths.
 pub(super) fn from_text(path: &Path, text: &str) -> Result<Settings, Findings> {
     let mut findings = Findings::new(path);
     let Some(tree) = parse(text, &mut findings) else {
@@ -50,10 +50,10 @@
     }
 }
 
-/// Decodes the tree, taking each bad value out and starting over until the rest decodes.
+/// Deserializes the tree, removing each invalid value and retrying until the rest is valid.
 ///
-/// Serde stops at the first type error. The key that failed is removed, so that its default stands
-/// in, and the next pass finds the next error.
+/// Serde stops at the first type error. Removing the invalid key makes its default apply, so that
+/// the next pass finds the next error.
 fn decode(mut tree: Value, findings: &mut Findings) -> Settings {
     for _ in 0..MAX_TYPE_ERRORS {
         let mut unknown = Vec::new();
@@ -90,7 +90,7 @@
     }
 }
 
-/// Tells where the keys that may stand beside an unknown one are listed.
+/// Describes the keys that are valid in the section of an unknown key.
 fn known_keys(path: &str) -> &'static str {
     if path.contains('.') {
         "a key that `gypsumglade settings example store` shows in this section"
@@ -99,8 +99,10 @@
     }
 }
 
-/// Removes what `path` names, and returns it; a list element that is no text is emptied, to keep the
-/// positions of its neighbours.
+/// Removes and returns the value at `path`.
+///
+/// A list element that is neither a string nor a mapping is replaced by an empty mapping, so that
+/// the indices of the other elements stay the same.
 fn remove_at(tree: &mut Value, path: &KeyPath) -> Option<Value> {
     let segments: Vec<&Segment> = path.iter().collect();
     let (last, parents) = segments.split_last()?;
@@ -113,7 +115,7 @@
             if element.is_mapping() {
                 return None;
             }
-            // An empty mapping in the place of a text would be the next error.
+            // An empty mapping in a list of strings would be reported as another error.
             if element.is_string() {
                 return Some(list.remove(*index));
             }
@@ -131,7 +133,7 @@
     }
 }
 
-/// Shows a value on one line, as a person would write it.
+/// Formats a value on one line for a finding.
 fn describe(value: Option<&Value>) -> String {
     match value {
         None => "nothing".to_owned(),
--- a/crates/gypsumglade/src/settings/log.rs
+++ b/crates/gypsumglade/src/settings/log.rs
@@ -1,32 +1,32 @@
-//! Where log lines go.
+//! Log level and destination.
 
 use std::path::PathBuf;
 
 use gypsumglade_core::prelude::*;
 
-/// How much is logged; each level includes the ones before it.
+/// Log level; each level includes the ones before it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Level {
-    /// What lost work or needs a person.
+    /// Lost work, or a condition that needs an operator.
     Error,
-    /// What the system worked round.
+    /// Problems that the system recovers from.
     Warning,
-    /// Starts, stops, changes of leader, revision or membership.
+    /// Starts, stops, and changes of leader, revision or membership.
     #[default]
     Info,
-    /// Every call.
+    /// Each call.
     Debug,
-    /// Every message between VMs.
+    /// Each message between VMs.
     Trace,
 }
 
-/// The log's level and target.
+/// Level and destination of the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(default)]
 pub struct LogSettings {
-    /// How much is logged.
+    /// Least severe level that is logged.
     pub level: Level,
-    /// File that lines are appended to; standard error when absent, standard output for `-`.
+    /// File to append to; `-` means standard output. If absent, lines go to standard error.
     pub file: Option<PathBuf>,
 }
--- a/crates/gypsumglade/src/settings/mod.rs
+++ b/crates/gypsumglade/src/settings/mod.rs
@@ -1,8 +1,8 @@
-//! Settings of a process, read from YAML and checked as a whole.
+//! Settings of a process, read from YAML and validated as a whole.
 //!
-//! Each part has its own file, with its defaults in one place and its checks beside them. A file is
-//! never half accepted: [`Settings::load`] collects every finding and reports them together. The
-//! keys are described for operators in docs/OPERATING.md.
+//! Each section has its own module with its defaults and checks. A file is accepted whole or not at
+//! all: [`Settings::load`] collects every finding and reports them together. docs/OPERATING.md
+//! describes the keys for operators.
 
 mod discovery;
 mod example;
@@ -42,45 +42,45 @@
 pub use self::vm::VmSettings;
 pub use crate::secret::Secret;
 
-/// Everything a process learns from outside before it starts.
+/// All settings of a process.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default)]
 pub struct Settings {
-    /// Who this VM is and where it stands.
+    /// Identity and location of this VM.
     pub vm: VmSettings,
-    /// Addresses that the process listens on.
+    /// Listen addresses.
     pub listen: ListenSettings,
-    /// The other VMs known from the start: every store, and enough seeds for membership.
+    /// The other VMs: every store, and enough entries to join membership.
     pub peers: Vec<PeerSettings>,
-    /// How the other VMs are found where `peers` lists none.
+    /// Discovery of the other VMs from seeds, in place of `peers`.
     pub discovery: Option<DiscoverySettings>,
-    /// The interface for requests that are passed through; absent where only programs are served.
+    /// The gateway for requests that are passed through; absent if only programs are served.
     pub gateway: Option<GatewaySettings>,
-    /// Threads of the runtime; zero for one on each processor.
+    /// Worker threads of the runtime; zero means one per processor.
     pub threads: u16,
-    /// Number of program groups; the same on every VM, and fixed once programs exist. Zero where a
-    /// gateway passes all requests through, for turns and budgets have a group of their own.
+    /// Number of program groups, the same on every VM and fixed once programs exist. May be zero if
+    /// a gateway passes all requests through: turns and budgets are in a group of their own.
     pub groups: u32,
-    /// The durable role; absent on a VM without a disk.
+    /// Settings of the store; absent on a VM without a disk.
     pub store: Option<StoreSettings>,
     /// Shared secrets of the listeners.
     pub tokens: TokenSettings,
-    /// Who may sign a bundle.
+    /// Public keys of the operators who may sign bundles.
     pub operators: OperatorSettings,
-    /// Bounds on size and concurrency.
+    /// Limits on request size and concurrency.
     pub limits: LimitSettings,
-    /// Prices of links, and mechanisms that are off.
+    /// Prices of network links, and policy mechanisms that are switched off.
     pub policy: PolicySettings,
-    /// Bounds on time.
+    /// Timeouts and lease lengths.
     pub timeouts: TimeoutSettings,
-    /// Where log lines go.
+    /// Log level and destination.
     pub log: LogSettings,
     /// Certificates of the listeners.
     pub tls: TlsSettings,
 }
 
-/// Program groups of a deployment whose settings name no count: enough that a store's processors
-/// are used, few enough that nine VMs' heartbeats stay small.
+/// Default number of program groups: enough to use a store's processors, few enough to keep
+/// heartbeat traffic small.
 const DEFAULT_GROUPS: u32 = 8;
 
 impl Default for Settings {
@@ -106,28 +106,28 @@
 }
 
 impl Settings {
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
     ///
-    /// Returns every finding at once, each with its place, the bad value and what is allowed.
+    /// Returns all findings, each with its place, the invalid value and the accepted values.
     pub fn load(path: &Path) -> Result<Settings, Findings> {
         load::from_file(path)
     }
 
-    /// Checks settings text as if it stood in the file `path`, which need not exist.
+    /// Parses and validates settings text as if it were the content of `path`, which need not exist.
     ///
     /// # Errors
     ///
-    /// Returns every finding, as [`Settings::load`] does.
+    /// Returns all findings, as [`Settings::load`] does.
     pub fn parse(path: &Path, text: &str) -> Result<Settings, Findings> {
         load::from_text(path, text)
     }
 
-    /// Returns the settings of one process that is the whole deployment, with its state in `folder`.
+    /// Returns settings for a deployment of one process that keeps its state in `folder`.
     ///
-    /// Every listener takes a free port on loopback and the tokens are fresh, so that two runs on
-    /// one machine can't reach each other.
+    /// Every listener gets a free loopback port and the tokens are random, so that two processes on
+    /// one machine don't accept each other's calls.
     pub fn embedded(folder: &Path) -> Settings {
         Settings {
             vm: VmSettings { id: 1, domain: "local".into(), region: "local".into() },
@@ -137,12 +137,13 @@
         }
     }
 
-    /// Returns an annotated settings file for a VM of this role.
+    /// Returns the annotated example file for a VM of this role.
     pub fn example(role: Role) -> &'static str {
         role.text()
     }
 
-    /// Returns the names of all failure domains, sorted, so that each VM counts them alike.
+    /// Returns the names of all failure domains, sorted so that their positions are the same on every
+    /// VM.
     pub fn domains(&self) -> Vec<CompactString> {
         if let Some(discovery) = &self.discovery {
             return discovery.domains.keys().cloned().collect();
@@ -151,7 +152,7 @@
         sorted(peers.chain([self.vm.domain.clone()]).collect())
     }
 
-    /// Returns the names of all regions, sorted, so that each VM counts them alike.
+    /// Returns the names of all regions, sorted so that their positions are the same on every VM.
     pub fn regions(&self) -> Vec<CompactString> {
         if let Some(discovery) = &self.discovery {
             return sorted(discovery.domains.values().cloned().collect());
@@ -172,13 +173,13 @@
         u16::try_from(index).ok().map(RegionId)
     }
 
-    /// Returns a failure domain's region as the settings place it.
+    /// Returns the region that `discovery.domains` gives for a failure domain.
     pub fn region_of(&self, domain: &str) -> Option<RegionId> {
         let discovery = self.discovery.as_ref()?;
         self.region_id(discovery.domains.get(domain)?)
     }
 
-    /// Collects what is wrong in the values, each alone and against one another.
+    /// Validates each section, and the sections against one another.
     fn check(&self, findings: &mut Findings) {
         self.vm.check(self.discovery.is_some(), findings);
         self.listen.check(findings);
--- a/crates/gypsumglade/src/settings/operators.rs
+++ b/crates/gypsumglade/src/settings/operators.rs
@@ -1,22 +1,22 @@
-//! Who may sign a bundle.
+//! Operators' keys for signing bundles.
 
 use ed25519_dalek::VerifyingKey;
 use gypsumglade_core::prelude::*;
 
 use super::Findings;
 
-/// The operators' public keys and how many of them must sign.
+/// Public keys of the operators, and the number of signatures that a bundle needs.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(default)]
 pub struct OperatorSettings {
     /// Ed25519 public keys as 64 hexadecimal digits, as `gypsumglade key new` prints them.
     pub keys: Vec<CompactString>,
-    /// How many distinct keys must have signed a bundle.
+    /// Number of distinct keys that must have signed a bundle.
     pub threshold: u32,
 }
 
 impl OperatorSettings {
-    /// Returns the keys that decode; a loaded file has no others.
+    /// Returns the decoded keys and skips invalid ones, which a loaded file doesn't have.
     pub fn verifying_keys(&self) -> Vec<VerifyingKey> {
         self.keys.iter().filter_map(|k| decode(k)).collect()
     }
--- a/crates/gypsumglade/src/settings/peers.rs
+++ b/crates/gypsumglade/src/settings/peers.rs
@@ -7,21 +7,21 @@
 
 use super::{Findings, VmSettings};
 
-/// Another VM, as this one may reach it.
+/// Addresses and location of a VM in the list of peers.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(default)]
 pub struct PeerSettings {
-    /// Its number.
+    /// Number of the VM.
     pub vm: u32,
-    /// Its listener for calls between VMs.
+    /// Address of its listener for calls between VMs.
     pub peers: SocketAddr,
-    /// Its membership socket.
+    /// Address of its membership socket (UDP).
     pub gossip: SocketAddr,
-    /// Its failure domain.
+    /// Name of its failure domain.
     pub domain: CompactString,
-    /// Its region.
+    /// Name of its region.
     pub region: CompactString,
-    /// The listener of its store daemon, if it has a disk and holds replicas.
+    /// Address of its store daemon, if it has a disk and holds replicas.
     pub store: Option<SocketAddr>,
 }
 
@@ -39,14 +39,13 @@
 }
 
 impl PeerSettings {
-    /// Returns the number as the core's type.
+    /// Returns the VM's number as a [`VmId`].
     pub fn id(&self) -> VmId {
         VmId(self.vm)
     }
 }
 
-/// Checks the list against itself and against this VM, which may stand in it too, so that one list
-/// serves all VMs.
+/// Validates the list. It may include this VM, so that all VMs can share one list.
 pub(super) fn check(vm: &VmSettings, peers: &[PeerSettings], store: bool, findings: &mut Findings) {
     let mut seen = HashSet::new();
     for (i, peer) in peers.iter().enumerate() {
@@ -76,7 +75,7 @@
     }
 }
 
-/// Finds where this VM's own line in the list says something else than its other settings.
+/// Reports where this VM's own element of the list differs from its other settings.
 fn check_self(
     vm: &VmSettings,
     peer: &PeerSettings,
--- a/crates/gypsumglade/src/settings/policy.rs
+++ b/crates/gypsumglade/src/settings/policy.rs
@@ -1,23 +1,24 @@
-//! How the data path decides.
+//! Settings of the scheduling policy.
 
 use gypsumglade_core::policy::mechanism::{Mechanism, Mechanisms};
 use gypsumglade_core::prelude::*;
 
 use super::Findings;
 
-/// Prices that the deployment's owner pays, and mechanisms that are off.
+/// Prices of network traffic, and mechanisms that are switched off.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct PolicySettings {
-    /// Mechanisms that are switched off; for trials.
+    /// Mechanisms that are switched off, for experiments.
     pub off: Vec<Mechanism>,
-    /// Seconds of a caller's time that a megabyte between failure domains of a region is worth.
+    /// Cost of sending a megabyte between failure domains of one region, in seconds of a caller's
+    /// time.
     pub domain_price: f64,
-    /// Seconds of a caller's time that a megabyte between regions is worth.
+    /// Cost of sending a megabyte between regions, in seconds of a caller's time.
     pub region_price: f64,
 }
 
-/// Highest price of a megabyte, in seconds: at it a prompt of 20 KB would rather wait half an hour.
+/// Maximum price of a megabyte, in seconds; a prompt of 20 KB then costs about half an hour.
 const MAX_PRICE: f64 = 100_000.0;
 
 impl Default for PolicySettings {
--- a/crates/gypsumglade/src/settings/store.rs
+++ b/crates/gypsumglade/src/settings/store.rs
@@ -1,4 +1,4 @@
-//! The durable role of a VM with a disk.
+//! Settings of a store, which keeps replicas on its VM's disk.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -10,32 +10,33 @@
 use super::listen::LOOPBACK;
 use crate::secret::Secret;
 
-/// Replicas on this VM's disk.
+/// Data folder, listen addresses and replication of a store.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(default)]
 pub struct StoreSettings {
-    /// The one folder that all durable files live under.
+    /// Folder that holds all durable files.
     pub folder: PathBuf,
-    /// Calls from the other VMs to the store daemon, which is a process of its own.
+    /// Listen address of the store daemon for calls from other VMs.
     pub peers: SocketAddr,
-    /// The operators' interface of the store daemon.
+    /// Listen address of the store daemon's operators' interface.
     pub admin: SocketAddr,
-    /// Where endpoints announce themselves and operators give orders, if a dialect of the platform
-    /// is served; see docs/design/provider.md.
+    /// Listen address of the registrar, where endpoints announce themselves and operators give
+    /// orders. Only for a platform's dialect; see docs/design/provider.md.
     pub registrar: Option<SocketAddr>,
-    /// Private key, as 64 hexadecimal digits, with which this store signs orders that reach its
-    /// registrar. Absent where operators sign their bundles themselves.
+    /// Private key, as 64 hexadecimal digits, that signs the orders given at the registrar. Absent if
+    /// operators sign their bundles themselves.
     pub signer: Option<Secret>,
-    /// Silence after which an endpoint that announced itself there counts as gone, in milliseconds.
+    /// Time without an announcement after which the registrar drops an endpoint, in milliseconds.
     pub endpoint_lease_ms: u64,
-    /// VMs with a disk whose loss at one time the groups bear; each group has twice as many voters
-    /// and one more.
+    /// Number of stores that can be lost at once without losing a group's quorum. Each group has
+    /// `2 * tolerate + 1` voters.
     pub tolerate: u32,
-    /// Bytes of the folder that texts of kept turns may take.
+    /// Maximum disk space for texts of kept turns, in bytes.
     pub text_bytes: u64,
-    /// Milliseconds between a leader's heartbeats.
+    /// Interval between a leader's heartbeats, in milliseconds.
     pub heartbeat_ms: u64,
-    /// Milliseconds without a heartbeat after which a follower stands for election.
+    /// Election timeout: time without a heartbeat after which a follower becomes a candidate, in
+    /// milliseconds.
     pub election_ms: u64,
 }
 
@@ -57,7 +58,7 @@
 }
 
 impl StoreSettings {
-    /// Returns the key with which orders at the registrar are signed.
+    /// Returns the key that signs the registrar's orders; `None` if `signer` is absent or invalid.
     pub fn key_pair(&self) -> Option<KeyPair> {
         let seed: [u8; 32] = hex::decode(self.signer.as_ref()?.reveal()).ok()?.try_into().ok()?;
         Some(KeyPair::from_seed(seed))
--- a/crates/gypsumglade/src/settings/timeouts.rs
+++ b/crates/gypsumglade/src/settings/timeouts.rs
@@ -1,27 +1,29 @@
-//! Bounds on time.
+//! Timeouts and lease lengths.
 
 use gypsumglade_core::lease::LeaseSettings;
 use gypsumglade_core::prelude::*;
 
 use super::Findings;
 
-/// How long the process waits for others, in milliseconds.
+/// Timeouts and intervals, in milliseconds.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(default)]
 pub struct TimeoutSettings {
-    /// Connecting to an endpoint or a peer.
+    /// Timeout for connecting to an endpoint. Validated, but not applied by any code at present.
     pub connect_ms: u64,
-    /// A whole call to an endpoint, when the caller gave no deadline.
+    /// Timeout of a whole call to an endpoint, if the caller gave no deadline. Validated, but not
+    /// applied by any code at present.
     pub endpoint_ms: u64,
-    /// Silence within an answer, after which the endpoint counts as hung.
+    /// Time without data within an answer after which the endpoint is considered hung.
     pub silence_ms: u64,
-    /// One call to another VM of the system.
+    /// Timeout of a call to another VM.
     pub peer_ms: u64,
-    /// A planned stop: requests in flight get this long to finish.
+    /// Time that requests in flight get to finish at a planned stop.
     pub drain_ms: u64,
-    /// Without confirmation of its revision for this long, an entry takes no new work.
+    /// Length of the configuration lease: an entry whose revision was not confirmed for this long
+    /// accepts no new work.
     pub lease_ms: u64,
-    /// Pause between two confirmations of the revision.
+    /// Interval between two confirmations of the revision.
     pub confirm_ms: u64,
 }
 
@@ -39,26 +41,26 @@
     }
 }
 
-/// Longest timeout that is taken for meant, one hour.
+/// Maximum timeout, one hour; a larger value is taken for a mistake.
 const MAX_TIMEOUT_MS: u64 = 3_600_000;
 
 impl TimeoutSettings {
-    /// Returns the bound on a connect.
+    /// Returns the timeout for connecting to an endpoint.
     pub fn connect(&self) -> Duration {
         Duration::from_millis(self.connect_ms)
     }
 
-    /// Returns the bound on a whole call to an endpoint.
+    /// Returns the default timeout of a whole call to an endpoint.
     pub fn endpoint(&self) -> Duration {
         Duration::from_millis(self.endpoint_ms)
     }
 
-    /// Returns the bound on silence within an answer.
+    /// Returns the longest allowed time without data within an answer.
     pub fn silence(&self) -> Duration {
         Duration::from_millis(self.silence_ms)
     }
 
-    /// Returns the bound on a call to another VM.
+    /// Returns the timeout of a call to another VM.
     pub fn peer(&self) -> Duration {
         Duration::from_millis(self.peer_ms)
     }
@@ -73,7 +75,7 @@
         Duration::from_millis(self.lease_ms)
     }
 
-    /// Returns the times of the configuration lease.
+    /// Returns the length and renewal interval of the configuration lease.
     pub fn config_lease(&self) -> LeaseSettings {
         LeaseSettings {
             length_ms: self.lease_ms,
@@ -92,7 +94,7 @@
         ] {
             findings.check_range(place, value, 1..=MAX_TIMEOUT_MS, "milliseconds");
         }
-        // A bundle must be in force everywhere within 12 s, and the lease bounds that.
+        // A bundle must be in force everywhere within 12 s, which a longer lease would delay.
         findings.check_range("timeouts.lease_ms", self.lease_ms, 1_000..=10_000, "milliseconds");
         findings.check_range("timeouts.confirm_ms", self.confirm_ms, 50..=5_000, "milliseconds");
     }
--- a/crates/gypsumglade/src/settings/tls.rs
+++ b/crates/gypsumglade/src/settings/tls.rs
@@ -1,4 +1,4 @@
-//! Certificates of the listeners.
+//! TLS settings of the listeners.
 
 use std::path::{Path, PathBuf};
 
@@ -10,25 +10,25 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(default)]
 pub struct CertificateSettings {
-    /// Chain, the listener's own certificate first.
+    /// Certificate chain, the listener's own certificate first.
     pub certificate: PathBuf,
     /// Private key of the first certificate.
     pub key: PathBuf,
 }
 
-/// TLS for each listener that names a certificate; the others speak plain TCP.
+/// Certificates of the listeners; a listener without one speaks plain TCP.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(default)]
 pub struct TlsSettings {
     /// The callers' listener.
     pub callers: Option<CertificateSettings>,
-    /// The listener for announcements.
+    /// The listener for endpoints' announcements.
     pub endpoints: Option<CertificateSettings>,
     /// The listener for calls between VMs.
     pub peers: Option<CertificateSettings>,
     /// The operators' listener.
     pub admin: Option<CertificateSettings>,
-    /// PEM file of the authorities that a connecting process trusts.
+    /// PEM file with the certificate authorities that this process trusts when it connects.
     pub authority: Option<PathBuf>,
 }
 
--- a/crates/gypsumglade/src/settings/tokens.rs
+++ b/crates/gypsumglade/src/settings/tokens.rs
@@ -7,22 +7,22 @@
 use super::Findings;
 use crate::secret::Secret;
 
-/// Mark of a secret that stands in a file of its own.
+/// Prefix of a setting that names a file with the secret.
 const FILE_PREFIX: &str = "file:";
-/// Shortest secret that a guess over the network can't find.
+/// Minimum length of a secret, in bytes, against guessing.
 const MIN_SECRET_BYTES: usize = 16;
 
-/// One secret for each listener that is not the callers', whose keys are in the bundle.
+/// One secret for each listener except the callers', whose keys are in the bundle.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default)]
 pub struct TokenSettings {
     /// Shared by the VMs of the deployment.
     #[serde(deserialize_with = "deserialize_secret")]
     pub peers: Secret,
-    /// Asked of operators by the admin listener.
+    /// Required from operators by the admin listener.
     #[serde(deserialize_with = "deserialize_secret")]
     pub admin: Secret,
-    /// Asked of endpoints that announce themselves.
+    /// Required from endpoints that announce themselves.
     #[serde(deserialize_with = "deserialize_secret")]
     pub endpoints: Secret,
 }
@@ -38,13 +38,13 @@
 }
 
 impl TokenSettings {
-    /// Returns random tokens for a process that is the whole deployment.
+    /// Returns random tokens, for a deployment of one process.
     pub fn random() -> TokenSettings {
         let token = || Secret::new(hex::encode(rand::random::<[u8; MIN_SECRET_BYTES]>()));
         TokenSettings { peers: token(), admin: token(), endpoints: token() }
     }
 
-    /// Replaces each `file:PATH` by the file's trimmed text; a relative path starts at `folder`.
+    /// Replaces each `file:PATH` by the file's trimmed text. Relative paths are relative to `folder`.
     pub(super) fn resolve(&mut self, folder: &Path, findings: &mut Findings) {
         for (place, secret) in [
             ("tokens.peers", &mut self.peers),
@@ -59,7 +59,7 @@
                 Err(error) => {
                     let found = format!("{:?} ({error})", secret.reveal());
                     findings.add(place, found, "`file:` and the path of a readable file");
-                    // Long enough that the length check adds no second finding.
+                    // Passes the length check, which would add a second finding.
                     *secret = Secret::new("-".repeat(MIN_SECRET_BYTES));
                 }
             }
--- a/crates/gypsumglade/src/settings/vm.rs
+++ b/crates/gypsumglade/src/settings/vm.rs
@@ -1,29 +1,29 @@
-//! Identity of this VM.
+//! Identity and location of this VM.
 
 use gypsumglade_core::prelude::*;
 
 use super::Findings;
 
-/// Who this VM is and where it stands.
+/// Number, failure domain and region of this VM.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(default)]
 pub struct VmSettings {
-    /// Number of this VM, never given to another one later; zero with `discovery`, where each
-    /// process makes its own.
+    /// Number of this VM, never reused for another one. Zero with `discovery`, where each process
+    /// generates its own.
     pub id: u32,
-    /// Failure domain that it shares with the VMs that fail together with it.
+    /// Failure domain: the VMs in it can fail together.
     pub domain: CompactString,
-    /// Region of the failure domain; traffic between regions is paid for.
+    /// Region of the failure domain; traffic between regions costs money.
     pub region: CompactString,
 }
 
 impl VmSettings {
-    /// Returns the number as the core's type.
+    /// Returns the VM's number as a [`VmId`].
     pub fn vm(&self) -> VmId {
         VmId(self.id)
     }
 
-    /// Checks the values; a VM that makes its own identity has no number here.
+    /// Validates the values; with `discovered`, the number may be zero.
     pub(super) fn check(&self, discovered: bool, findings: &mut Findings) {
         let minimum = if discovered { 0 } else { 1 };
         let numbers = minimum..=u64::from(u32::MAX);
