--- a/crates/gypsumglade/src/rpc/client.rs
+++ b/crates/gypsumglade/src/rpc/client.rs
@@ -1,4 +1,5 @@
-//! Connections to other processes of the system, opened on first use and reopened after a loss.
+//! Client connections to other processes of the system, opened on first use and reopened after a
+//! failure.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -27,29 +28,29 @@
 use super::server::MAX_MESSAGE_BYTES;
 use crate::secret::Secret;
 
-/// Longest time to open a connection; a silent partition is noticed this fast.
+/// Timeout for opening a connection, which bounds how long a network partition goes unnoticed.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Time for which an address counts as unreachable after a connect failed: short against any
-/// restart, long against the calls that queue up meanwhile.
+/// Time after a failed connect in which calls to the address fail without another attempt. Shorter
+/// than a restart of a process takes.
 const RECONNECT_BACKOFF: Duration = Duration::from_millis(150);
-/// Calls in flight on one connection.
+/// Maximum number of calls in flight on one connection.
 const MAX_CALLS: usize = 8_192;
 
-/// Why a call to another process has no answer.
+/// Error of a call to another process.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum RpcError {
-    /// No connection: the call was not sent.
+    /// No connection could be opened, so the call was not sent.
     #[error("cannot reach {0}")]
     Unreachable(SocketAddr),
-    /// The call may have been handled.
+    /// The call was sent but not answered; it may have been handled.
     #[error("no answer from {0}")]
     Lost(SocketAddr),
-    /// The other process refused the call.
+    /// The other process answered with an error, or a message could not be encoded or decoded.
     #[error("refused by {0}: {1}")]
     Refused(SocketAddr, String),
 }
 
-/// One connection a peer address, shared by all tasks of a process.
+/// Connection pool with one connection per peer address, shared by all tasks of a process.
 #[derive(Clone)]
 pub struct PeerClients {
     token: Secret,
@@ -59,7 +60,7 @@
 
 type Connection = tokio::sync::Mutex<Slot>;
 
-/// The connection to one address, or when it could last not be opened.
+/// Connection to one address, and the time of the last failed connect.
 #[derive(Default)]
 struct Slot {
     client: Option<Arc<WsClient>>,
@@ -67,7 +68,7 @@
 }
 
 impl PeerClients {
-    /// Creates an empty set that presents `token` on each connection, over TLS if given.
+    /// Creates an empty pool. Each connection presents `token`, and uses TLS if `tls` is given.
     pub fn new(token: Secret, tls: Option<Arc<ClientConfig>>) -> PeerClients {
         PeerClients { token, tls, connections: Arc::default() }
     }
@@ -75,7 +76,8 @@
     /// Calls `method` with `parameters` and returns the answer's text.
     ///
     /// # Errors
-    /// Tells apart what was surely not sent from what may have been handled.
+    /// Returns [`RpcError::Unreachable`] if the call was not sent, [`RpcError::Lost`] if it may have
+    /// been handled, and [`RpcError::Refused`] if the other process refused it.
     pub async fn call(
         &self,
         address: SocketAddr,
@@ -99,10 +101,11 @@
         }
     }
 
-    /// Sends a message and returns the message that answers it.
+    /// Sends a protobuf message and returns the decoded answer.
     ///
     /// # Errors
-    /// As [`PeerClients::call`]; an answer that cannot be read counts as a refusal.
+    /// Fails as [`PeerClients::call`] does. An answer that can't be decoded is returned as
+    /// [`RpcError::Refused`].
     pub async fn ask<Q, A>(
         &self,
         address: SocketAddr,
@@ -121,10 +124,10 @@
         decode(&text).map_err(|error| RpcError::Refused(address, error.to_string()))
     }
 
-    /// Opens a link that carries frames to a store, under this process's identity.
+    /// Opens a link for sending frames to a store, as the process `vm`.
     ///
     /// # Errors
-    /// Fails when the store can't be reached or takes no frames.
+    /// Fails if the store can't be reached or doesn't accept links.
     pub async fn open_link(&self, address: SocketAddr, vm: VmId) -> Result<Link, RpcError> {
         let opening = tokio::time::timeout(CONNECT_TIMEOUT, self.upgrade(address, vm)).await;
         opening.ok().flatten().ok_or(RpcError::Unreachable(address))
@@ -150,7 +153,7 @@
     {
         let io = TokioIo::new(stream);
         let (mut sender, connection) = http1::handshake(io).await.ok()?;
-        // Its error shows on the link that it carries.
+        // Errors of the connection surface on the link.
         tokio::spawn(async move { drop(connection.with_upgrades().await) });
         let mut request = link::upgrade_request(&address.to_string(), vm);
         request.headers_mut().insert(AUTHORIZATION, self.bearer_header()?);
@@ -171,8 +174,8 @@
         if let Some(client) = slot.client.as_ref().filter(|client| client.is_connected()) {
             return Ok(Arc::clone(client));
         }
-        // Calls that queued up behind one that found nobody would otherwise each wait out a
-        // connect of their own, one after another, long past their timeouts.
+        // Without this, calls that wait for the lock behind a failed connect would each retry it in
+        // turn, long past their timeouts.
         if slot.failed_at.is_some_and(|failed| failed.elapsed() < RECONNECT_BACKOFF) {
             return Err(RpcError::Unreachable(address));
         }
@@ -212,10 +215,9 @@
         tokio::time::timeout(CONNECT_TIMEOUT, opening).await.ok()?
     }
 
-    /// Drops a connection that lost an answer, unless another task has replaced it already.
+    /// Closes a connection on which a call got no answer, unless another task has replaced it.
     ///
-    /// A peer that was frozen keeps its socket open; without this every later call would wait out
-    /// its timeout on the same dead connection.
+    /// The socket of a frozen peer stays open, so that later calls would all time out on it.
     async fn discard_broken(&self, address: SocketAddr, broken: &Arc<WsClient>) {
         let connection = self.connection(address);
         let mut slot = connection.lock().await;
--- a/crates/gypsumglade/src/rpc/link.rs
+++ b/crates/gypsumglade/src/rpc/link.rs
@@ -1,9 +1,8 @@
-//! A link that carries frames one way between two processes, for replication.
+//! One-way links of raw frames between two processes, for replication.
 //!
-//! A batch of replication messages needs no answer of its own, and base64 within JSON made it a
-//! third larger: a store that lost its disk took 5.8 s to catch up over the 30 Mbit/s between
-//! regions. So a link is opened by an HTTP upgrade on the same listener as calls, with the same
-//! token, and carries raw frames from then on. See docs/design/rpc.md.
+//! A link is opened by an HTTP upgrade on the listener for calls, with the same token. Raw frames
+//! avoid the base64 overhead of a third, which would slow down catching up between regions. See
+//! docs/design/rpc.md.
 
 use std::sync::Arc;
 
@@ -18,16 +17,16 @@
 use jsonrpsee::server::HttpBody;
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
-/// Path that opens a link.
+/// Request path that opens a link.
 pub(super) const PATH: &str = "/replication";
-/// Protocol named in the upgrade.
+/// Protocol name in the `Upgrade` header.
 const PROTOCOL: &str = "replication";
-/// Who opens the link.
+/// Header with the number of the VM that opens the link.
 const SENDER_HEADER: HeaderName = HeaderName::from_static("x-vm");
-/// Most bytes of a frame: a piece of a snapshot with room for all that goes with it.
+/// Maximum size of a frame, in bytes; a chunk of a snapshot fits with its metadata.
 const MAX_FRAME_BYTES: usize = 32 * 1024 * 1024;
 
-/// Takes the frames that a process sends.
+/// Callback for received frames, with the VM that sent them.
 pub type FrameHandler = Arc<dyn Fn(VmId, Bytes) + Send + Sync>;
 
 /// The sending end of a link.
@@ -41,15 +40,16 @@
         Link { framed: Framed::new(TokioIo::new(upgraded), codec()) }
     }
 
-    /// Sends a frame. Each is answered by [`Link::acknowledged`] once the other process has taken it.
+    /// Sends a frame. The other process acknowledges each frame in turn; see
+    /// [`Link::acknowledged`].
     ///
     /// # Errors
-    /// Fails when the link is broken.
+    /// Fails if the link is broken.
     pub async fn send(&mut self, frame: Bytes) -> std::io::Result<()> {
         self.framed.send(frame).await
     }
 
-    /// Resolves with the next answer; false when the link is broken.
+    /// Waits for the next acknowledgement. Returns false if the link is broken.
     pub async fn acknowledged(&mut self) -> bool {
         matches!(self.framed.next().await, Some(Ok(_)))
     }
@@ -69,7 +69,7 @@
     request
 }
 
-/// Answers the request that opens a link, and takes its frames until it ends.
+/// Accepts a link, and passes its frames to `handler` until it is closed.
 pub(super) fn accept(request: Request<Incoming>, handler: &FrameHandler) -> Response<HttpBody> {
     let mut response = Response::new(HttpBody::empty());
     let vm =
@@ -80,7 +80,7 @@
     };
     let handler = Arc::clone(handler);
     tokio::spawn(async move {
-        // A peer that goes away before the upgrade opens another link.
+        // If the upgrade fails, the peer opens another link.
         if let Ok(upgraded) = hyper::upgrade::on(request).await {
             receive(upgraded, vm, &handler).await;
         }
--- a/crates/gypsumglade/src/rpc/method.rs
+++ b/crates/gypsumglade/src/rpc/method.rs
@@ -1,35 +1,35 @@
-//! The closed set of calls between processes.
+//! Methods of the calls between processes.
 
-/// A call that one process may make to another.
+/// Method that one process can call on another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Method {
     /// Entry to store: a request to a program group.
     Program,
-    /// Entry or operator to store: a command or question to the control group.
+    /// Entry or operator to store: a command or query to the control group.
     Control,
     /// Entry to store or entry: renews the configuration lease.
     Lease,
-    /// Store to entry: frees an engine's memory of an ended program.
+    /// Store to entry: frees an ended program's state in an engine.
     Release,
-    /// Store to entry: cancels a dispatch of a program that ended.
+    /// Store to entry: cancels a dispatch of an ended program.
     Cancel,
-    /// Store to store: what is known of a request that crashes endpoints.
+    /// Store to store: reports on a request that crashes endpoints.
     Score,
-    /// Store to entry: the entry VMs as membership sees them.
+    /// Store to entry: the entry VMs according to membership.
     Members,
     /// Entry to entry: an endpoint's announcement.
     Announce,
-    /// Any process to a store: introduces itself and asks for the others.
+    /// Any process to a store: announces itself and asks for the other processes.
     Hello,
-    /// Entry to store: asks for the endpoints that announced themselves.
+    /// Entry to store: asks for the announced endpoints.
     Endpoints,
     /// Entry to store: a request to the turn group.
     Turn,
-    /// Entry to store: puts texts of turns on its disk.
+    /// Entry to store: writes texts of turns to its disk.
     PutTexts,
     /// Any process to a store: asks for texts of turns.
     Texts,
-    /// Store to store: has it fetch texts that others hold.
+    /// Store to store: makes it fetch texts from other stores.
     CopyTexts,
     /// Store to store: asks which turns are still kept.
     KeptTurns,
--- a/crates/gypsumglade/src/rpc/mod.rs
+++ b/crates/gypsumglade/src/rpc/mod.rs
@@ -1,8 +1,8 @@
-//! Calls between the system's own processes: JSON-RPC over WebSocket by `jsonrpsee`, and links of
-//! raw frames for replication.
+//! Calls between the processes of the system: JSON-RPC over WebSocket with `jsonrpsee`, and links
+//! of raw frames for replication.
 //!
-//! Payloads are protobuf in base64, so that the same generated types serve disk and wire; see
-//! docs/design/rpc.md for the forms that were weighed.
+//! Payloads are base64-encoded protobuf, so that disk and wire use the same generated types.
+//! docs/design/rpc.md compares the alternatives.
 
 mod client;
 mod codec;
--- a/crates/gypsumglade/src/rpc/server.rs
+++ b/crates/gypsumglade/src/rpc/server.rs
@@ -1,4 +1,4 @@
-//! The listener for calls from other processes of the system.
+//! Listener for calls from other processes of the system.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -16,9 +16,9 @@
 use crate::listener::{Listener, ListenerOptions};
 use crate::secret::Secret;
 
-/// Most bytes of one call or answer: a whole history plus its base64 overhead.
+/// Maximum size of a call or answer, in bytes; a whole history in base64 fits.
 pub(super) const MAX_MESSAGE_BYTES: u32 = 32 * 1024 * 1024;
-/// Most connections from peers; 390 VMs with a spare for each.
+/// Maximum number of connections from peers.
 const MAX_CONNECTIONS: u32 = 1_024;
 
 /// A running listener for peers.
@@ -27,11 +27,11 @@
 }
 
 impl RpcServer {
-    /// Serves `methods` to peers that present `token`, and takes frames of their links with `handler`
-    /// where the process takes any.
+    /// Serves `methods` to peers that present `token`. Frames of their links go to `handler`; without
+    /// one, links are not accepted.
     ///
     /// # Errors
-    /// Fails when the address cannot be bound.
+    /// Fails if the address can't be bound.
     pub async fn bind(
         address: SocketAddr,
         token: Secret,
@@ -43,7 +43,7 @@
         let (stop_handle, server_handle) = stop_channel();
         tokio::spawn(async move {
             stop.clone().cancelled().await;
-            // The only error is "already stopped".
+            // Fails only if the server has already stopped.
             let _ = server_handle.stop();
         });
         let config = ServerConfig::builder()
@@ -56,8 +56,8 @@
         watch_stop(stop_handle.clone(), stopped.clone());
         let service = tower::service_fn(move |request: Request<Incoming>| {
             let mut rpc = builder.clone().build(methods.clone(), stop_handle.clone());
-            // A stranger that reaches the port could otherwise settle calls or vote; the handshake is
-            // where it is turned away, before a single call is parsed.
+            // Without the token, any host that reaches the port could settle calls or vote. It is
+            // checked at the handshake, before any call is parsed.
             let allowed = token.matches_bearer(request.headers());
             let handler = handler.clone();
             async move {
@@ -76,7 +76,7 @@
         Ok(RpcServer { listener })
     }
 
-    /// Returns the address in use.
+    /// Returns the bound address.
     pub fn address(&self) -> SocketAddr {
         self.listener.address()
     }
@@ -99,7 +99,7 @@
     response
 }
 
-/// Returns the error for a call whose payload cannot be read.
+/// Returns the error for a call whose payload can't be decoded.
 pub fn invalid_payload(error: &anyhow::Error) -> ErrorObjectOwned {
     ErrorObjectOwned::owned(INVALID_PARAMS_CODE, format!("unreadable payload: {error}"), None::<()>)
 }
