--- a/crates/gypsumglade/src/membership/driver.rs
+++ b/crates/gypsumglade/src/membership/driver.rs
@@ -1,4 +1,4 @@
-//! The task that owns the socket and the core.
+//! Task that drives the membership protocol: socket, timer and the published view.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,35 +13,36 @@
 use super::View;
 use super::seal::{self, ClusterKey};
 
-/// Largest datagram read; longer ones are cut and so fail their authentication.
+/// Size of the receive buffer. Longer datagrams are truncated and fail authentication.
 const READ_BUFFER_BYTES: usize = 2_048;
-/// Time in which changes are collected before the view is published: with many VMs, digests
-/// change all the time, and each view is a copy of all members.
+/// Time for which changes are batched before the view is published. Each view is a copy of all
+/// members, and with many VMs digests change all the time.
 const PUBLISH_DELAY: Duration = Duration::from_millis(50);
 
-/// What the handle asks of the task.
+/// Command from the handle to the task.
 #[derive(Debug)]
 pub(super) enum Command {
-    /// Spreads another digest.
+    /// Replaces the digest that this VM spreads.
     SetDigest(Bytes),
-    /// Leaves and answers when the others were told.
+    /// Leaves, and signals when the other VMs have been told.
     Leave(oneshot::Sender<()>),
 }
 
-/// Socket, core and the published view.
+/// State of the task.
 pub(super) struct Driver {
     socket: UdpSocket,
     key: Option<ClusterKey>,
     membership: Membership,
     started: Instant,
     publisher: watch::Sender<Arc<View>>,
-    /// When the view is published next, if it changed.
+    /// Time of the next publication, if the view has changed.
     publish_at: Option<Instant>,
+    /// Number of datagrams that failed authentication.
     rejected: u64,
     departed: bool,
 }
 
-/// What the task waits for.
+/// Event that wakes the task.
 enum Event {
     Received(SocketAddr, usize),
     Command(Option<Command>),
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Runs until this VM has left or its handle is gone.
+    /// Runs until this VM has left or its handle is dropped.
     pub async fn run(mut self, mut commands: mpsc::Receiver<Command>) {
         let mut buffer = [0; READ_BUFFER_BYTES];
         let mut leave_done = None;
@@ -90,7 +91,7 @@
         }
         self.publish();
         if let Some(done) = leave_done {
-            // The receiver is gone if the caller gave up waiting; there is no one to tell then.
+            // Fails only if the caller no longer waits.
             let _ = done.send(());
         }
     }
@@ -101,7 +102,8 @@
         tokio::select! {
             received = self.socket.recv_from(buffer) => match received {
                 Ok((length, from)) => Event::Received(from, length),
-                // An earlier datagram couldn't be delivered; probes notice that by themselves.
+                // The kernel reports that an earlier datagram couldn't be delivered. Probes detect
+                // unreachable VMs, so an empty datagram stands for the error and is ignored.
                 Err(_) => Event::Received(SocketAddr::from(([0, 0, 0, 0], 0)), 0),
             },
             command = commands.recv() => Event::Command(command),
@@ -133,7 +135,7 @@
             match effect {
                 Effect::Send { to, bytes } => {
                     let sealed = seal::seal(self.key.as_ref(), bytes);
-                    // A datagram that can't be sent is one that got lost: probes allow for it.
+                    // A datagram that can't be sent counts as lost, which the protocol tolerates.
                     let _ = self.socket.send_to(&sealed, to).await;
                 }
                 Effect::Changed(_) => self.schedule_publish(),
--- a/crates/gypsumglade/src/membership/mod.rs
+++ b/crates/gypsumglade/src/membership/mod.rs
@@ -1,7 +1,7 @@
 //! VM membership over UDP datagrams.
 //!
-//! The decisions are in `gypsumglade_core::membership`; here are its socket, its timer and the
-//! authentication of datagrams. See docs/design/membership.md.
+//! The protocol itself is in `gypsumglade_core::membership`. This module adds its socket, its timer
+//! and the authentication of datagrams. See docs/design/membership.md.
 
 mod driver;
 mod seal;
@@ -22,27 +22,27 @@
 
 use driver::{Command, Driver};
 
-/// Commands that may wait for the driver.
+/// Capacity of the queue of commands to the driver.
 const COMMAND_QUEUE: usize = 64;
 
-/// Who this VM is and whom it contacts first.
+/// Identity of this VM, its addresses and the seeds that it contacts first.
 #[derive(Clone, Debug)]
 pub struct MembershipSettings {
-    /// This VM.
+    /// Number of this VM.
     pub vm: VmId,
-    /// Its failure domain.
+    /// Failure domain of this VM.
     pub domain: DomainId,
-    /// Its region.
+    /// Region of this VM.
     pub region: RegionId,
-    /// Address to listen on; port zero lets the platform choose.
+    /// Address to listen on; with port zero, the kernel chooses the port.
     pub bind: SocketAddr,
-    /// Address that others reach this VM at, if it differs from `bind`.
+    /// Address at which others reach this VM, if it differs from `bind`.
     pub advertise: Option<SocketAddr>,
-    /// Addresses asked first; one that answers is enough.
+    /// Addresses contacted first; one that answers is enough.
     pub seeds: Vec<SocketAddr>,
-    /// Secret that all VMs share; without one, datagrams of strangers are believed.
+    /// Secret that all VMs share. Without one, datagrams are accepted from any host.
     pub key: Option<ClusterKey>,
-    /// Times of the protocol.
+    /// Intervals and timeouts of the protocol.
     pub times: Times,
 }
 
@@ -61,19 +61,20 @@
     }
 }
 
-/// Every VM known, this one first, as of one moment.
+/// Snapshot of all known VMs.
 #[derive(Clone, Debug, Serialize)]
 pub struct View {
     /// This VM, then the others by number.
     pub members: Vec<Member>,
-    /// What the protocol did so far.
+    /// Event counters of the protocol.
     pub counts: core::Counts,
-    /// Datagrams dropped since they didn't carry the cluster's key.
+    /// Number of datagrams dropped because they failed authentication.
     pub strangers: u64,
 }
 
-/// This VM's part in membership. It goes on while the handle lives, and stops without a word to
-/// the others if the handle is dropped; [`Handle::leave`] tells them.
+/// Handle of the running membership task.
+///
+/// Dropping it stops the task without telling the other VMs; [`Handle::leave`] tells them.
 #[derive(Debug)]
 pub struct Handle {
     commands: mpsc::Sender<Command>,
@@ -86,7 +87,7 @@
 ///
 /// # Errors
 ///
-/// Returns why the address can't be used, and what to set.
+/// Fails if the address can't be bound, or if other VMs can't reach it.
 pub fn start(settings: MembershipSettings) -> anyhow::Result<Handle> {
     let socket = UdpSocket::bind(settings.bind)
         .with_context(|| format!("membership can't listen on {}: choose another", settings.bind))?;
@@ -107,8 +108,8 @@
     Ok(Handle { commands, view, address, task })
 }
 
-/// The clock gives each life of a process a higher incarnation. If it was set back, the protocol
-/// still finds its way: the VM learns of its earlier life and steps past it.
+/// Converts the settings. The wall clock gives each start of the process a higher incarnation. If
+/// the clock was set back, the VM learns its earlier incarnation from the others and exceeds it.
 fn core_settings(settings: &MembershipSettings, address: SocketAddr) -> core::Settings {
     let clock = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     core::Settings {
@@ -125,28 +126,28 @@
 }
 
 impl Handle {
-    /// Returns the address that others reach this VM at.
+    /// Returns the address at which others reach this VM.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Returns every VM known, this one first, dead and departed ones too.
+    /// Returns all known VMs, this one first, including dead and departed ones.
     pub fn members(&self) -> Vec<Member> {
         self.view.borrow().members.clone()
     }
 
-    /// Returns a receiver that wakes when the view changes.
+    /// Returns a receiver of the view, notified of each change.
     pub fn watch(&self) -> watch::Receiver<Arc<View>> {
         self.view.clone()
     }
 
-    /// Spreads another digest, of which at most [`core::MAX_DIGEST`] bytes are kept.
+    /// Replaces the digest that this VM spreads, truncated to [`core::MAX_DIGEST`] bytes.
     pub async fn set_digest(&self, digest: Bytes) {
-        // A closed channel means that this VM left; nobody reads its digest any more.
+        // Fails only after this VM has left, when its digest is no longer read.
         let _ = self.commands.send(Command::SetDigest(digest)).await;
     }
 
-    /// Tells the others that this VM leaves, and stops.
+    /// Tells the other VMs that this one leaves, and stops the task.
     pub async fn leave(self) {
         let (done, departed) = oneshot::channel();
         if self.commands.send(Command::Leave(done)).await.is_ok() {
@@ -154,7 +155,7 @@
         }
     }
 
-    /// Returns the state for a dump of the process.
+    /// Returns the current view, for a dump of the process.
     pub fn dump(&self) -> View {
         View::clone(&self.view.borrow())
     }
--- a/crates/gypsumglade/src/membership/seal.rs
+++ b/crates/gypsumglade/src/membership/seal.rs
@@ -1,8 +1,8 @@
-//! Authentication of datagrams by a secret that all VMs of a deployment share.
+//! Authentication of datagrams with a secret that all VMs of a deployment share.
 //!
-//! A datagram is followed by its HMAC-SHA-256. Without it, any host that reaches the port could
-//! declare VMs dead. The content isn't secret, so it isn't encrypted. A datagram sent again by
-//! someone who overheard it brings only old news, which incarnations pass over.
+//! An HMAC-SHA-256 tag follows each datagram. Without it, any host that reaches the port could
+//! declare VMs dead. The content isn't confidential, so it isn't encrypted. A replayed datagram has
+//! no effect, since incarnations mark it as outdated.
 
 use std::fmt;
 
@@ -10,7 +10,7 @@
 use hmac::{Hmac, KeyInit, Mac};
 use sha2::Sha256;
 
-/// Bytes of the tag behind each datagram.
+/// Length of the tag at the end of each datagram, in bytes.
 pub const TAG_BYTES: usize = 32;
 
 /// Secret shared by all VMs of a deployment.
@@ -18,10 +18,10 @@
 pub struct ClusterKey(Bytes);
 
 impl ClusterKey {
-    /// Fewest bytes of a secret.
+    /// Minimum length of a secret, in bytes.
     pub const MIN_BYTES: usize = 16;
 
-    /// Takes a secret, or returns `None` if it has fewer than [`ClusterKey::MIN_BYTES`] bytes.
+    /// Creates a key, or returns `None` if the secret is shorter than [`ClusterKey::MIN_BYTES`].
     pub fn new(secret: Bytes) -> Option<ClusterKey> {
         (secret.len() >= ClusterKey::MIN_BYTES).then_some(ClusterKey(secret))
     }
@@ -39,7 +39,7 @@
     }
 }
 
-/// Returns the bytes to send for a datagram.
+/// Appends the tag to a datagram; without a key, returns it unchanged.
 pub fn seal(key: Option<&ClusterKey>, content: Bytes) -> Bytes {
     let Some(key) = key else { return content };
     let tag = key.tag(&content).finalize().into_bytes();
@@ -49,7 +49,7 @@
     sealed.into()
 }
 
-/// Returns the datagram in received bytes, or `None` if it isn't from a VM with the key.
+/// Verifies and removes the tag of a received datagram, or returns `None` if the tag is wrong.
 pub fn open(key: Option<&ClusterKey>, sealed: &[u8]) -> Option<Bytes> {
     let Some(key) = key else { return Some(Bytes::copy_from_slice(sealed)) };
     let (content, tag) = sealed.split_at_checked(sealed.len().checked_sub(TAG_BYTES)?)?;
