--- a/crates/gypsumglade/src/cli/admin_client.rs
+++ b/crates/gypsumglade/src/cli/admin_client.rs
@@ -1,4 +1,4 @@
-//! Calls to the admin listener of a running process.
+//! Client of a running process's admin listener.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -26,33 +26,33 @@
 use crate::settings::Settings;
 use crate::tls;
 
-/// Longest wait for a connection.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
-/// Longest wait for an answer; the asked VM looks for a leader meanwhile.
+/// Timeout for an answer, in which the VM may first have to find the control group's leader.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(60);
 const RETRY_ADVICE: &str = "run the same command again, or ask another VM";
-/// Largest answer, in bytes; a dump is the largest.
+/// Maximum size of an answer, in bytes; dumps are the largest.
 const MAX_ANSWER_BYTES: usize = 256 << 20;
 
-/// Which process to ask, and the token that it wants.
+/// Address of a process's admin listener, and the token that it requires.
 #[derive(Debug, clap::Args)]
 pub(super) struct AdminArgs {
-    /// Admin listener of the process; without it, the one that the settings name.
+    /// Admin listener of the process; by default the address in the settings.
     #[arg(long, value_name = "IP:PORT", env = "GYPSUMGLADE_VM")]
     vm: Option<SocketAddr>,
     /// Settings file to take the admin address and token from.
     #[arg(long, value_name = "FILE", env = "GYPSUMGLADE_SETTINGS")]
     settings: Option<PathBuf>,
-    /// PEM file of the authority that signed the admin listener's certificate, to speak TLS; the
-    /// settings' `tls.authority` if they name a certificate for the admin listener.
+    /// PEM file of the authority that signed the admin listener's certificate, which enables TLS. By
+    /// default, `tls.authority` of the settings if they name a certificate for the admin listener.
     #[arg(long, value_name = "FILE")]
     authority: Option<PathBuf>,
-    /// File with the admin token, in place of the settings' one.
+    /// File with the admin token, in place of the one in the settings.
     #[arg(long, value_name = "FILE", env = "GYPSUMGLADE_TOKEN_FILE")]
     token_file: Option<PathBuf>,
 }
 
-/// A client of one admin listener.
+/// Blocking client of one admin listener.
 pub(super) struct AdminClient {
     address: SocketAddr,
     token: CompactString,
@@ -68,7 +68,7 @@
         };
         let named = settings.as_ref().map(|s| s.listen.admin);
         let Some(address) = args.vm.or(named) else {
-            let message = "no process to ask";
+            let message = "no address of a process";
             return Err(missing_argument(message, "give --vm IP:PORT, or --settings FILE"));
         };
         let token = match (&args.token_file, &settings) {
@@ -92,13 +92,13 @@
         Ok(AdminClient { address, token, tls, runtime })
     }
 
-    /// Asks a question.
+    /// Gets `path` and decodes the JSON answer.
     pub(super) fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, Failure> {
         let answer = self.call(Method::GET, path, Bytes::new())?;
         serde_json::from_slice(&answer).map_err(|error| self.unreadable(&error))
     }
 
-    /// Gives the control group a command.
+    /// Sends a command to the control group.
     pub(super) fn command(&self, command: &Command) -> Result<Answer, Failure> {
         let body = Bytes::from(command.encode_to_vec());
         let answer = self.call(Method::POST, "/v1/control", body)?;
@@ -122,7 +122,7 @@
             .header(header::HOST, self.address.to_string())
             .header(header::AUTHORIZATION, format!("Bearer {}", self.token))
             .body(Full::new(body))
-            .context("the admin token can't stand in a header")?;
+            .context("the admin token has characters that a header can't carry")?;
         let connecting = tokio::time::timeout(CONNECT_TIMEOUT, self.connect()).await;
         let mut sender = match connecting {
             Ok(connected) => connected.map_err(|error| self.unreachable(&error))?,
@@ -153,19 +153,23 @@
 
     fn unreachable(&self, error: &dyn std::fmt::Display) -> Failure {
         let message = format!("can't connect to {}: {error}", self.address);
-        let advice = "check the address and that the process runs, or ask another VM";
+        let advice = "check the address and that the process is running, or ask another VM";
         Failure::new(FailureKind::Unreachable, message, advice)
     }
 
-    /// An order may have been carried out; its caller says how to repeat it.
+    /// The order may have been carried out. The caller may replace the advice by how to resend it.
     fn lost(&self, error: &dyn std::fmt::Display) -> Failure {
-        let message = format!("the answer of {} was lost: {error}", self.address);
+        let message = format!("no answer from {}: {error}", self.address);
         Failure::new(FailureKind::Unknown, message, RETRY_ADVICE)
     }
 
     fn unreadable(&self, error: &dyn std::fmt::Display) -> Failure {
-        let message = format!("{}: the answer can't be read: {error}", self.address);
-        Failure::new(FailureKind::Unknown, message, "use a tool of the process's version")
+        let message = format!("can't decode the answer of {}: {error}", self.address);
+        Failure::new(
+            FailureKind::Unknown,
+            message,
+            "use the gypsumglade command of the same version as the process",
+        )
     }
 }
 
@@ -174,12 +178,14 @@
     let message = if text.is_empty() { format!("answered {status}") } else { text.into_owned() };
     match status {
         StatusCode::UNAUTHORIZED | StatusCode::FORBIDDEN => {
-            let advice = "give the admin token by --settings or --token-file";
+            let advice = "give the admin token with --settings or --token-file";
             Failure::new(FailureKind::Refused, message, advice)
         }
-        status if status.is_client_error() => {
-            Failure::new(FailureKind::Refused, message, "use a tool of the process's version")
-        }
+        status if status.is_client_error() => Failure::new(
+            FailureKind::Refused,
+            message,
+            "use the gypsumglade command of the same version as the process",
+        ),
         _ => Failure::new(FailureKind::Unknown, message, RETRY_ADVICE),
     }
 }
@@ -189,12 +195,12 @@
     S: AsyncRead + AsyncWrite + Unpin + Send + 'static,
 {
     let (sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
-    // The connection's errors reach the caller through the sender.
+    // Errors of the connection are returned by the sender.
     tokio::spawn(connection);
     Ok(sender)
 }
 
-/// Returns the authority's file if the admin listener speaks TLS.
+/// Returns the file of the certificate authority, or `None` if the admin listener speaks plain TCP.
 fn authority_file(args: &AdminArgs, settings: Option<&Settings>) -> Option<PathBuf> {
     let named = settings.filter(|s| s.tls.admin.is_some()).and_then(|s| s.tls.authority.clone());
     args.authority.clone().or(named)
--- a/crates/gypsumglade/src/cli/bench.rs
+++ b/crates/gypsumglade/src/cli/bench.rs
@@ -1,4 +1,4 @@
-//! `gypsumglade bench`: measurements that a person runs.
+//! `gypsumglade bench`: benchmarks for manual runs.
 
 use std::path::PathBuf;
 
@@ -11,40 +11,40 @@
 
 #[derive(Debug, clap::Subcommand)]
 pub(super) enum BenchVerb {
-    /// Compare the scheduling policy with the usual ones on a virtual clock, as a Markdown table.
+    /// Compare the scheduling policy with common ones in simulated time, as a Markdown table.
     Policy(PolicyArgs),
-    /// Measure what the system adds to a call, with stand-ins in this process.
+    /// Measure the latency that the system adds to a call, with stand-ins in this process.
     Path(PathArgs),
 }
 
 #[derive(Debug, clap::Args)]
 pub(super) struct PathArgs {
-    /// Calls of each series.
+    /// Number of calls in each series.
     #[arg(long, default_value_t = PathBench::default().calls)]
     calls: u64,
-    /// Callers at one time in the loaded series.
+    /// Number of concurrent callers in the series under load.
     #[arg(long, default_value_t = PathBench::default().callers)]
     callers: u64,
-    /// Streams open at one time.
+    /// Number of concurrent streams.
     #[arg(long, default_value_t = PathBench::default().streams)]
     streams: u64,
-    /// Folder for the run's data, on the disk to be measured.
+    /// Data folder, on the disk to be measured.
     #[arg(long, value_name = "FOLDER", default_value = "bench-data")]
     folder: PathBuf,
 }
 
 #[derive(Debug, clap::Args)]
 pub(super) struct PolicyArgs {
-    /// Seeds of the runs; the standard ones if absent.
+    /// Random seeds of the runs; by default the standard ones.
     #[arg(long, alias = "seed", value_delimiter = ',')]
     seeds: Vec<u64>,
-    /// Loads as shares of capacity; the standard ones if absent.
+    /// Loads as fractions of capacity; by default the standard ones.
     #[arg(long, value_delimiter = ',')]
     loads: Vec<f64>,
-    /// Leave out the runs with a part of the policy switched off, and those with faults.
+    /// Skip the runs with parts of the policy switched off, with faults, and with a larger cache.
     #[arg(long)]
     brief: bool,
-    /// Folder for one plot of each user as SVG.
+    /// Folder for the plots, one SVG file per user.
     #[arg(long, value_name = "FOLDER")]
     plots: Option<PathBuf>,
 }
--- a/crates/gypsumglade/src/cli/bundle.rs
+++ b/crates/gypsumglade/src/cli/bundle.rs
@@ -1,4 +1,4 @@
-//! `gypsumglade bundle`: sign, roll out, roll back, see what is in force.
+//! `gypsumglade bundle`: signs bundles, rolls them out or back, and shows what is in force.
 
 use std::fmt;
 use std::path::{Path, PathBuf};
@@ -17,11 +17,11 @@
 use super::{Failure, Output, key};
 use crate::operator;
 
-/// Pause between two looks whether a revision is in force.
+/// Interval between status requests while waiting for a revision to be in force.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A new order on another base could undo what a colleague rolled out meanwhile; the same order
-/// can't, since its base is checked.
+/// Advice after a lost answer. A new order on the current base could undo what another operator
+/// rolled out meanwhile; the same order can't, since its base is checked.
 const RESEND_ADVICE: &str = "repeat the command with --order and --base as printed above: \
                                  the same order is not carried out twice";
 
@@ -34,11 +34,11 @@
         /// The operator's private key, from `gypsumglade key new`.
         #[arg(long, value_name = "FILE")]
         key: PathBuf,
-        /// Where the signed bundle goes.
+        /// File for the signed bundle.
         #[arg(long, value_name = "FILE")]
         out: PathBuf,
     },
-    /// Roll a signed bundle out and wait until it is in force everywhere.
+    /// Roll out a signed bundle and wait until it is in force everywhere.
     Roll {
         /// The signed bundle, from `gypsumglade bundle sign`.
         file: PathBuf,
@@ -47,35 +47,35 @@
     },
     /// Roll back to the content of an earlier revision, as a new revision.
     Back {
-        /// The earlier revision.
+        /// Earlier revision to return to.
         #[arg(long, value_name = "REVISION")]
         to: u64,
-        /// The bundle that was rolled out as that revision, signed or not.
+        /// Bundle that was rolled out as that revision, signed or not.
         #[arg(long, value_name = "FILE")]
         bundle: PathBuf,
-        /// An operator's private key; give it again until there are as many as the threshold.
+        /// An operator's private key; repeat the option for each key up to the threshold.
         #[arg(long = "key", value_name = "FILE", required = true)]
         keys: Vec<PathBuf>,
         #[command(flatten)]
         order: OrderArgs,
     },
-    /// Show the current revision, and which VMs act on it.
+    /// Show the current revision, and the revision that each VM has confirmed.
     Status {
         #[command(flatten)]
         admin: AdminArgs,
     },
 }
 
-/// What both kinds of order share.
+/// Arguments of both kinds of order.
 #[derive(Debug, clap::Args)]
 pub(super) struct OrderArgs {
     /// Revision that the order replaces; without it, the current one.
     #[arg(long, value_name = "REVISION")]
     base: Option<u64>,
-    /// Name of the order; to repeat an order, give its name and base again.
+    /// Name of the order; to resend an order, repeat its name and base.
     #[arg(long, value_name = "NAME")]
     order: Option<CompactString>,
-    /// Seconds to wait until the revision is in force everywhere.
+    /// Maximum time to wait until the revision is in force everywhere, in seconds.
     #[arg(long, value_name = "SECONDS", default_value_t = 30)]
     wait: u64,
     #[command(flatten)]
@@ -96,7 +96,7 @@
     }
 }
 
-/// What `bundle sign` tells.
+/// Result of `bundle sign`.
 #[derive(Serialize)]
 struct SignReport {
     file: PathBuf,
@@ -167,7 +167,7 @@
     keys.iter().map(|file| Ok(key::read(file)?.sign_roll_back(&order))).collect()
 }
 
-/// Names the order and its base, and tells both, so that a resend can repeat them.
+/// Returns the order's name and base, and prints them so that the order can be resent.
 fn order_header(client: &AdminClient, args: &OrderArgs) -> Result<OrderHeader, Failure> {
     let base = match args.base {
         Some(base) => base,
@@ -179,7 +179,7 @@
     Ok(OrderHeader { id, base })
 }
 
-/// Gives an order and waits until its revision is in force.
+/// Sends an order and waits until its revision is in force.
 fn submit(
     client: &AdminClient,
     command: &Command,
@@ -191,15 +191,15 @@
     let report = wait_in_force(client, &accepted, Duration::from_secs(seconds))?;
     output.print(&report)?;
     if report.is_replaced() {
-        let message = "this bundle was rolled out before and replaced since";
-        let advice = "bring it back by `gypsumglade bundle back`, or give it a new version";
+        let message = "this bundle was rolled out earlier and has been replaced since";
+        let advice = "roll back to it with `gypsumglade bundle back`, or give it a new version";
         return Err(Failure::new(FailureKind::Refused, message, advice));
     }
     if report.in_force {
         return Ok(());
     }
     let message = "accepted, but not yet in force everywhere";
-    let advice = "it comes into force by itself: follow it by `gypsumglade bundle status`";
+    let advice = "no action is needed; follow the progress with `gypsumglade bundle status`";
     Err(Failure::new(FailureKind::Pending, message, advice))
 }
 
@@ -222,7 +222,7 @@
     client.get(&format!("/v1/status?revision={revision}"))
 }
 
-/// Reads a signed bundle, or a plain one as a bundle without signatures.
+/// Reads a signed bundle, or an unsigned one as a bundle without signatures.
 fn read(file: &Path) -> Result<SignedBundle, Failure> {
     let content = std::fs::read(file).with_context(|| format!("can't read {}", file.display()))?;
     match serde_json::from_slice::<SignedBundle>(&content) {
@@ -237,5 +237,5 @@
 
 fn findings_failure(file: &Path, findings: &Findings) -> Failure {
     let message = format!("{}:\n{findings}", file.display());
-    Failure::new(FailureKind::Findings, message, "mend each place and sign again")
+    Failure::new(FailureKind::Findings, message, "fix each finding and sign again")
 }
--- a/crates/gypsumglade/src/cli/completions.rs
+++ b/crates/gypsumglade/src/cli/completions.rs
@@ -1,4 +1,4 @@
-//! `gypsumglade completions`: scripts for shells.
+//! `gypsumglade completions`: prints shell completion scripts.
 
 use clap::CommandFactory as _;
 
@@ -6,7 +6,7 @@
 
 #[derive(Debug, clap::Args)]
 pub(super) struct CompletionArgs {
-    /// The shell.
+    /// Shell to generate the script for.
     #[arg(value_enum)]
     shell: clap_complete::Shell,
 }
--- a/crates/gypsumglade/src/cli/daemon.rs
+++ b/crates/gypsumglade/src/cli/daemon.rs
@@ -1,4 +1,4 @@
-//! The daemons: read settings, start a role, stop as planned at a signal.
+//! Daemons: load the settings, start a role, and stop gracefully at a signal.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -18,12 +18,12 @@
 use crate::settings::Settings;
 use crate::store::{Registrar, Store};
 
-/// What a process runs.
+/// Roles that a process runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Roles {
-    /// The data path.
+    /// Serves callers and routes their requests.
     Entry,
-    /// The durable role.
+    /// Holds replicas on disk.
     Store,
     /// Both in one process.
     Both,
@@ -48,26 +48,25 @@
     settings: PathBuf,
 }
 
-/// What a platform brings to the daemons: its dialect towards callers and endpoints, and towards
-/// whoever asks the registrar.
+/// Platform-specific protocols of the daemons.
 pub struct Platform {
-    /// Callers' and endpoints' dialect.
+    /// Protocol of callers and endpoints.
     pub dialect: Arc<dyn Dialect>,
-    /// Routes of the registrar's interface.
+    /// HTTP routes of the registrar.
     pub registrar: fn(Registrar) -> axum::Router,
 }
 
-/// Runs a daemon of one role to its end.
+/// Runs a daemon until it is stopped.
 ///
-/// The first SIGTERM or SIGINT is a planned stop, in which calls in flight finish; a second one
-/// ends the process at once.
+/// At the first SIGTERM or SIGINT, calls in flight finish before the process ends; at the second,
+/// it ends at once.
 pub fn main(roles: Roles) -> ExitCode {
     let args = DaemonArgs::parse();
     exit_code(load(&args.settings).and_then(|settings| run(roles, settings)))
 }
 
-/// Runs the role that the settings name, in a platform's dialect, to its end: a store where they
-/// have a `store` section, otherwise a gateway.
+/// Runs a daemon with a platform's protocols until it is stopped: a store if the settings have a
+/// `store` section, otherwise a gateway.
 pub fn main_with_platform(platform: Platform) -> ExitCode {
     let args = DaemonArgs::parse();
     exit_code(run_platform(platform, &args.settings))
@@ -83,15 +82,15 @@
     }
 }
 
-/// Loads settings, with the findings as the failure.
+/// Loads settings and converts their findings to a failure.
 pub(super) fn load(file: &Path) -> Result<Settings, Failure> {
     Settings::load(file).map_err(Failure::from_findings)
 }
 
-/// Runs roles until a planned stop is over.
+/// Runs the roles until they have stopped.
 pub(super) fn run(roles: Roles, settings: Settings) -> Result<(), Failure> {
     let runtime = build_runtime(settings.threads).context("can't start the runtime")?;
-    // The guard writes the log's last lines, so it outlives the roles.
+    // Dropping the guard flushes the log, so it outlives the roles.
     let (log, _guard) = logs::start(&settings.log, settings.vm.id, roles.name())?;
     Ok(runtime.block_on(serve(roles, settings, log))?)
 }
@@ -104,8 +103,8 @@
     Ok(runtime.block_on(serve_platform(platform, file.to_path_buf(), settings, log))?)
 }
 
-/// Builds the runtime. One thread spares a VM with a part of one processor the switches between
-/// threads.
+/// Builds the runtime. With one thread it has no worker threads, which avoids context switches on
+/// a VM with less than one processor.
 fn build_runtime(threads: u16) -> std::io::Result<tokio::runtime::Runtime> {
     match threads {
         0 => tokio::runtime::Runtime::new(),
@@ -175,7 +174,7 @@
     }
 }
 
-/// Roles under way.
+/// Running roles.
 enum Running {
     Entry(Entry),
     Store(Store),
@@ -184,7 +183,7 @@
 }
 
 impl Running {
-    /// Prints the addresses in use as one line of JSON, for scripts that let the kernel choose.
+    /// Prints the bound addresses as one line of JSON, for scripts that let the kernel choose ports.
     fn print_addresses(&self) {
         let line = match self {
             Running::Entry(entry) => serde_json::to_string(&entry.addresses()),
@@ -195,7 +194,7 @@
         println!("{}", line.unwrap_or_default());
     }
 
-    /// Takes what may change while the process runs: the seeds.
+    /// Applies the settings that can change while the process runs, which are the seeds.
     fn reload(&self, settings: &Settings) {
         let Some(discovery) = &settings.discovery else { return };
         match self {
@@ -215,14 +214,14 @@
     }
 }
 
-/// What a signal asks for.
+/// Action that a signal requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum SignalAction {
     Stop,
     Reload,
 }
 
-/// The signals that a daemon obeys.
+/// Signals that a daemon handles.
 struct Signals {
     terminate: Signal,
     interrupt: Signal,
@@ -249,13 +248,13 @@
     }
 }
 
-/// Looks out for changes of the settings file.
+/// Detects changes of the settings file by its modification time.
 struct SettingsWatcher {
     file: PathBuf,
     modified: Option<SystemTime>,
 }
 
-/// Pause between two looks at the settings file, which may change without a signal.
+/// Interval between checks of the settings file, which may change without a signal.
 const WATCH_INTERVAL: Duration = Duration::from_secs(3);
 
 impl SettingsWatcher {
@@ -272,7 +271,7 @@
         changed
     }
 
-    /// Reads the file again. A file with findings changes nothing.
+    /// Reloads the file. A file with findings is not applied.
     fn reload(&mut self, running: &Running, log: &slog::Logger) {
         self.has_changed();
         match Settings::load(&self.file) {
--- a/crates/gypsumglade/src/cli/demo.rs
+++ b/crates/gypsumglade/src/cli/demo.rs
@@ -1,4 +1,4 @@
-//! `gypsumglade demo`: one real program through the whole system, with its promises checked.
+//! `gypsumglade demo`: runs a program through the whole system and checks the outcome.
 
 use std::path::PathBuf;
 
@@ -11,12 +11,12 @@
 use crate::logs;
 use crate::settings::LogSettings;
 
-/// Pause between two steps of the spinner.
+/// Interval between two frames of the spinner.
 const SPINNER_TICK: std::time::Duration = std::time::Duration::from_millis(100);
 
 #[derive(Debug, clap::Args)]
 pub(super) struct DemoArgs {
-    /// Folder for state and log; a fresh one under the system's folder for such if absent.
+    /// Folder for state and log; by default a temporary folder, which is removed after a success.
     #[arg(long, value_name = "FOLDER")]
     folder: Option<PathBuf>,
 }
@@ -26,8 +26,9 @@
     let temporary =
         || std::env::temp_dir().join(format!("gypsumglade-demo-{}", std::process::id()));
     let folder = args.folder.unwrap_or_else(temporary);
-    std::fs::create_dir_all(&folder)
-        .with_context(|| format!("can't create {}; choose one by --folder", folder.display()))?;
+    std::fs::create_dir_all(&folder).with_context(|| {
+        format!("can't create {}; choose another with --folder", folder.display())
+    })?;
     let settings = LogSettings { file: Some(folder.join("demo.jsonl")), ..LogSettings::default() };
     let (log, guard) = logs::start(&settings, 1, "demo")?;
     let spinner = ProgressBar::new_spinner();
@@ -41,15 +42,15 @@
     let report = outcome.with_context(|| location.clone())?;
     output.print(&report)?;
     if !report.passed() {
-        let advice = "report it with the log and the folder";
+        let advice = "report the failure, with the log and the folder";
         return Err(Failure::new(
             FailureKind::Failed,
-            format!("a promise broke; {location}"),
+            format!("a check of the demo failed; {location}"),
             advice,
         ));
     }
     if !keep_folder {
-        // What is left behind in a folder for such does no harm.
+        // Leftovers in the temporary folder are harmless.
         let _ = std::fs::remove_dir_all(&folder);
     }
     Ok(())
--- a/crates/gypsumglade/src/cli/dump.rs
+++ b/crates/gypsumglade/src/cli/dump.rs
@@ -1,4 +1,4 @@
-//! `gypsumglade dump`: the whole state of a running process.
+//! `gypsumglade dump`: prints the state of a running process.
 
 use super::Failure;
 use super::admin_client::{AdminArgs, AdminClient};
--- a/crates/gypsumglade/src/cli/failure.rs
+++ b/crates/gypsumglade/src/cli/failure.rs
@@ -1,4 +1,4 @@
-//! Why a command did not do what was asked, with an exit code and advice.
+//! Errors of commands, with an exit code and advice.
 
 use std::fmt;
 
@@ -7,51 +7,51 @@
 use super::Output;
 use crate::settings::Findings;
 
-/// Exit codes of the command line; docs/OPERATING.md lists them for scripts.
+/// Exit codes of the command line, as listed in docs/OPERATING.md.
 pub mod exit {
-    /// The command did what was asked.
+    /// Success.
     pub const DONE: u8 = 0;
-    /// Anything without a code of its own.
+    /// Any failure without a code of its own.
     pub const FAILED: u8 = 1;
-    /// The command line itself is wrong.
+    /// The command line is invalid.
     pub const USAGE: u8 = 2;
-    /// A file was checked and has findings.
+    /// A checked file has findings.
     pub const FINDINGS: u8 = 3;
-    /// The system refused the order; nothing changed.
+    /// The order was refused; nothing changed.
     pub const REFUSED: u8 = 4;
-    /// The process could not be reached; nothing was sent.
+    /// The process can't be reached; nothing was sent.
     pub const UNREACHABLE: u8 = 5;
-    /// The order was sent and its answer lost; the same order may be sent again.
+    /// The order was sent, but the answer was lost; the same order may be sent again.
     pub const UNKNOWN: u8 = 6;
-    /// The order was accepted and is not yet in force everywhere.
+    /// The order was accepted, but is not yet in force everywhere.
     pub const PENDING: u8 = 7;
 }
 
-/// Kind of a failure, each with its exit code.
+/// Kind of a failure; each has its own exit code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FailureKind {
-    /// Anything without a kind of its own.
+    /// Any failure without a kind of its own.
     Failed,
-    /// A file has findings.
+    /// A checked file has findings.
     Findings,
-    /// The system refused; nothing changed.
+    /// The order was refused; nothing changed.
     Refused,
-    /// Nothing was sent.
+    /// The process can't be reached; nothing was sent.
     Unreachable,
-    /// Sent, and the answer lost.
+    /// The order was sent, but the answer was lost.
     Unknown,
-    /// Accepted, and not yet in force everywhere.
+    /// The order was accepted, but is not yet in force everywhere.
     Pending,
 }
 
-/// A failure as the operator sees it.
+/// Failure of a command, as reported to the operator.
 #[derive(Clone, Debug, Serialize)]
 pub struct Failure {
     kind: FailureKind,
     message: String,
     advice: &'static str,
-    /// Findings of a settings file, for scripts; the message holds them for a person.
+    /// Findings of a settings file, for scripts. The message has them as text.
     #[serde(skip_serializing_if = "Option::is_none")]
     findings: Option<Findings>,
 }
@@ -62,19 +62,19 @@
 }
 
 impl Failure {
-    /// Builds a failure; `advice` says what to do now.
+    /// Creates a failure; `advice` tells the operator what to do.
     pub fn new(kind: FailureKind, message: impl fmt::Display, advice: &'static str) -> Failure {
         Failure { kind, message: message.to_string(), advice, findings: None }
     }
 
-    /// Builds the failure of a settings file.
+    /// Creates the failure for a settings file with findings.
     pub fn from_findings(findings: Findings) -> Failure {
-        let advice = "mend each place; `gypsumglade settings example store` shows all keys";
+        let advice = "fix each finding; `gypsumglade settings example store` shows all keys";
         let failure = Failure::new(FailureKind::Findings, &findings, advice);
         Failure { findings: Some(findings), ..failure }
     }
 
-    /// Replaces the advice if the outcome is unknown.
+    /// Replaces the advice of a failure of kind [`FailureKind::Unknown`].
     pub(super) fn with_unknown_advice(self, advice: &'static str) -> Failure {
         match self.kind {
             FailureKind::Unknown => Failure { advice, ..self },
@@ -108,6 +108,6 @@
 
 impl From<anyhow::Error> for Failure {
     fn from(error: anyhow::Error) -> Failure {
-        Failure::new(FailureKind::Failed, format_args!("{error:#}"), "mend the cause and try again")
+        Failure::new(FailureKind::Failed, format_args!("{error:#}"), "fix the cause and try again")
     }
 }
--- a/crates/gypsumglade/src/cli/inspect.rs
+++ b/crates/gypsumglade/src/cli/inspect.rs
@@ -1,4 +1,4 @@
-//! `gypsumglade inspect`: what a data folder holds and whether it is sound.
+//! `gypsumglade inspect`: shows the content of a data folder and checks it for damage.
 
 use std::fmt;
 use std::path::PathBuf;
@@ -13,7 +13,7 @@
 
 #[derive(Debug, clap::Args)]
 pub(super) struct InspectArgs {
-    /// The data folder of a store; nothing in it is changed.
+    /// Data folder of a store; it is only read.
     folder: PathBuf,
 }
 
@@ -55,7 +55,7 @@
         return Ok(());
     }
     let message = format!("{} has {} finding(s)", args.folder.display(), report.0.findings.len());
-    let advice = "keep the folder, and start no store on an empty one under the same number; see \
-                  docs/OPERATING.md, \"Lost disk\"";
+    let advice = "keep the folder, and don't start a store with the same VM number on an empty one; \
+                  see docs/OPERATING.md, \"Lost disk\"";
     Err(Failure::new(FailureKind::Findings, message, advice))
 }
--- a/crates/gypsumglade/src/cli/key.rs
+++ b/crates/gypsumglade/src/cli/key.rs
@@ -12,12 +12,12 @@
 
 use super::{Failure, Output};
 
-/// Only the owner may read a secret.
+/// File mode of a secret: only the owner may read and write it.
 const PRIVATE_MODE: u32 = 0o600;
 
 #[derive(Debug, clap::Subcommand)]
 pub(super) enum KeyVerb {
-    /// Make a private key, and print the public key for `operators.keys` of the settings.
+    /// Create a private key, and print the public key for `operators.keys` of the settings.
     New {
         /// File for the private key, which must not exist yet.
         file: PathBuf,
@@ -54,19 +54,21 @@
     output.print(&KeyReport { file, public })
 }
 
-/// Writes a fresh private key to a new file.
+/// Writes a new random private key to a new file.
 pub(super) fn create(file: &Path) -> anyhow::Result<()> {
     write_secret(file, &hex::encode(rand::random::<[u8; 32]>()))
 }
 
-/// Writes a secret line to a new file that only its owner may read.
+/// Writes a line with a secret to a new file that only its owner can read.
 pub(super) fn write_secret(path: &Path, line: &str) -> anyhow::Result<()> {
     let mut file = OpenOptions::new()
         .write(true)
         .create_new(true)
         .mode(PRIVATE_MODE)
         .open(path)
-        .with_context(|| format!("can't create {}; name a new file", path.display()))?;
+        .with_context(|| {
+            format!("can't create {}; choose a file that does not exist", path.display())
+        })?;
     writeln!(file, "{line}")?;
     file.sync_all()?;
     Ok(())
@@ -75,10 +77,11 @@
 /// Reads a private key that `key new` wrote.
 pub(super) fn read(path: &Path) -> anyhow::Result<KeyPair> {
     let text = std::fs::read_to_string(path)
-        .with_context(|| format!("can't read the key {}", path.display()))?;
+        .with_context(|| format!("can't read the key file {}", path.display()))?;
     let seed = hex::decode(text.trim()).ok().and_then(|bytes| bytes.try_into().ok());
-    let advice = "a private key is 64 hexadecimal digits, as `gypsumglade key new` writes it";
-    let seed =
-        seed.with_context(|| format!("{} holds no private key; {advice}", path.display()))?;
+    let advice = "create one with `gypsumglade key new`";
+    let seed = seed.with_context(|| {
+        format!("{} is not a private key of 64 hexadecimal digits; {advice}", path.display())
+    })?;
     Ok(KeyPair::from_seed(seed))
 }
--- a/crates/gypsumglade/src/cli/mod.rs
+++ b/crates/gypsumglade/src/cli/mod.rs
@@ -1,7 +1,7 @@
-//! The operators' command line.
+//! Command line for operators.
 //!
-//! Each verb has its own file and returns what it found as a typed report, which is printed as text
-//! or JSON; what went wrong comes back as a [`Failure`] with an exit code and advice.
+//! Each subcommand has its own module. Its result is a typed report, printed as text or JSON; errors
+//! are [`Failure`]s with an exit code and advice.
 
 mod admin_client;
 mod bench;
@@ -28,12 +28,12 @@
 
 /// Scheduler for agent programs, between callers and model engines or plain services.
 ///
-/// Exit codes: 0 done; 1 failed; 2 wrong usage; 3 findings in a file; 4 refused; 5 not reachable;
-/// 6 the answer was lost, send the same order again; 7 accepted, not yet in force everywhere.
+/// Exit codes: 0 success; 1 failed; 2 wrong usage; 3 findings in a file; 4 refused; 5 unreachable;
+/// 6 answer lost, send the same order again; 7 accepted, but not yet in force everywhere.
 #[derive(Debug, Parser)]
 #[command(name = "gypsumglade", version, arg_required_else_help = true)]
 pub struct Cli {
-    /// How results and errors are printed.
+    /// Format of results and errors.
     #[arg(long, global = true, value_enum, default_value_t = Output::Text)]
     output: Output,
     #[command(subcommand)]
@@ -42,27 +42,27 @@
 
 #[derive(Debug, Subcommand)]
 enum Verb {
-    /// Run a real program through the whole system in this process, with stand-ins outside it.
+    /// Run a program through the whole system in this process, with stand-ins for external services.
     Demo(demo::DemoArgs),
     /// Run entry and store in one process.
     Serve(serve::ServeArgs),
     /// Check a settings file, or print an example of one.
     #[command(subcommand)]
     Settings(settings::SettingsVerb),
-    /// Make operators' keys.
+    /// Create and show operators' keys.
     #[command(subcommand)]
     Key(key::KeyVerb),
-    /// Sign bundles, roll them out, roll back, and see what is in force.
+    /// Sign bundles, roll them out, roll back, and show what is in force.
     #[command(subcommand)]
     Bundle(bundle::BundleVerb),
-    /// Print the whole state of a running process as JSON.
+    /// Print the state of a running process as JSON.
     Dump(dump::DumpArgs),
-    /// Show what a store's data folder holds and whether it is sound.
+    /// Show the content of a store's data folder and check it for damage.
     Inspect(inspect::InspectArgs),
-    /// Measure.
+    /// Run benchmarks.
     #[command(subcommand)]
     Bench(bench::BenchVerb),
-    /// Print a completion script for a shell.
+    /// Print a shell completion script.
     Completions(completions::CompletionArgs),
 }
 
@@ -71,12 +71,12 @@
     run(std::env::args_os())
 }
 
-/// Runs one command line, the program's name first.
+/// Runs a command line, whose first element is the program's name.
 pub fn run(args: impl IntoIterator<Item = OsString>) -> ExitCode {
     let cli = match Cli::try_parse_from(args) {
         Ok(cli) => cli,
         Err(error) => {
-            // Help goes to standard output, usage errors to standard error, and clap knows which.
+            // Prints help to standard output and usage errors to standard error.
             let _ = error.print();
             return ExitCode::from(if error.use_stderr() { exit::USAGE } else { exit::DONE });
         }
--- a/crates/gypsumglade/src/cli/orders.rs
+++ b/crates/gypsumglade/src/cli/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to the control group, and what came of them.
+//! Orders to the control group and their outcomes.
 
 use std::fmt;
 
@@ -15,16 +15,16 @@
 use super::Failure;
 use super::failure::FailureKind;
 
-/// Who gives an order, and on what.
+/// Name of an order, and the revision that it replaces.
 #[derive(Clone, Debug)]
 pub(super) struct OrderHeader {
-    /// Names the order; a resend repeats it.
+    /// Name of the order, repeated when it is resent.
     pub(super) id: CompactString,
-    /// Revision that it replaces; refused if another one is the current one.
+    /// Revision that the order replaces. The order is refused if another revision is current.
     pub(super) base: u64,
 }
 
-/// Builds the command that makes an earlier revision's content the next revision.
+/// Returns the command that rolls back to an earlier revision's content, as a new revision.
 pub(super) fn roll_back(header: &OrderHeader, to: u64, signatures: &[Signature]) -> Command {
     let back = RollBack {
         order_id: header.id.to_string(),
@@ -35,7 +35,7 @@
     Command { body: Some(CommandBody::RollBack(back)) }
 }
 
-/// Returns the accepted revision, or why nothing changed.
+/// Returns the accepted revision, or the failure for an order that was not accepted.
 pub(super) fn outcome(answer: Answer) -> Result<Accepted, Failure> {
     match answer.body {
         Some(AnswerBody::Accepted(accepted)) => Ok(accepted),
@@ -47,8 +47,8 @@
                 stale.current,
                 digest(&stale.digest)
             );
-            let advice = "another operator was faster: see `gypsumglade bundle status`, agree, \
-                          and order again";
+            let advice = "another operator changed the bundle: check `gypsumglade bundle status`, agree \
+                          on the change, and give a new order";
             Err(Failure::new(FailureKind::Refused, message, advice))
         }
         Some(AnswerBody::Rejected(rejected)) => {
@@ -57,8 +57,8 @@
             Err(Failure::new(FailureKind::Refused, message, advice(fault)))
         }
         Some(AnswerBody::Orders(_) | AnswerBody::Placed(_) | AnswerBody::Registered(_)) | None => {
-            let message = "the answer is to another kind of order";
-            let advice = "use a tool of the process's version";
+            let message = "the answer belongs to another kind of order";
+            let advice = "use the gypsumglade command of the same version as the process";
             Err(Failure::new(FailureKind::Unknown, message, advice))
         }
     }
@@ -72,17 +72,17 @@
         digest(&conflict.accepted),
         digest(&conflict.offered)
     );
-    let advice = "give the bundle a version of its own, sign it and order again";
+    let advice = "give the bundle a new version, sign it and roll it out again";
     Failure::new(FailureKind::Refused, message, advice)
 }
 
 fn advice(fault: Fault) -> &'static str {
     match fault {
-        Fault::NotSigned => "collect more signatures: `gypsumglade bundle sign`",
-        Fault::OrderIdReused => "leave --order out, or repeat the first order unchanged",
+        Fault::NotSigned => "add signatures with `gypsumglade bundle sign`",
+        Fault::OrderIdReused => "omit --order, or repeat the first order unchanged",
         Fault::RevisionNotKept => "sign the earlier bundle under a new version and roll it out",
         Fault::VersionTooOld => "give the bundle a higher version",
-        Fault::InvalidContent => "mend each finding and sign again",
+        Fault::InvalidContent => "fix each finding and sign again",
         Fault::Unspecified
         | Fault::DigestMismatch
         | Fault::Malformed
@@ -91,17 +91,17 @@
     }
 }
 
-/// What came of an accepted order.
+/// Result of an accepted order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub(super) struct RollReport {
     pub(super) revision: u64,
     pub(super) version: CompactString,
     pub(super) digest: CompactString,
-    /// Whether no VM acts on an earlier revision any more, nor ever will.
+    /// Whether no VM uses an earlier revision any more.
     pub(super) in_force: bool,
-    /// VMs that may still act on an earlier one.
+    /// VMs that may still use an earlier revision.
     pub(super) waiting: Vec<u32>,
-    /// The current revision; a later one than `revision` when a resent order was answered again.
+    /// The current revision. Later than `revision` if the order was resent and replaced since.
     pub(super) current: u64,
 }
 
@@ -117,10 +117,10 @@
         }
     }
 
-    /// Tells whether another revision has replaced this one.
+    /// Returns whether a later revision has replaced this one.
     ///
-    /// A bundle that was rolled out once is not rolled out again: the resent order gets its first
-    /// answer, however long ago that was.
+    /// A bundle that was rolled out before is not rolled out again. The resent order gets its first
+    /// answer.
     pub(super) fn is_replaced(&self) -> bool {
         self.current > self.revision
     }
@@ -136,11 +136,11 @@
         if self.in_force {
             return write!(f, "in force everywhere");
         }
-        write!(f, "accepted, but VMs {:?} may still act on an earlier one", self.waiting)
+        write!(f, "accepted, but VMs {:?} may still use an earlier revision", self.waiting)
     }
 }
 
-/// What `bundle status` tells.
+/// Result of `bundle status`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub(super) struct StatusReport {
     pub(super) revision: u64,
@@ -151,7 +151,7 @@
     pub(super) vms: Vec<VmReport>,
 }
 
-/// One entry VM, as the control group's leader sees it.
+/// State of one entry VM, according to the control group's leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub(super) struct VmReport {
     pub(super) vm: u32,
@@ -179,12 +179,12 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let StatusReport { revision, version, digest, .. } = self;
         if *revision == 0 {
-            return write!(f, "no bundle was rolled out yet");
+            return write!(f, "no bundle has been rolled out yet");
         }
         let force = if self.in_force { "in force everywhere" } else { "not yet in force" };
         writeln!(f, "revision {revision}: version {version}, digest {digest}, {force}")?;
         if !self.waiting.is_empty() {
-            writeln!(f, "VMs that may still act on an earlier one: {:?}", self.waiting)?;
+            writeln!(f, "VMs that may still use an earlier revision: {:?}", self.waiting)?;
         }
         let mut table = tabled::builder::Builder::default();
         table.push_record(["VM", "confirmed", "lease ends in"]);
--- a/crates/gypsumglade/src/cli/output.rs
+++ b/crates/gypsumglade/src/cli/output.rs
@@ -1,4 +1,4 @@
-//! How results are printed.
+//! Output of results.
 
 use std::fmt::Display;
 use std::io::{ErrorKind, Write as _};
@@ -7,18 +7,18 @@
 
 use super::Failure;
 
-/// Form of results and errors.
+/// Format of results and errors.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, clap::ValueEnum)]
 pub enum Output {
-    /// For a person.
+    /// Plain text.
     #[default]
     Text,
-    /// For a script.
+    /// JSON, for scripts.
     Json,
 }
 
 impl Output {
-    /// Prints a report: its `Display` for a person, its fields as JSON for a script.
+    /// Prints a report, as text through its `Display` or as JSON.
     pub(super) fn print<T: Serialize + Display>(self, report: &T) -> Result<(), Failure> {
         match self {
             Output::Text => line(report),
@@ -29,7 +29,7 @@
 
 /// Prints a line to standard output.
 ///
-/// A reader that has seen enough, such as `head`, closes the pipe; that is no failure.
+/// A closed pipe is not an error, since readers such as `head` close it early.
 pub(super) fn line(text: &impl Display) -> Result<(), Failure> {
     match writeln!(std::io::stdout(), "{text}") {
         Err(error) if error.kind() != ErrorKind::BrokenPipe => {
@@ -39,7 +39,7 @@
     }
 }
 
-/// Writes a value as indented JSON.
+/// Returns a value as indented JSON.
 pub(super) fn json<T: Serialize>(value: &T) -> Result<String, Failure> {
     serde_json::to_string_pretty(value).map_err(|e| Failure::from(anyhow::Error::from(e)))
 }
--- a/crates/gypsumglade/src/cli/serve.rs
+++ b/crates/gypsumglade/src/cli/serve.rs
@@ -1,4 +1,4 @@
-//! `gypsumglade serve`: the whole system in one process.
+//! `gypsumglade serve`: entry and store in one process.
 
 use std::path::{Path, PathBuf};
 
@@ -9,15 +9,15 @@
 use super::{Failure, key};
 use crate::settings::{OperatorSettings, Secret, Settings};
 
-/// Folder of the embedded default, under the current one.
+/// Default folder for a process without a settings file.
 const DEFAULT_FOLDER: &str = "data";
 
 #[derive(Debug, clap::Args)]
 pub(super) struct ServeArgs {
-    /// Settings file; without it the process is the whole deployment, on free loopback ports.
+    /// Settings file; without one, the process is the whole deployment, on free loopback ports.
     #[arg(long, value_name = "FILE", env = "GYPSUMGLADE_SETTINGS")]
     settings: Option<PathBuf>,
-    /// Folder for state, tokens and an operator's key when there is no settings file.
+    /// Folder for state, tokens and an operator's key if there is no settings file.
     #[arg(long, value_name = "FOLDER", default_value = DEFAULT_FOLDER, conflicts_with = "settings")]
     folder: PathBuf,
 }
@@ -31,9 +31,10 @@
     daemon::run(roles, settings)
 }
 
-/// Returns the embedded settings, with tokens and a key that a restart finds again.
+/// Returns settings for a deployment of one process. The admin and endpoint tokens and the
+/// operator's key are kept in `folder`, so that they survive a restart.
 fn embedded(folder: &Path) -> anyhow::Result<Settings> {
-    let advice = "name a folder that this user may write to by --folder";
+    let advice = "choose a writable folder with --folder";
     std::fs::create_dir_all(folder)
         .with_context(|| format!("can't create {}; {advice}", folder.display()))?;
     let mut settings = Settings::embedded(&folder.join("state"));
@@ -51,7 +52,7 @@
     Ok(settings)
 }
 
-/// Reads a token that an earlier start wrote, or writes this one.
+/// Reads the token in `file`, which is created with `initial` if it does not exist.
 fn load_or_create_token(file: &Path, initial: &Secret) -> anyhow::Result<Secret> {
     if !file.exists() {
         key::write_secret(file, initial.reveal())?;
--- a/crates/gypsumglade/src/cli/settings.rs
+++ b/crates/gypsumglade/src/cli/settings.rs
@@ -1,4 +1,4 @@
-//! `gypsumglade settings`: check a file, print an example.
+//! `gypsumglade settings`: checks a settings file, or prints an example.
 
 use std::fmt;
 use std::path::PathBuf;
@@ -13,18 +13,18 @@
 pub(super) enum SettingsVerb {
     /// Check a settings file and report every finding at once.
     Check {
-        /// The file.
+        /// Settings file to check.
         file: PathBuf,
     },
     /// Print an annotated settings file.
     Example {
-        /// What the VM does.
+        /// Role of the VM.
         #[arg(value_enum, default_value_t = Role::Store)]
         role: Role,
     },
 }
 
-/// What a check without findings tells.
+/// Result of a check without findings.
 #[derive(Serialize)]
 struct CheckReport {
     file: PathBuf,
