--- a/crates/gypsumglade/src/admin.rs
+++ b/crates/gypsumglade/src/admin.rs
@@ -1,6 +1,6 @@
-//! The operators' listener: bundles, status, metrics and the dump of a process's state.
+//! HTTP routes of the operators' listener: control commands, status, metrics and state dumps.
 //!
-//! It has a port and a token of its own; the callers' port serves none of this.
+//! The listener has its own port and token; the callers' port serves none of these routes.
 
 use std::sync::Arc;
 
@@ -52,22 +52,22 @@
     require_token(routes.merge(control_routes(control)), token)
 }
 
-/// Returns a store's metrics page without a token.
+/// Returns the route of a store's metrics page, which needs no token.
 pub fn unauthenticated_metrics(state: Arc<StoreState>) -> Router {
     Router::new().route("/metrics", get(store_metrics)).with_state(state)
 }
 
-/// Finds the control group's leader for an operator.
+/// Client for requests from operators to the control group.
 #[derive(Clone)]
 pub struct ControlClient {
-    /// Where the stores are.
+    /// Addresses of the stores.
     pub directory: Arc<Directory>,
-    /// Calls to them.
+    /// Connections to the stores.
     pub peers: PeerClients,
 }
 
 impl ControlClient {
-    /// Asks the control group; `None` when no leader answered.
+    /// Sends a request to the control group's leader. Returns `None` if no leader answered.
     pub async fn ask(&self, request: &ControlRequest) -> Option<ControlReply> {
         let (directory, peers) = (Arc::clone(&self.directory), self.peers.clone());
         ControlGroupClient::new(directory, peers, OPERATOR).ask(request).await
@@ -111,7 +111,7 @@
     }
 }
 
-/// Takes a command in its protobuf form, and answers in the same.
+/// Handles a command; request and answer are encoded as protobuf.
 async fn command(State(control): State<ControlClient>, body: Bytes) -> Response {
     let Ok(command) = Command::decode(body) else {
         return (StatusCode::BAD_REQUEST, "the body is not a control command").into_response();
@@ -124,8 +124,8 @@
 }
 
 fn no_leader() -> Response {
-    let advice = "no store leads the control group: send the same order again, and look at the \
-        stores if it lasts; see docs/OPERATING.md, \"Lost quorum\"";
+    let advice = "the control group has no leader: send the same order again, and check the \
+        stores if this persists; see docs/OPERATING.md, \"Lost quorum\"";
     (StatusCode::SERVICE_UNAVAILABLE, advice).into_response()
 }
 
--- a/crates/gypsumglade/src/clock.rs
+++ b/crates/gypsumglade/src/clock.rs
@@ -1,30 +1,31 @@
-//! The process's clock, in the core's unit.
+//! Monotonic clock of the process.
 
 use gypsumglade_core::prelude::*;
 use rustix::time::{ClockId, clock_gettime};
 
-/// Reads the time since the process started, the time that its VM was suspended included.
+/// Monotonic clock that counts from the start of the process, including time in which the VM was
+/// suspended.
 ///
-/// Leases rest on it. The steady clock of the standard library stands still while a VM is suspended:
-/// a leader that wakes after five seconds would take its lease for fresh, and answer reads that miss
-/// what another leader has committed meanwhile.
+/// Leases depend on this. The standard library's `Instant` doesn't advance while a VM is suspended,
+/// so that a resumed leader could consider an expired lease valid and serve stale reads.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Duration,
 }
 
 impl Clock {
-    /// Starts the clock.
+    /// Creates a clock that starts at zero.
     pub fn start() -> Clock {
         Clock { start: since_boot() }
     }
 
-    /// Returns the time now.
+    /// Returns the time since the clock was created.
     pub fn now(&self) -> Time {
         Time::ZERO + since_boot().saturating_sub(self.start)
     }
 
-    /// Returns milliseconds of wall time since the Unix epoch, for records that outlive the process.
+    /// Returns the wall-clock time in milliseconds since the Unix epoch, for records that outlive the
+    /// process.
     pub fn wall_millis() -> u64 {
         let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
         since.map_or(0, |elapsed| u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX))
--- a/crates/gypsumglade/src/embedded.rs
+++ b/crates/gypsumglade/src/embedded.rs
@@ -1,4 +1,4 @@
-//! The whole system in one process: a store and an entry on loopback.
+//! Store and entry in one process, connected over loopback.
 
 use std::sync::Arc;
 
@@ -11,17 +11,17 @@
 
 /// A running store and entry of one process.
 pub struct Embedded {
-    /// The durable role.
+    /// The store, which holds the replicas.
     pub store: Store,
-    /// The data path.
+    /// The entry, which serves callers.
     pub entry: Entry,
 }
 
 impl Embedded {
-    /// Starts both roles; settings with a `store` section and no peers are enough.
+    /// Starts both roles. The settings need a `store` section but no peers.
     ///
     /// # Errors
-    /// As [`Store::start`] and [`Entry::start`].
+    /// Fails as [`Store::start`] and [`Entry::start`] do.
     pub async fn start(settings: Settings, log: slog::Logger) -> anyhow::Result<Embedded> {
         let directory = Arc::new(Directory::new(&settings));
         let vm = settings.vm.vm();
@@ -34,14 +34,14 @@
         Ok(Embedded { store, entry })
     }
 
-    /// Stops as planned: the entry first, since its last calls still need the store.
+    /// Stops both roles, the entry first, since its calls in flight need the store.
     pub async fn stop(self) {
         self.entry.stop().await;
         self.store.stop().await;
     }
 }
 
-/// Waits until `done` is true, looking every few milliseconds; false once `timeout` is over.
+/// Polls `done` until it returns true. Returns false if `timeout` elapses first.
 pub async fn wait_until(timeout: Duration, done: impl AsyncFn() -> bool) -> bool {
     const POLL_INTERVAL: Duration = Duration::from_millis(20);
     let waiting = async {
--- a/crates/gypsumglade/src/lib.rs
+++ b/crates/gypsumglade/src/lib.rs
@@ -1,7 +1,7 @@
 //! Scheduler for agent programs: the library behind the `gypsumglade` daemons.
 //!
-//! Sockets, files and timers live here; every decision is in `gypsumglade-core`. Start with
-//! docs/ARCHITECTURE.md.
+//! This crate does the input and output: sockets, files and timers. The scheduling and replication
+//! logic is in `gypsumglade-core`. See docs/ARCHITECTURE.md for an overview.
 
 pub mod admin;
 pub mod bench;
--- a/crates/gypsumglade/src/listener.rs
+++ b/crates/gypsumglade/src/listener.rs
@@ -1,4 +1,4 @@
-//! Accept loop that every listener of a process shares: TLS where asked for, limits, draining.
+//! Accept loop of the listeners, with optional TLS, limits and graceful shutdown.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,19 +18,19 @@
 use tokio_rustls::rustls::ServerConfig;
 use tokio_util::sync::CancellationToken;
 
-/// Time a connection may take to send its request head, so that idle peers cannot pin sockets.
+/// Timeout for the TLS handshake and for a request head, so that idle peers don't hold sockets open.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(15);
-/// Pause after a failed accept (typically: out of file descriptors), so that the loop cannot spin.
+/// Pause after a failed accept, typically for lack of file descriptors, to avoid a busy loop.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
-/// How one listener accepts connections.
+/// Options of a listener.
 #[derive(Clone)]
 pub struct ListenerOptions {
-    /// TLS of the listener; plain TCP if absent.
+    /// TLS configuration; plain TCP if absent.
     pub tls: Option<Arc<ServerConfig>>,
-    /// Most bytes of a request head.
+    /// Maximum size of a request head, in bytes.
     pub header_bytes: usize,
-    /// Longest time that requests in flight may take once the listener stops.
+    /// Time that requests in flight get to finish once the listener stops.
     pub drain: Duration,
 }
 
@@ -41,10 +41,11 @@
 }
 
 impl Listener {
-    /// Binds `address` and serves `service` on it until `stop`, then lets requests finish.
+    /// Binds `address` and serves `service` on it until `stop` is cancelled. Requests in flight may
+    /// then finish within [`ListenerOptions::drain`].
     ///
     /// # Errors
-    /// Fails when the address cannot be bound; the message names it.
+    /// Fails if the address can't be bound.
     pub async fn bind<S, B>(
         address: SocketAddr,
         service: S,
@@ -66,14 +67,15 @@
         Ok(Listener { address, task })
     }
 
-    /// Returns the address in use, with the port that the kernel chose for port zero.
+    /// Returns the bound address, with the port that the kernel chose if port zero was requested.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Waits until every connection has drained. Call it after the stop token was cancelled.
+    /// Waits until all connections are closed or the drain time is over. Call it after the stop token
+    /// is cancelled.
     pub async fn drained(self) {
-        // A panic of the accept loop leaves nothing to drain.
+        // If the accept loop panicked, there is nothing to wait for.
         let _ = self.task.await;
     }
 }
@@ -103,7 +105,7 @@
                 }
             },
         };
-        // Small frames of a token stream must not wait for an acknowledgement.
+        // Sends the small frames of a token stream at once (disables Nagle's algorithm).
         let _ = stream.set_nodelay(true);
         let service = TowerToHyperService::new(service.clone());
         let builder = connection_builder(&options);
@@ -144,7 +146,7 @@
     builder
 }
 
-/// The smallest head buffer that the HTTP library accepts.
+/// Minimum buffer size that hyper accepts.
 const MIN_HEADER_BYTES: usize = 8_192;
 
 async fn handshake(
--- a/crates/gypsumglade/src/logs.rs
+++ b/crates/gypsumglade/src/logs.rs
@@ -1,7 +1,7 @@
 //! Structured logs as JSON lines.
 //!
-//! Lines are written by a thread of their own, so that a slow disk delays no call; when its buffer
-//! is full, lines are dropped and their count is logged. docs/OPERATING.md lists the fields.
+//! A separate thread writes the lines, so that a slow disk doesn't delay calls. When its queue is
+//! full, lines are dropped and their number is logged. docs/OPERATING.md lists the fields.
 
 use std::fs::OpenOptions;
 use std::io::{self, Write};
@@ -11,36 +11,36 @@
 
 use crate::settings::{Level, LogSettings};
 
-/// Program within its organisation.
+/// Log field: the program, within its organisation.
 pub const PROGRAM: &str = "program";
-/// Turn of the program.
+/// Log field: the turn of the program.
 pub const TURN: &str = "turn";
-/// Dispatch of a call to an endpoint.
+/// Log field: the dispatch of a call to an endpoint.
 pub const DISPATCH: &str = "dispatch";
-/// Endpoint's instance name.
+/// Log field: the endpoint's instance name.
 pub const ENDPOINT: &str = "endpoint";
-/// VM that wrote the line.
+/// Log field: the VM that wrote the line.
 pub const VM: &str = "vm";
-/// Bundle revision that the process acted under.
+/// Log field: the bundle revision that the process used.
 pub const REVISION: &str = "revision";
-/// Daemon that wrote the line.
+/// Log field: the daemon that wrote the line.
 pub const ROLE: &str = "role";
 
-/// File name that stands for standard output.
+/// File name that means standard output.
 const STANDARD_OUTPUT: &str = "-";
-/// Lines that may wait for the writing thread.
+/// Capacity of the writing thread's queue, in lines.
 const BUFFERED_LINES: usize = 4_096;
 
-/// Keeps the writing thread; its drop writes what still waits.
+/// Owns the writing thread; dropping it writes the queued lines.
 pub struct LogGuard {
     _guard: slog_async::AsyncGuard,
 }
 
-/// Creates the logger of a process; `vm` and `role` stand in each line.
+/// Creates the logger of a process; each line has the fields `vm` and `role`.
 ///
 /// # Errors
 ///
-/// Fails when the log file can't be opened for appending.
+/// Fails if the log file can't be opened for appending.
 pub fn start(
     settings: &LogSettings,
     vm: u32,
--- a/crates/gypsumglade/src/metrics.rs
+++ b/crates/gypsumglade/src/metrics.rs
@@ -1,6 +1,6 @@
-//! Metrics of a process and their Prometheus page.
+//! Metrics of a process, exported in the Prometheus format.
 //!
-//! The names are listed for operators in docs/OPERATING.md.
+//! docs/OPERATING.md lists the names for operators.
 
 use anyhow::Context as _;
 use gypsumglade_core::prelude::*;
@@ -9,30 +9,30 @@
 use opentelemetry_sdk::metrics::SdkMeterProvider;
 use prometheus::{Encoder as _, IntGauge, Registry, TextEncoder};
 
-/// Bounds of the whole-program latency histogram, in seconds: a lookup to an hour's chat.
+/// Bucket bounds of the histogram of program durations, in seconds.
 const PROGRAM_SECONDS: [f64; 14] =
     [0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 20.0, 40.0, 80.0, 160.0, 600.0, 1_800.0, 3_600.0];
-/// Bounds of the latency histograms of single calls, in seconds.
+/// Bucket bounds of the latency histograms of calls, in seconds.
 const CALL_SECONDS: [f64; 14] =
     [0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.59, 1.0, 2.5, 5.0, 10.0, 30.0, 60.0, 300.0];
 
-/// Bounds of the histograms of replicated commits, in seconds: a disk's sync to a lost election.
+/// Bucket bounds of the histogram of replicated commits, in seconds, from a disk sync to an election.
 const COMMIT_SECONDS: [f64; 14] =
     [0.002, 0.005, 0.01, 0.02, 0.035, 0.05, 0.075, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0];
 
-/// Times from a proposal to its outcome, by kind of group.
+/// Histogram of the time from a proposal to its outcome, by kind of group.
 #[derive(Clone, Debug)]
 pub struct CommitLatency(Histogram<f64>);
 
 impl CommitLatency {
-    /// Notes one proposal.
+    /// Records one proposal.
     pub fn record(&self, group: GroupId, took: Duration, outcome: &'static str) {
         let labels = [label("group", group_name(group)), label("outcome", outcome)];
         self.0.record(took.as_secs_f64(), &labels);
     }
 }
 
-/// Returns a group's kind, as metrics and logs have it.
+/// Returns a group's kind, as used in metrics and logs.
 pub fn group_name(group: GroupId) -> &'static str {
     match group {
         GroupId::CONTROL => "control",
@@ -41,20 +41,20 @@
     }
 }
 
-/// Returns the bytes of this process that are in memory, and nothing where the kernel doesn't tell.
+/// Returns the resident memory of this process in bytes, or `None` if it can't be read.
 fn resident_bytes() -> Option<u64> {
     let text = std::fs::read_to_string("/proc/self/statm").ok()?;
     let pages: u64 = text.split_whitespace().nth(RESIDENT_FIELD)?.parse().ok()?;
     Some(pages * rustix::param::page_size() as u64)
 }
 
-/// Place of the resident pages in `/proc/self/statm`.
+/// Index of the number of resident pages in `/proc/self/statm`.
 const RESIDENT_FIELD: usize = 1;
 
-/// Instruments of one process.
+/// Metric instruments of a process.
 pub struct Metrics {
     registry: Registry,
-    // Dropping the provider would stop the page from being filled.
+    // Dropping the provider would stop the export of metrics.
     _provider: SdkMeterProvider,
     program_seconds: Histogram<f64>,
     call_seconds: Histogram<f64>,
@@ -72,30 +72,30 @@
     in_flight: UpDownCounter<i64>,
 }
 
-/// What became of prefix tokens.
+/// Outcome of prefix tokens in an engine's cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheUse {
-    /// Computed into an engine's prefix memory.
+    /// Computed and stored in an engine's prefix cache.
     Filled,
-    /// Found there by a later call.
+    /// Found in the cache by a later call.
     Reused,
-    /// Computed before by the same program, and computed again: the earlier fill was wasted.
+    /// Computed again, although the same program had computed them before.
     Refilled,
-    /// Freed at the end of a program, or left behind by a move.
+    /// Freed at the end of a program, or left in an engine that the program moved away from.
     Dropped,
 }
 
 impl Metrics {
-    /// Creates the instruments of the process that runs on `vm`.
+    /// Creates the instruments.
     ///
     /// # Errors
-    /// Fails when the exporter cannot be set up, which is a fault of the program.
+    /// Fails if the exporter can't be set up, which is a bug.
     pub fn new() -> anyhow::Result<Metrics> {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
             .with_registry(registry.clone())
             .build()
-            .context("cannot set up the metrics exporter")?;
+            .context("can't set up the metrics exporter")?;
         let provider = SdkMeterProvider::builder().with_reader(exporter).build();
         let meter = provider.meter("gypsumglade");
         let seconds = |name: &'static str, bounds: &[f64]| {
@@ -124,10 +124,10 @@
         })
     }
 
-    /// Returns the page in the Prometheus text format.
+    /// Returns all metrics in the Prometheus text format.
     ///
     /// # Errors
-    /// Fails when a metric cannot be written, which is a fault of the program.
+    /// Fails if a metric can't be encoded, which is a bug.
     pub fn page(&self) -> anyhow::Result<String> {
         if let Some(bytes) = resident_bytes() {
             self.resident.set(i64::try_from(bytes).unwrap_or(i64::MAX));
@@ -137,7 +137,7 @@
         Ok(String::from_utf8(page)?)
     }
 
-    /// Returns where replicas note the time that proposals take.
+    /// Returns the histogram in which replicas record the duration of proposals.
     pub fn commits(&self) -> CommitLatency {
         self.commits.clone()
     }
@@ -159,12 +159,12 @@
         self.first_token.record(seconds, &[label("model", model)]);
     }
 
-    /// Records how long a turn waited for a step of the turn group, and how that ended.
+    /// Records how long a turn waited for a step of the turn group, and the outcome.
     pub fn turn_wait(&self, seconds: f64, step: &'static str, outcome: &'static str) {
         self.turn_wait.record(seconds, &[label("step", step), label("outcome", outcome)]);
     }
 
-    /// Counts prefix tokens by what became of them.
+    /// Counts prefix tokens by their outcome.
     pub fn cache(&self, tokens: u64, usage: CacheUse) {
         let name = match usage {
             CacheUse::Filled => "filled",
@@ -180,27 +180,27 @@
         self.output_tokens.add(tokens, &[label("model", model)]);
     }
 
-    /// Counts a call that was given up on before it ran.
+    /// Counts a call that was shed before it ran.
     pub fn shed(&self, reason: &'static str) {
         self.shed.add(1, &[label("reason", reason)]);
     }
 
-    /// Counts another attempt at a call.
+    /// Counts a retry of a call.
     pub fn retry(&self, reason: &'static str) {
         self.retries.add(1, &[label("reason", reason)]);
     }
 
-    /// Counts bytes over the paid link between regions, by what they carry.
+    /// Counts bytes sent between regions, by class of traffic.
     pub fn region_link(&self, bytes: u64, class: &'static str) {
         self.region_bytes.add(bytes, &[label("class", class)]);
     }
 
-    /// Counts a call into (+1) or out of (-1) the queue.
+    /// Adds `change` to the number of calls that wait for an endpoint.
     pub fn waiting(&self, change: i64) {
         self.waiting.add(change, &[]);
     }
 
-    /// Counts a call into (+1) or out of (-1) flight.
+    /// Adds `change` to the number of calls in flight.
     pub fn in_flight(&self, change: i64) {
         self.in_flight.add(change, &[]);
     }
--- a/crates/gypsumglade/src/operator.rs
+++ b/crates/gypsumglade/src/operator.rs
@@ -1,4 +1,4 @@
-//! What an operator does with a bundle: roll it, and wait until it is in force.
+//! Operators' requests to the control group: rolling out a bundle, and its status.
 
 use gypsumglade_core::bundle::{Findings, KeyPair, SignedBundle};
 use gypsumglade_core::prelude::*;
@@ -14,7 +14,7 @@
 /// Returns the command that rolls a signed bundle out on top of revision `base`.
 ///
 /// # Errors
-/// Returns the findings of a bundle whose content does not hold.
+/// Returns the findings if the bundle's content is invalid.
 pub fn accept_command(
     bundle: &SignedBundle,
     base: RevisionNumber,
@@ -32,17 +32,17 @@
     Ok(Command { body: Some(CommandBody::Accept(accept)) })
 }
 
-/// Signs content with one key.
+/// Creates a bundle from `content` with the signature of one key.
 ///
 /// # Errors
-/// Returns the findings of content that does not hold.
+/// Returns the findings if the content is invalid.
 pub fn sign(content: &str, key: &KeyPair) -> Result<SignedBundle, Findings> {
     let mut bundle = SignedBundle::new(content.to_owned().into())?;
     bundle.sign(key)?;
     Ok(bundle)
 }
 
-/// Gives a command to the control group; `None` when no leader answered.
+/// Sends a command to the control group. Returns `None` if no leader answered.
 pub async fn submit(control: &ControlClient, command: Command) -> Option<Answer> {
     let request = ControlRequest { body: Some(RequestBody::Command(command)) };
     match control.ask(&request).await?.body? {
@@ -51,7 +51,8 @@
     }
 }
 
-/// Asks how far a revision is in force; zero asks about the current one.
+/// Asks whether a revision is in force; zero means the current one. Returns `None` if no leader
+/// answered.
 pub async fn status(control: &ControlClient, revision: RevisionNumber) -> Option<Status> {
     let query = StatusQuery { revision: revision.0 };
     let request = ControlRequest { body: Some(RequestBody::Status(query)) };
--- a/crates/gypsumglade/src/secret.rs
+++ b/crates/gypsumglade/src/secret.rs
@@ -1,4 +1,4 @@
-//! A shared secret, compared in constant time and never printed.
+//! Shared secrets, compared without timing leaks and never printed.
 
 use std::fmt;
 
@@ -14,27 +14,27 @@
 pub struct Secret(CompactString);
 
 impl Secret {
-    /// Wraps the text of a secret.
+    /// Creates a secret from its text.
     pub fn new(text: impl Into<CompactString>) -> Secret {
         Secret(text.into())
     }
 
-    /// Returns the text, for the header that presents it.
+    /// Returns the text.
     pub fn reveal(&self) -> &str {
         &self.0
     }
 
-    /// Tells whether a request's `Authorization: Bearer` header presents this secret.
+    /// Returns whether the `Authorization: Bearer` header of a request has this secret.
     pub fn matches_bearer(&self, headers: &HeaderMap) -> bool {
         let given = headers.get(AUTHORIZATION).and_then(|value| value.to_str().ok());
         let given = given.and_then(|value| value.strip_prefix("Bearer "));
         given.is_some_and(|given| self.matches(given))
     }
 
-    /// Tells whether `given` is this secret.
+    /// Returns whether `given` equals this secret; false if the secret is empty.
     ///
-    /// Both sides are hashed before they are compared, so that the time taken says nothing about
-    /// how long a prefix of a guess was right.
+    /// Hashes of both are compared, so that the duration doesn't reveal how many leading bytes of a
+    /// guess are right.
     pub fn matches(&self, given: &str) -> bool {
         !self.0.is_empty() && Sha256::digest(self.0.as_bytes()) == Sha256::digest(given.as_bytes())
     }
