--- a/crates/gypsumglade/src/admin.rs
+++ b/crates/gypsumglade/src/admin.rs
@@ -1,6 +1,6 @@
-//! The operators' listener: bundles, status, metrics and the dump of a process's state.
+//! HTTP routes of the operators' listener: control commands, status, metrics and state dumps.
 //!
-//! It has a port and a token of its own; the callers' port serves none of this.
+//! The listener has its own port and token; the callers' port serves none of these routes.
 
 use std::sync::Arc;
 
@@ -31,11 +31,11 @@
     let control =
         ControlClient { directory: Arc::clone(&state.directory), peers: state.peers.clone() };
     let token = state.settings.tokens.admin.clone();
-    let own = Router::new()
+    let routes = Router::new()
         .route("/metrics", get(entry_metrics))
         .route("/v1/dump", get(entry_dump))
         .with_state(state);
-    guarded(own.merge(control_routes(control)), token)
+    require_token(routes.merge(control_routes(control)), token)
 }
 
 /// Returns the operators' routes of a store.
@@ -45,29 +45,29 @@
         peers: state.context.peers.clone(),
     };
     let token = state.settings.tokens.admin.clone();
-    let own = Router::new()
+    let routes = Router::new()
         .route("/metrics", get(store_metrics))
         .route("/v1/dump", get(store_dump))
         .with_state(state);
-    guarded(own.merge(control_routes(control)), token)
+    require_token(routes.merge(control_routes(control)), token)
 }
 
-/// Returns a store's metrics page without a token.
-pub fn open_metrics(state: Arc<StoreState>) -> Router {
+/// Returns the route of a store's metrics page, which needs no token.
+pub fn unauthenticated_metrics(state: Arc<StoreState>) -> Router {
     Router::new().route("/metrics", get(store_metrics)).with_state(state)
 }
 
-/// Finds the control group's leader for an operator.
+/// Client for requests from operators to the control group.
 #[derive(Clone)]
 pub struct ControlClient {
-    /// Where the stores are.
+    /// Addresses of the stores.
     pub directory: Arc<Directory>,
-    /// Calls to them.
+    /// Connections to the stores.
     pub peers: PeerClients,
 }
 
 impl ControlClient {
-    /// Asks the control group; `None` when no leader answered.
+    /// Sends a request to the control group's leader. Returns `None` if no leader answered.
     pub async fn ask(&self, request: &ControlRequest) -> Option<ControlReply> {
         let (directory, peers) = (Arc::clone(&self.directory), self.peers.clone());
         ControlGroupClient::new(directory, peers, OPERATOR_LIMITS).ask(request).await
@@ -81,12 +81,12 @@
         .with_state(control)
 }
 
-fn guarded(routes: Router, token: Secret) -> Router {
+fn require_token(routes: Router, token: Secret) -> Router {
     routes.layer(from_fn_with_state(token, check_token))
 }
 
 async fn check_token(State(token): State<Secret>, request: Request, next: Next) -> Response {
-    if !token.borne_by(request.headers()) {
+    if !token.matches_bearer(request.headers()) {
         let advice = "send `Authorization: Bearer <tokens.admin of the settings>`";
         return (StatusCode::UNAUTHORIZED, advice).into_response();
     }
@@ -111,7 +111,7 @@
     }
 }
 
-/// Takes a command in its protobuf form, and answers in the same.
+/// Handles a command; request and answer are encoded as protobuf.
 async fn command(State(control): State<ControlClient>, body: Bytes) -> Response {
     let Ok(command) = Command::decode(body) else {
         return (StatusCode::BAD_REQUEST, "the body is not a control command").into_response();
@@ -124,21 +124,21 @@
 }
 
 fn no_leader() -> Response {
-    let advice = "no store leads the control group: send the same order again, and look at the \
-        stores if it lasts; see docs/OPERATING.md, \"Lost quorum\"";
+    let advice = "the control group has no leader: send the same order again, and check the \
+        stores if this persists; see docs/OPERATING.md, \"Lost quorum\"";
     (StatusCode::SERVICE_UNAVAILABLE, advice).into_response()
 }
 
 async fn entry_metrics(State(state): State<Arc<EntryState>>) -> Response {
-    page(state.metrics.page())
+    metrics_response(state.metrics.page())
 }
 
 async fn store_metrics(State(state): State<Arc<StoreState>>) -> Response {
     let gauges = store::metrics_page(&state).await;
-    page(state.context.metrics.page().and_then(|own| Ok(own + &gauges?)))
+    metrics_response(state.context.metrics.page().and_then(|page| Ok(page + &gauges?)))
 }
 
-fn page(page: anyhow::Result<String>) -> Response {
+fn metrics_response(page: anyhow::Result<String>) -> Response {
     match page {
         Ok(text) => text.into_response(),
         Err(error) => (StatusCode::INTERNAL_SERVER_ERROR, error.to_string()).into_response(),
--- a/crates/gypsumglade/src/cli/inspect.rs
+++ b/crates/gypsumglade/src/cli/inspect.rs
@@ -1,4 +1,4 @@
-//! `gypsumglade inspect`: what a data folder holds and whether it is sound.
+//! `gypsumglade inspect`: shows the content of a data folder and checks it for damage.
 
 use std::fmt;
 use std::path::PathBuf;
@@ -13,15 +13,15 @@
 
 #[derive(Debug, clap::Args)]
 pub(super) struct InspectArgs {
-    /// The data folder of a store; nothing in it is changed.
+    /// Data folder of a store; it is only read.
     folder: PathBuf,
 }
 
 #[derive(Serialize)]
 #[serde(transparent)]
-struct Inspected(Report);
+struct InspectReport(Report);
 
-impl fmt::Display for Inspected {
+impl fmt::Display for InspectReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let report = &self.0;
         let owner = report.vm.map_or("no VM yet".to_owned(), |vm| vm.to_string());
@@ -49,13 +49,13 @@
 }
 
 pub(super) fn run(args: InspectArgs, output: Output) -> Result<(), Failure> {
-    let report = Inspected(disk::inspect(&args.folder)?);
+    let report = InspectReport(disk::inspect(&args.folder)?);
     output.print(&report)?;
     if report.0.is_sound() {
         return Ok(());
     }
     let message = format!("{} has {} finding(s)", args.folder.display(), report.0.findings.len());
-    let advice = "keep the folder, and start no store on an empty one under the same number; see \
-                  docs/OPERATING.md, \"Lost disk\"";
+    let advice = "keep the folder, and don't start a store with the same VM number on an empty one; \
+                  see docs/OPERATING.md, \"Lost disk\"";
     Err(Failure::new(FailureKind::Findings, message, advice))
 }
--- a/crates/gypsumglade/src/cli/serve.rs
+++ b/crates/gypsumglade/src/cli/serve.rs
@@ -1,4 +1,4 @@
-//! `gypsumglade serve`: the whole system in one process.
+//! `gypsumglade serve`: entry and store in one process.
 
 use std::path::{Path, PathBuf};
 
@@ -9,16 +9,16 @@
 use super::{Failure, key};
 use crate::settings::{OperatorSettings, Secret, Settings};
 
-/// Folder of the embedded default, under the current one.
-const FOLDER: &str = "data";
+/// Default folder for a process without a settings file.
+const DEFAULT_FOLDER: &str = "data";
 
 #[derive(Debug, clap::Args)]
 pub(super) struct ServeArgs {
-    /// Settings file; without it the process is the whole deployment, on free loopback ports.
+    /// Settings file; without one, the process is the whole deployment, on free loopback ports.
     #[arg(long, value_name = "FILE", env = "GYPSUMGLADE_SETTINGS")]
     settings: Option<PathBuf>,
-    /// Folder for state, tokens and an operator's key when there is no settings file.
-    #[arg(long, value_name = "FOLDER", default_value = FOLDER, conflicts_with = "settings")]
+    /// Folder for state, tokens and an operator's key if there is no settings file.
+    #[arg(long, value_name = "FOLDER", default_value = DEFAULT_FOLDER, conflicts_with = "settings")]
     folder: PathBuf,
 }
 
@@ -31,15 +31,17 @@
     daemon::run(roles, settings)
 }
 
-/// Returns the embedded settings, with tokens and a key that a restart finds again.
+/// Returns settings for a deployment of one process. The admin and endpoint tokens and the
+/// operator's key are kept in `folder`, so that they survive a restart.
 fn embedded(folder: &Path) -> anyhow::Result<Settings> {
-    let advice = "name a folder that this user may write to by --folder";
+    let advice = "choose a writable folder with --folder";
     std::fs::create_dir_all(folder)
         .with_context(|| format!("can't create {}; {advice}", folder.display()))?;
     let mut settings = Settings::embedded(&folder.join("state"));
-    settings.tokens.admin = kept_token(&folder.join("admin.token"), &settings.tokens.admin)?;
+    settings.tokens.admin =
+        load_or_create_token(&folder.join("admin.token"), &settings.tokens.admin)?;
     settings.tokens.endpoints =
-        kept_token(&folder.join("endpoints.token"), &settings.tokens.endpoints)?;
+        load_or_create_token(&folder.join("endpoints.token"), &settings.tokens.endpoints)?;
     let file = folder.join("operator.key");
     if !file.exists() {
         key::create(&file)?;
@@ -50,10 +52,10 @@
     Ok(settings)
 }
 
-/// Reads a token that an earlier start wrote, or writes this one.
-fn kept_token(file: &Path, fresh: &Secret) -> anyhow::Result<Secret> {
+/// Reads the token in `file`, which is created with `initial` if it does not exist.
+fn load_or_create_token(file: &Path, initial: &Secret) -> anyhow::Result<Secret> {
     if !file.exists() {
-        key::write_private(file, fresh.reveal())?;
+        key::write_secret(file, initial.reveal())?;
     }
     let text = std::fs::read_to_string(file)
         .with_context(|| format!("can't read the token file {}", file.display()))?;
--- a/crates/gypsumglade/src/entry/order_holder.rs
+++ b/crates/gypsumglade/src/entry/order_holder.rs
@@ -170,7 +170,7 @@
     async fn renew(&mut self) {
         let requested_at = self.state.clock.now();
         let command = Command { body: Some(CommandBody::TakeOrders(self.lease_request)) };
-        let request = operator::give(&self.control, command);
+        let request = operator::submit(&self.control, command);
         let Ok(Some(answer)) = tokio::time::timeout(LEASE_TIMEOUT, request).await else { return };
         let Some(AnswerBody::Orders(lease)) = answer.body else { return };
         if lease.vm == self.lease_request.vm && lease.incarnation == self.lease_request.incarnation
--- a/crates/gypsumglade/src/membership/seal.rs
+++ b/crates/gypsumglade/src/membership/seal.rs
@@ -1,8 +1,8 @@
-//! Authentication of datagrams by a secret that all VMs of a deployment share.
+//! Authentication of datagrams with a secret that all VMs of a deployment share.
 //!
-//! A datagram is followed by its HMAC-SHA-256. Without it, any host that reaches the port could
-//! declare VMs dead. The content isn't secret, so it isn't encrypted. A datagram sent again by
-//! someone who overheard it brings only old news, which incarnations pass over.
+//! An HMAC-SHA-256 tag follows each datagram. Without it, any host that reaches the port could
+//! declare VMs dead. The content isn't confidential, so it isn't encrypted. A replayed datagram has
+//! no effect, since incarnations mark it as outdated.
 
 use std::fmt;
 
@@ -10,20 +10,20 @@
 use hmac::{Hmac, KeyInit, Mac};
 use sha2::Sha256;
 
-/// Bytes of the tag behind each datagram.
-pub const TAG: usize = 32;
+/// Length of the tag at the end of each datagram, in bytes.
+pub const TAG_BYTES: usize = 32;
 
 /// Secret shared by all VMs of a deployment.
 #[derive(Clone, PartialEq, Eq)]
 pub struct ClusterKey(Bytes);
 
 impl ClusterKey {
-    /// Fewest bytes of a secret.
-    pub const MIN: usize = 16;
+    /// Minimum length of a secret, in bytes.
+    pub const MIN_BYTES: usize = 16;
 
-    /// Takes a secret, or returns `None` if it has fewer than [`ClusterKey::MIN`] bytes.
+    /// Creates a key, or returns `None` if the secret is shorter than [`ClusterKey::MIN_BYTES`].
     pub fn new(secret: Bytes) -> Option<ClusterKey> {
-        (secret.len() >= ClusterKey::MIN).then_some(ClusterKey(secret))
+        (secret.len() >= ClusterKey::MIN_BYTES).then_some(ClusterKey(secret))
     }
 
     fn tag(&self, content: &[u8]) -> Hmac<Sha256> {
@@ -39,20 +39,20 @@
     }
 }
 
-/// Returns the bytes to send for a datagram.
+/// Appends the tag to a datagram; without a key, returns it unchanged.
 pub fn seal(key: Option<&ClusterKey>, content: Bytes) -> Bytes {
     let Some(key) = key else { return content };
     let tag = key.tag(&content).finalize().into_bytes();
-    let mut sealed = Vec::with_capacity(content.len() + TAG);
+    let mut sealed = Vec::with_capacity(content.len() + TAG_BYTES);
     sealed.extend_from_slice(&content);
     sealed.extend_from_slice(&tag);
     sealed.into()
 }
 
-/// Returns the datagram in received bytes, or `None` if it isn't from a VM with the key.
+/// Verifies and removes the tag of a received datagram, or returns `None` if the tag is wrong.
 pub fn open(key: Option<&ClusterKey>, sealed: &[u8]) -> Option<Bytes> {
     let Some(key) = key else { return Some(Bytes::copy_from_slice(sealed)) };
-    let (content, tag) = sealed.split_at_checked(sealed.len().checked_sub(TAG)?)?;
+    let (content, tag) = sealed.split_at_checked(sealed.len().checked_sub(TAG_BYTES)?)?;
     key.tag(content).verify_slice(tag).ok()?;
     Some(Bytes::copy_from_slice(content))
 }
--- a/crates/gypsumglade/src/replica/settings.rs
+++ b/crates/gypsumglade/src/replica/settings.rs
@@ -6,7 +6,7 @@
 use gypsumglade_core::replication::Settings;
 
 use crate::disk::Faults;
-use crate::metrics::CommitSeconds;
+use crate::metrics::CommitLatency;
 
 /// Settings of the replicas on one VM.
 #[derive(Clone, Debug)]
@@ -34,7 +34,7 @@
     /// Seed of the randomised election timeouts; random if not set.
     pub seed: Option<u64>,
     /// Metric for the time from a proposal to its outcome.
-    pub commits: Option<CommitSeconds>,
+    pub commits: Option<CommitLatency>,
     /// Disk failures that a test injects.
     #[doc(hidden)]
     pub faults: Faults,
--- a/crates/gypsumglade/src/rpc/client.rs
+++ b/crates/gypsumglade/src/rpc/client.rs
@@ -1,4 +1,5 @@
-//! Connections to other processes of the system, opened on first use and reopened after a loss.
+//! Client connections to other processes of the system, opened on first use and reopened after a
+//! failure.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -27,29 +28,29 @@
 use super::server::MAX_MESSAGE_BYTES;
 use crate::secret::Secret;
 
-/// Longest time to open a connection; a silent partition is noticed this fast.
+/// Timeout for opening a connection, which bounds how long a network partition goes unnoticed.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Time for which an address counts as unreachable after a connect failed: short against any
-/// restart, long against the calls that queue up meanwhile.
-const REFUSE_FOR: Duration = Duration::from_millis(150);
-/// Calls in flight on one connection.
+/// Time after a failed connect in which calls to the address fail without another attempt. Shorter
+/// than a restart of a process takes.
+const RECONNECT_BACKOFF: Duration = Duration::from_millis(150);
+/// Maximum number of calls in flight on one connection.
 const MAX_CALLS: usize = 8_192;
 
-/// Why a call to another process has no answer.
+/// Error of a call to another process.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum RpcError {
-    /// No connection: the call was not sent.
+    /// No connection could be opened, so the call was not sent.
     #[error("cannot reach {0}")]
     Unreachable(SocketAddr),
-    /// The call may have been handled.
+    /// The call was sent but not answered; it may have been handled.
     #[error("no answer from {0}")]
     Lost(SocketAddr),
-    /// The other process refused the call.
+    /// The other process answered with an error, or a message could not be encoded or decoded.
     #[error("refused by {0}: {1}")]
     Refused(SocketAddr, String),
 }
 
-/// One connection a peer address, shared by all tasks of a process.
+/// Connection pool with one connection per peer address, shared by all tasks of a process.
 #[derive(Clone)]
 pub struct PeerClients {
     token: Secret,
@@ -59,15 +60,15 @@
 
 type Connection = tokio::sync::Mutex<Slot>;
 
-/// The connection to one address, or when it could last not be opened.
+/// Connection to one address, and the time of the last failed connect.
 #[derive(Default)]
 struct Slot {
     client: Option<Arc<WsClient>>,
-    failed: Option<Instant>,
+    failed_at: Option<Instant>,
 }
 
 impl PeerClients {
-    /// Creates an empty set that presents `token` on each connection, over TLS if given.
+    /// Creates an empty pool. Each connection presents `token`, and uses TLS if `tls` is given.
     pub fn new(token: Secret, tls: Option<Arc<ClientConfig>>) -> PeerClients {
         PeerClients { token, tls, connections: Arc::default() }
     }
@@ -75,7 +76,8 @@
     /// Calls `method` with `parameters` and returns the answer's text.
     ///
     /// # Errors
-    /// Tells apart what was surely not sent from what may have been handled.
+    /// Returns [`RpcError::Unreachable`] if the call was not sent, [`RpcError::Lost`] if it may have
+    /// been handled, and [`RpcError::Refused`] if the other process refused it.
     pub async fn call(
         &self,
         address: SocketAddr,
@@ -83,31 +85,32 @@
         parameters: ArrayParams,
         timeout: Duration,
     ) -> Result<String, RpcError> {
-        let until = tokio::time::Instant::now() + timeout;
-        let opening = tokio::time::timeout_at(until, self.client(address)).await;
+        let deadline = tokio::time::Instant::now() + timeout;
+        let opening = tokio::time::timeout_at(deadline, self.client(address)).await;
         let client = opening.map_err(|_| RpcError::Unreachable(address))??;
         let request = client.request::<String, _>(method.name(), parameters);
-        match tokio::time::timeout_at(until, request).await {
+        match tokio::time::timeout_at(deadline, request).await {
             Ok(Ok(text)) => Ok(text),
             Ok(Err(ClientError::Call(error))) => {
                 Err(RpcError::Refused(address, error.message().to_owned()))
             }
             Ok(Err(_)) | Err(_) => {
-                self.forget_broken(address, &client).await;
+                self.discard_broken(address, &client).await;
                 Err(RpcError::Lost(address))
             }
         }
     }
 
-    /// Sends a message and returns the message that answers it.
+    /// Sends a protobuf message and returns the decoded answer.
     ///
     /// # Errors
-    /// As [`PeerClients::call`]; an answer that cannot be read counts as a refusal.
+    /// Fails as [`PeerClients::call`] does. An answer that can't be decoded is returned as
+    /// [`RpcError::Refused`].
     pub async fn ask<Q, A>(
         &self,
         address: SocketAddr,
         method: Method,
-        question: &Q,
+        request: &Q,
         timeout: Duration,
     ) -> Result<A, RpcError>
     where
@@ -115,16 +118,16 @@
         A: Message + Default,
     {
         let mut parameters = ArrayParams::new();
-        let inserted = parameters.insert(encode(question));
+        let inserted = parameters.insert(encode(request));
         inserted.map_err(|error| RpcError::Refused(address, error.to_string()))?;
         let text = self.call(address, method, parameters, timeout).await?;
         decode(&text).map_err(|error| RpcError::Refused(address, error.to_string()))
     }
 
-    /// Opens a link that carries frames to a store, under this process's identity.
+    /// Opens a link for sending frames to a store, as the process `vm`.
     ///
     /// # Errors
-    /// Fails when the store can't be reached or takes no frames.
+    /// Fails if the store can't be reached or doesn't accept links.
     pub async fn open_link(&self, address: SocketAddr, vm: VmId) -> Result<Link, RpcError> {
         let opening = tokio::time::timeout(CONNECT_TIMEOUT, self.upgrade(address, vm)).await;
         opening.ok().flatten().ok_or(RpcError::Unreachable(address))
@@ -134,26 +137,26 @@
         let stream = TcpStream::connect(address).await.ok()?;
         stream.set_nodelay(true).ok()?;
         match &self.tls {
-            None => self.upgrade_on(stream, address, vm).await,
+            None => self.upgrade_stream(stream, address, vm).await,
             Some(tls) => {
                 let name = ServerName::IpAddress(address.ip().into());
                 let connector = TlsConnector::from(Arc::clone(tls));
                 let stream = connector.connect(name, stream).await.ok()?;
-                self.upgrade_on(stream, address, vm).await
+                self.upgrade_stream(stream, address, vm).await
             }
         }
     }
 
-    async fn upgrade_on<S>(&self, stream: S, address: SocketAddr, vm: VmId) -> Option<Link>
+    async fn upgrade_stream<S>(&self, stream: S, address: SocketAddr, vm: VmId) -> Option<Link>
     where
         S: AsyncRead + AsyncWrite + Send + Unpin + 'static,
     {
         let io = TokioIo::new(stream);
         let (mut sender, connection) = http1::handshake(io).await.ok()?;
-        // Its error shows on the link that it carries.
+        // Errors of the connection surface on the link.
         tokio::spawn(async move { drop(connection.with_upgrades().await) });
-        let mut request = link::open_request(&address.to_string(), vm);
-        request.headers_mut().insert(AUTHORIZATION, self.bearer()?);
+        let mut request = link::upgrade_request(&address.to_string(), vm);
+        request.headers_mut().insert(AUTHORIZATION, self.bearer_header()?);
         let response = sender.send_request(request).await.ok()?;
         if response.status() != StatusCode::SWITCHING_PROTOCOLS {
             return None;
@@ -161,7 +164,7 @@
         hyper::upgrade::on(response).await.ok().map(Link::new)
     }
 
-    fn bearer(&self) -> Option<HeaderValue> {
+    fn bearer_header(&self) -> Option<HeaderValue> {
         HeaderValue::from_str(&format!("Bearer {}", self.token.reveal())).ok()
     }
 
@@ -171,14 +174,14 @@
         if let Some(client) = slot.client.as_ref().filter(|client| client.is_connected()) {
             return Ok(Arc::clone(client));
         }
-        // Calls that queued up behind one that found nobody would otherwise each wait out a
-        // connect of their own, one after another, long past their timeouts.
-        if slot.failed.is_some_and(|failed| failed.elapsed() < REFUSE_FOR) {
+        // Without this, calls that wait for the lock behind a failed connect would each retry it in
+        // turn, long past their timeouts.
+        if slot.failed_at.is_some_and(|failed| failed.elapsed() < RECONNECT_BACKOFF) {
             return Err(RpcError::Unreachable(address));
         }
-        slot.failed = Some(Instant::now());
+        slot.failed_at = Some(Instant::now());
         let client = self.open(address).await.ok_or(RpcError::Unreachable(address));
-        slot.failed = client.is_err().then(Instant::now);
+        slot.failed_at = client.is_err().then(Instant::now);
         let client = Arc::new(client?);
         slot.client = Some(Arc::clone(&client));
         Ok(client)
@@ -191,7 +194,7 @@
 
     async fn open(&self, address: SocketAddr) -> Option<WsClient> {
         let mut headers = HeaderMap::new();
-        headers.insert(AUTHORIZATION, self.bearer()?);
+        headers.insert(AUTHORIZATION, self.bearer_header()?);
         let builder = WsClientBuilder::default()
             .set_headers(headers)
             .connection_timeout(CONNECT_TIMEOUT)
@@ -212,11 +215,10 @@
         tokio::time::timeout(CONNECT_TIMEOUT, opening).await.ok()?
     }
 
-    /// Drops a connection that lost an answer, unless another task has replaced it already.
+    /// Closes a connection on which a call got no answer, unless another task has replaced it.
     ///
-    /// A peer that was frozen keeps its socket open; without this every later call would wait out
-    /// its timeout on the same dead connection.
-    async fn forget_broken(&self, address: SocketAddr, broken: &Arc<WsClient>) {
+    /// The socket of a frozen peer stays open, so that later calls would all time out on it.
+    async fn discard_broken(&self, address: SocketAddr, broken: &Arc<WsClient>) {
         let connection = self.connection(address);
         let mut slot = connection.lock().await;
         if slot.client.as_ref().is_some_and(|client| Arc::ptr_eq(client, broken)) {
--- a/crates/gypsumglade/src/rpc/link.rs
+++ b/crates/gypsumglade/src/rpc/link.rs
@@ -1,9 +1,8 @@
-//! A link that carries frames one way between two processes, for replication.
+//! One-way links of raw frames between two processes, for replication.
 //!
-//! A batch of replication messages needs no answer of its own, and base64 within JSON made it a
-//! third larger: a store that lost its disk took 5.8 s to catch up over the 30 Mbit/s between
-//! regions. So a link is opened by an HTTP upgrade on the same listener as calls, with the same
-//! token, and carries raw frames from then on. See docs/design/rpc.md.
+//! A link is opened by an HTTP upgrade on the listener for calls, with the same token. Raw frames
+//! avoid the base64 overhead of a third, which would slow down catching up between regions. See
+//! docs/design/rpc.md.
 
 use std::sync::Arc;
 
@@ -18,17 +17,17 @@
 use jsonrpsee::server::HttpBody;
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
-/// Path that opens a link.
+/// Request path that opens a link.
 pub(super) const PATH: &str = "/replication";
-/// Protocol named in the upgrade.
+/// Protocol name in the `Upgrade` header.
 const PROTOCOL: &str = "replication";
-/// Who opens the link.
-const SENDER: HeaderName = HeaderName::from_static("x-vm");
-/// Most bytes of a frame: a piece of a snapshot with room for all that goes with it.
-const MOST_FRAME: usize = 32 * 1024 * 1024;
+/// Header with the number of the VM that opens the link.
+const SENDER_HEADER: HeaderName = HeaderName::from_static("x-vm");
+/// Maximum size of a frame, in bytes; a chunk of a snapshot fits with its metadata.
+const MAX_FRAME_BYTES: usize = 32 * 1024 * 1024;
 
-/// Takes the frames that a process sends.
-pub type TakeFrame = Arc<dyn Fn(VmId, Bytes) + Send + Sync>;
+/// Callback for received frames, with the VM that sent them.
+pub type FrameHandler = Arc<dyn Fn(VmId, Bytes) + Send + Sync>;
 
 /// The sending end of a link.
 #[derive(Debug)]
@@ -41,26 +40,27 @@
         Link { framed: Framed::new(TokioIo::new(upgraded), codec()) }
     }
 
-    /// Sends a frame. Each is answered by [`Link::answered`] once the other process has taken it.
+    /// Sends a frame. The other process acknowledges each frame in turn; see
+    /// [`Link::acknowledged`].
     ///
     /// # Errors
-    /// Fails when the link is broken.
+    /// Fails if the link is broken.
     pub async fn send(&mut self, frame: Bytes) -> std::io::Result<()> {
         self.framed.send(frame).await
     }
 
-    /// Resolves with the next answer; false when the link is broken.
-    pub async fn answered(&mut self) -> bool {
+    /// Waits for the next acknowledgement. Returns false if the link is broken.
+    pub async fn acknowledged(&mut self) -> bool {
         matches!(self.framed.next().await, Some(Ok(_)))
     }
 }
 
 /// Returns the request that opens a link.
-pub(super) fn open_request(host: &str, vm: VmId) -> Request<http_body_util::Empty<Bytes>> {
+pub(super) fn upgrade_request(host: &str, vm: VmId) -> Request<http_body_util::Empty<Bytes>> {
     let mut request = Request::new(http_body_util::Empty::new());
     *request.uri_mut() = http::Uri::from_static(PATH);
     let headers = request.headers_mut();
-    headers.insert(SENDER, HeaderValue::from(vm.0));
+    headers.insert(SENDER_HEADER, HeaderValue::from(vm.0));
     headers.insert(CONNECTION, HeaderValue::from_static("upgrade"));
     headers.insert(UPGRADE, HeaderValue::from_static(PROTOCOL));
     if let Ok(host) = HeaderValue::from_str(host) {
@@ -69,19 +69,20 @@
     request
 }
 
-/// Answers the request that opens a link, and takes its frames until it ends.
-pub(super) fn accept(request: Request<Incoming>, take: &TakeFrame) -> Response<HttpBody> {
+/// Accepts a link, and passes its frames to `handler` until it is closed.
+pub(super) fn accept(request: Request<Incoming>, handler: &FrameHandler) -> Response<HttpBody> {
     let mut response = Response::new(HttpBody::empty());
-    let vm = request.headers().get(SENDER).and_then(|value| value.to_str().ok()?.parse().ok());
+    let vm =
+        request.headers().get(SENDER_HEADER).and_then(|value| value.to_str().ok()?.parse().ok());
     let Some(vm) = vm.map(VmId) else {
         *response.status_mut() = StatusCode::BAD_REQUEST;
         return response;
     };
-    let take = Arc::clone(take);
+    let handler = Arc::clone(handler);
     tokio::spawn(async move {
-        // A peer that goes away before the upgrade opens another link.
+        // If the upgrade fails, the peer opens another link.
         if let Ok(upgraded) = hyper::upgrade::on(request).await {
-            receive(upgraded, vm, &take).await;
+            receive(upgraded, vm, &handler).await;
         }
     });
     *response.status_mut() = StatusCode::SWITCHING_PROTOCOLS;
@@ -91,10 +92,10 @@
     response
 }
 
-async fn receive(upgraded: Upgraded, vm: VmId, take: &TakeFrame) {
+async fn receive(upgraded: Upgraded, vm: VmId, handler: &FrameHandler) {
     let mut framed = Framed::new(TokioIo::new(upgraded), codec());
     while let Some(Ok(frame)) = framed.next().await {
-        take(vm, BytesMut::freeze(frame));
+        handler(vm, BytesMut::freeze(frame));
         if framed.send(Bytes::new()).await.is_err() {
             return;
         }
@@ -102,5 +103,5 @@
 }
 
 fn codec() -> LengthDelimitedCodec {
-    LengthDelimitedCodec::builder().max_frame_length(MOST_FRAME).new_codec()
+    LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec()
 }
--- a/crates/gypsumglade/src/settings/load.rs
+++ b/crates/gypsumglade/src/settings/load.rs
@@ -1,4 +1,4 @@
-//! Reading a settings file so that one bad value doesn't hide the next.
+//! Reads a settings file and reports all of its errors, not only the first.
 
 use std::path::Path;
 
@@ -7,10 +7,10 @@
 
 use super::{Findings, Settings};
 
-/// Most type errors that one check reports; more of them mean that the file is of another kind.
-const TYPE_ERRORS: usize = 64;
+/// Maximum number of type errors reported. A file with more is probably not a settings file.
+const MAX_TYPE_ERRORS: usize = 64;
 
-/// Reads, parses and checks a file.
+/// Reads, parses and validates a settings file.
 pub(super) fn from_file(path: &Path) -> Result<Settings, Findings> {
     match std::fs::read_to_string(path) {
         Ok(text) => from_text(path, &text),
@@ -22,7 +22,7 @@
     }
 }
 
-/// Parses and checks text.
+/// Parses and validates settings text; `path` names it in findings and resolves `file:` paths.
 pub(super) fn from_text(path: &Path, text: &str) -> Result<Settings, Findings> {
     let mut findings = Findings::new(path);
     let Some(tree) = parse(text, &mut findings) else {
@@ -50,12 +50,12 @@
     }
 }
 
-/// Decodes the tree, taking each bad value out and starting over until the rest decodes.
+/// Deserializes the tree, removing each invalid value and retrying until the rest is valid.
 ///
-/// Serde stops at the first type error. The key that failed is removed, so that its default stands
-/// in, and the next pass finds the next error.
+/// Serde stops at the first type error. Removing the invalid key makes its default apply, so that
+/// the next pass finds the next error.
 fn decode(mut tree: Value, findings: &mut Findings) -> Settings {
-    for _ in 0..TYPE_ERRORS {
+    for _ in 0..MAX_TYPE_ERRORS {
         let mut unknown = Vec::new();
         let mut track = Track::new();
         let decoder = serde_path_to_error::Deserializer::new(tree.clone(), &mut track);
@@ -69,8 +69,8 @@
             Err(error) => error,
         };
         let path = track.path();
-        let bad = take(&mut tree, &path);
-        findings.add(&path.to_string(), shown(bad.as_ref()), &error.to_string());
+        let bad = remove_at(&mut tree, &path);
+        findings.add(&path.to_string(), describe(bad.as_ref()), &error.to_string());
         if bad.is_none() {
             break;
         }
@@ -80,17 +80,17 @@
 
 fn report_unknown(tree: &Value, unknown: &[String], findings: &mut Findings) {
     for path in unknown {
-        let siblings = known_keys(path);
-        let value = path.split('.').try_fold(tree, |at, key| match key.parse::<usize>() {
-            Ok(index) => at.get(index),
-            Err(_) => at.get(key),
+        let allowed = known_keys(path);
+        let value = path.split('.').try_fold(tree, |node, key| match key.parse::<usize>() {
+            Ok(index) => node.get(index),
+            Err(_) => node.get(key),
         });
-        let found = format!("unknown key with value {}", shown(value));
-        findings.add(path, found, siblings);
+        let found = format!("unknown key with value {}", describe(value));
+        findings.add(path, found, allowed);
     }
 }
 
-/// Tells where the keys that may stand beside an unknown one are listed.
+/// Describes the keys that are valid in the section of an unknown key.
 fn known_keys(path: &str) -> &'static str {
     if path.contains('.') {
         "a key that `gypsumglade settings example store` shows in this section"
@@ -99,40 +99,42 @@
     }
 }
 
-/// Removes what `path` names, and returns it; a list element that is no text is emptied, to keep the
-/// positions of its neighbours.
-fn take(tree: &mut Value, path: &KeyPath) -> Option<Value> {
+/// Removes and returns the value at `path`.
+///
+/// A list element that is neither a string nor a mapping is replaced by an empty mapping, so that
+/// the indices of the other elements stay the same.
+fn remove_at(tree: &mut Value, path: &KeyPath) -> Option<Value> {
     let segments: Vec<&Segment> = path.iter().collect();
-    let (last, front) = segments.split_last()?;
-    let parent = front.iter().try_fold(tree, |at, segment| step(at, segment))?;
+    let (last, parents) = segments.split_last()?;
+    let parent = parents.iter().try_fold(tree, |node, segment| child_mut(node, segment))?;
     match last {
         Segment::Map { key } => parent.as_mapping_mut()?.remove(key.as_str()),
         Segment::Seq { index } => {
             let list = parent.as_sequence_mut()?;
-            let slot = list.get_mut(*index)?;
-            if slot.is_mapping() {
+            let element = list.get_mut(*index)?;
+            if element.is_mapping() {
                 return None;
             }
-            // An empty mapping in the place of a text would be the next error.
-            if slot.is_string() {
+            // An empty mapping in a list of strings would be reported as another error.
+            if element.is_string() {
                 return Some(list.remove(*index));
             }
-            Some(std::mem::replace(slot, Value::Mapping(Mapping::new())))
+            Some(std::mem::replace(element, Value::Mapping(Mapping::new())))
         }
         Segment::Enum { .. } | Segment::Unknown => None,
     }
 }
 
-fn step<'a>(at: &'a mut Value, segment: &Segment) -> Option<&'a mut Value> {
+fn child_mut<'a>(node: &'a mut Value, segment: &Segment) -> Option<&'a mut Value> {
     match segment {
-        Segment::Map { key } => at.get_mut(key.as_str()),
-        Segment::Seq { index } => at.get_mut(*index),
+        Segment::Map { key } => node.get_mut(key.as_str()),
+        Segment::Seq { index } => node.get_mut(*index),
         Segment::Enum { .. } | Segment::Unknown => None,
     }
 }
 
-/// Shows a value on one line, as a person would write it.
-fn shown(value: Option<&Value>) -> String {
+/// Formats a value on one line for a finding.
+fn describe(value: Option<&Value>) -> String {
     match value {
         None => "nothing".to_owned(),
         Some(Value::Mapping(_)) => "a section".to_owned(),
--- a/crates/gypsumglade/src/settings/peers.rs
+++ b/crates/gypsumglade/src/settings/peers.rs
@@ -7,21 +7,21 @@
 
 use super::{Findings, VmSettings};
 
-/// Another VM, as this one may reach it.
+/// Addresses and location of a VM in the list of peers.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(default)]
 pub struct PeerSettings {
-    /// Its number.
+    /// Number of the VM.
     pub vm: u32,
-    /// Its listener for calls between VMs.
+    /// Address of its listener for calls between VMs.
     pub peers: SocketAddr,
-    /// Its membership socket.
+    /// Address of its membership socket (UDP).
     pub gossip: SocketAddr,
-    /// Its failure domain.
+    /// Name of its failure domain.
     pub domain: CompactString,
-    /// Its region.
+    /// Name of its region.
     pub region: CompactString,
-    /// The listener of its store daemon, if it has a disk and holds replicas.
+    /// Address of its store daemon, if it has a disk and holds replicas.
     pub store: Option<SocketAddr>,
 }
 
@@ -39,25 +39,24 @@
 }
 
 impl PeerSettings {
-    /// Returns the number as the core's type.
+    /// Returns the VM's number as a [`VmId`].
     pub fn id(&self) -> VmId {
         VmId(self.vm)
     }
 }
 
-/// Checks the list against itself and against this VM, which may stand in it too, so that one list
-/// serves all VMs.
+/// Validates the list. It may include this VM, so that all VMs can share one list.
 pub(super) fn check(vm: &VmSettings, peers: &[PeerSettings], store: bool, findings: &mut Findings) {
     let mut seen = HashSet::new();
     for (i, peer) in peers.iter().enumerate() {
         let at = |key: &str| format!("peers[{i}].{key}");
         let number = u64::from(peer.vm);
-        findings.range(&at("vm"), number, 1..=u64::from(u32::MAX), "as a VM's number");
+        findings.check_range(&at("vm"), number, 1..=u64::from(u32::MAX), "as a VM's number");
         if !seen.insert(peer.vm) {
             findings.add(&at("vm"), peer.vm, "a number that no earlier peer has");
         }
-        findings.name(&at("domain"), &peer.domain);
-        findings.name(&at("region"), &peer.region);
+        findings.check_name(&at("domain"), &peer.domain);
+        findings.check_name(&at("region"), &peer.region);
         for (key, address) in [("peers", peer.peers), ("gossip", peer.gossip)] {
             if address.port() == 0 || address.ip().is_unspecified() {
                 findings.add(&at(key), address, "an IP address and port that others can reach");
@@ -76,7 +75,7 @@
     }
 }
 
-/// Finds where this VM's own line in the list says something else than its other settings.
+/// Reports where this VM's own element of the list differs from its other settings.
 fn check_self(
     vm: &VmSettings,
     peer: &PeerSettings,
--- a/crates/gypsumglade/src/store/outbound.rs
+++ b/crates/gypsumglade/src/store/outbound.rs
@@ -229,7 +229,7 @@
                     Ok(Err(_)) | Err(_) => return,
                 }
             }
-            answered = link.answered() => {
+            answered = link.acknowledged() => {
                 if !answered {
                     return;
                 }
