--- a/crates/standin/src/announcer.rs
+++ b/crates/standin/src/announcer.rs
@@ -21,26 +21,26 @@
 pub(crate) async fn run(
     settings: AnnounceSettings,
     process: Process,
-    now: Arc<Notify>,
+    wake: Arc<Notify>,
     source: impl Fn(u64) -> Announcement + Send + Sync,
 ) {
     if settings.entries.is_empty() {
         return;
     }
     let client = client::new();
-    let pause = Duration::from_millis(settings.lease_ms / 3);
+    let interval = Duration::from_millis(settings.lease_ms / 3);
     for sequence in 1_u64.. {
-        process.thawed().await;
+        process.wait_while_frozen().await;
         let body = serde_json::to_vec(&source(sequence)).unwrap_or_default();
         let sending = send(&client, &settings, sequence as usize, Bytes::from(body));
         tokio::select! {
             () = sending => {}
-            () = process.dead.cancelled() => return,
+            () = process.shutdown.cancelled() => return,
         }
         tokio::select! {
-            () = tokio::time::sleep(pause) => {}
-            () = now.notified() => {}
-            () = process.dead.cancelled() => return,
+            () = tokio::time::sleep(interval) => {}
+            () = wake.notified() => {}
+            () = process.shutdown.cancelled() => return,
         }
     }
 }
@@ -48,8 +48,8 @@
 /// Tries the entries in turn, starting at another one each time, until one accepts.
 async fn send(client: &HttpClient, settings: &AnnounceSettings, start: usize, body: Bytes) {
     let count = settings.entries.len();
-    for step in 0..count {
-        let entry = &settings.entries[(start + step) % count];
+    for offset in 0..count {
+        let entry = &settings.entries[(start + offset) % count];
         let request = Request::post(format!("{entry}{ANNOUNCE_PATH}"))
             .header(header::CONTENT_TYPE, "application/json")
             .header(header::AUTHORIZATION, format!("Bearer {}", settings.token))
--- a/crates/standin/src/bin/gypsumglade-standin.rs
+++ b/crates/standin/src/bin/gypsumglade-standin.rs
@@ -33,7 +33,7 @@
 
 /// Where an endpoint stands and announces itself.
 #[derive(Args)]
-struct PlaceArgs {
+struct EndpointArgs {
     /// Instance name.
     #[arg(long)]
     name: CompactString,
@@ -60,7 +60,7 @@
     slots: u32,
 }
 
-impl PlaceArgs {
+impl EndpointArgs {
     fn announce(&self) -> AnnounceSettings {
         AnnounceSettings {
             entries: self.entries.clone(),
@@ -73,7 +73,7 @@
 #[derive(Args)]
 struct EngineArgs {
     #[command(flatten)]
-    place: PlaceArgs,
+    place: EndpointArgs,
     /// Loaded model as MODEL@VERSION; give it again for more of them.
     #[arg(long = "model", default_value = "advisor@1")]
     models: Vec<String>,
@@ -100,7 +100,7 @@
 #[derive(Args)]
 struct ServiceArgs {
     #[command(flatten)]
-    place: PlaceArgs,
+    place: EndpointArgs,
     /// Service that this is an instance of.
     #[arg(long, default_value = "booking")]
     service: CompactString,
@@ -228,15 +228,15 @@
 async fn load(args: LoadArgs) -> anyhow::Result<()> {
     let arrivals = args.rate.map_or(Arrivals::Closed(args.width), Arrivals::Open);
     let report = load::run(LoadSettings {
-        bases: args.bases,
-        key: args.key,
+        base_urls: args.bases,
+        api_key: args.key,
         agent: args.agent,
         model: args.model,
         programs: args.programs,
         arrivals,
         turns: args.turns,
-        words: args.words,
-        output: args.output,
+        prompt_words: args.words,
+        max_tokens: args.output,
         stream: !args.whole,
         tool: args.tool,
         prefix: args.prefix,
--- a/crates/standin/src/engine/cache.rs
+++ b/crates/standin/src/engine/cache.rs
@@ -18,7 +18,7 @@
 pub(super) struct Entry {
     pub(super) model: ModelVersion,
     pub(super) parts: Vec<Part>,
-    used: u64,
+    last_used: u64,
 }
 
 impl Entry {
@@ -37,19 +37,24 @@
 
 /// Prefixes of programs within a limit of tokens.
 pub(super) struct PrefixCache {
-    limit: u64,
-    held: u64,
+    capacity: u64,
+    held_tokens: u64,
     clock: u64,
     entries: BTreeMap<CompactString, Entry>,
 }
 
 impl PrefixCache {
-    pub(super) fn new(limit: u64) -> PrefixCache {
-        PrefixCache { limit, held: 0, clock: 0, entries: BTreeMap::new() }
+    pub(super) fn new(capacity: u64) -> PrefixCache {
+        PrefixCache { capacity, held_tokens: 0, clock: 0, entries: BTreeMap::new() }
     }
 
     /// Returns how many tokens of `parts` the program's prefix covers.
-    pub(super) fn covered(&mut self, program: &str, model: &ModelVersion, parts: &[Part]) -> u64 {
+    pub(super) fn matched_tokens(
+        &mut self,
+        program: &str,
+        model: &ModelVersion,
+        parts: &[Part],
+    ) -> u64 {
         self.clock += 1;
         let Some(entry) = self.entries.get_mut(program) else {
             return 0;
@@ -57,7 +62,7 @@
         if entry.model != *model {
             return 0;
         }
-        entry.used = self.clock;
+        entry.last_used = self.clock;
         let equal = entry.parts.iter().zip(parts).take_while(|(a, b)| a == b);
         equal.map(|(part, _)| part.tokens).sum()
     }
@@ -71,20 +76,20 @@
     ) -> Vec<Change> {
         self.clock += 1;
         self.remove(program);
-        let entry = Entry { model, parts, used: self.clock };
+        let entry = Entry { model, parts, last_used: self.clock };
         let tokens = entry.tokens();
-        if tokens > self.limit {
+        if tokens > self.capacity {
             return vec![change(program, tokens, true)];
         }
         let mut changes = Vec::new();
-        while self.held + tokens > self.limit {
-            let Some(oldest) = self.oldest() else {
+        while self.held_tokens + tokens > self.capacity {
+            let Some(least_recent) = self.least_recent() else {
                 break;
             };
-            let given_up = self.remove(&oldest);
-            changes.push(change(&oldest, given_up, true));
+            let freed = self.remove(&least_recent);
+            changes.push(change(&least_recent, freed, true));
         }
-        self.held += tokens;
+        self.held_tokens += tokens;
         self.entries.insert(program.into(), entry);
         changes.push(change(program, tokens, false));
         changes
@@ -96,7 +101,7 @@
             return 0;
         };
         let tokens = entry.tokens();
-        self.held -= tokens;
+        self.held_tokens -= tokens;
         tokens
     }
 
@@ -111,16 +116,16 @@
         self.entries.get(program)
     }
 
-    pub(super) fn held(&self) -> u64 {
-        self.held
+    pub(super) fn held_tokens(&self) -> u64 {
+        self.held_tokens
     }
 
     pub(super) fn iter(&self) -> impl Iterator<Item = (&CompactString, &Entry)> {
         self.entries.iter()
     }
 
-    fn oldest(&self) -> Option<CompactString> {
-        let entry = self.entries.iter().min_by_key(|(_, e)| e.used);
+    fn least_recent(&self) -> Option<CompactString> {
+        let entry = self.entries.iter().min_by_key(|(_, e)| e.last_used);
         entry.map(|(program, _)| program.clone())
     }
 }
--- a/crates/standin/src/engine/chat.rs
+++ b/crates/standin/src/engine/chat.rs
@@ -42,7 +42,7 @@
 
 impl ChatRequest {
     /// Returns the most tokens that the caller lets the engine generate.
-    pub(super) fn limit(&self) -> u64 {
+    pub(super) fn token_limit(&self) -> u64 {
         self.max_completion_tokens.or(self.max_tokens).unwrap_or(u64::MAX)
     }
 
@@ -62,7 +62,7 @@
 
 /// Returns the answer's tokens to these messages, the same on every engine and in every run.
 pub fn answer_tokens(messages: &[Message], count: u64) -> Vec<CompactString> {
-    let seed = messages.iter().fold(0, |seed, m| xxh3_64_with_seed(key(m).as_bytes(), seed));
+    let seed = messages.iter().fold(0, |seed, m| xxh3_64_with_seed(hash_input(m).as_bytes(), seed));
     let word = |i: u64| xxh3_64_with_seed(&i.to_le_bytes(), seed) & 0xffff;
     (0..count).map(|i| compact_str::format_compact!("w{:04x}", word(i))).collect()
 }
@@ -78,11 +78,11 @@
 }
 
 fn part(message: &Message) -> Part {
-    let hash = xxh3_64_with_seed(key(message).as_bytes(), 0);
+    let hash = xxh3_64_with_seed(hash_input(message).as_bytes(), 0);
     Part { hash, tokens: count_tokens(&text(&message.content)) }
 }
 
-fn key(message: &Message) -> String {
+fn hash_input(message: &Message) -> String {
     format!("{}\n{}", message.role, message.content)
 }
 
--- a/crates/standin/src/engine/http.rs
+++ b/crates/standin/src/engine/http.rs
@@ -31,7 +31,7 @@
 /// Marker in a message that makes the engine die with the call in flight.
 pub const CRASH_MARKER: &str = "#crash-engine";
 /// Largest request body, in bytes; an imported KV cache is the largest.
-const BODY_BYTES: usize = 256 << 20;
+const MAX_BODY_BYTES: usize = 256 << 20;
 
 pub(super) fn router(shared: Arc<Shared>) -> Router {
     Router::new()
@@ -43,7 +43,7 @@
         .route("/v1/orders", post(orders::order))
         .route("/v1/load", get(load))
         .route("/v1/stats", get(stats))
-        .layer(axum::extract::DefaultBodyLimit::max(BODY_BYTES))
+        .layer(axum::extract::DefaultBodyLimit::max(MAX_BODY_BYTES))
         .with_state(shared)
 }
 
@@ -51,7 +51,7 @@
     let given = headers::text(&head, headers::DISPATCH).map(CompactString::from);
     let dispatch = given.unwrap_or_else(|| shared.local_id());
     let mut response = answer(&shared, &head, &dispatch, &body).await;
-    headers::echo(&mut response, &dispatch);
+    headers::echo_dispatch(&mut response, &dispatch);
     response
 }
 
@@ -60,9 +60,10 @@
         Ok(request) => request,
         Err(error) => return Refusal::bad_request(&error.to_string()).into_response(),
     };
-    let resume: Option<usize> = headers::text(head, headers::RESUME).and_then(|t| t.parse().ok());
+    let resume: Option<usize> =
+        headers::text(head, headers::RESUME_FROM).and_then(|t| t.parse().ok());
     let started = match resume {
-        Some(_) => resumed(shared, dispatch),
+        Some(_) => resume_run(shared, dispatch),
         None => start(shared, head, dispatch, &request).await,
     };
     let reader = match started {
@@ -70,13 +71,14 @@
         Err(refusal) => return refusal.into_response(),
     };
     if request.stream {
-        let usage = request.stream_options.include_usage;
-        return Sse::new(events(reader, request.model, resume.unwrap_or(0), usage)).into_response();
+        let include_usage = request.stream_options.include_usage;
+        return Sse::new(events(reader, request.model, resume.unwrap_or(0), include_usage))
+            .into_response();
     }
-    whole(reader, request.model).await
+    whole_response(reader, request.model).await
 }
 
-fn resumed(shared: &Shared, dispatch: &str) -> Result<Reader, Refusal> {
+fn resume_run(shared: &Shared, dispatch: &str) -> Result<Reader, Refusal> {
     let mut state = shared.lock();
     let Some(run) = state.runs.get(dispatch).map(Arc::clone) else {
         let message = "no such dispatch to resume";
@@ -139,17 +141,17 @@
     let parts = request.parts();
     let cached_tokens = match program.is_empty() {
         true => 0,
-        false => shared.lock().cache.covered(program, &model, &parts),
+        false => shared.lock().cache.matched_tokens(program, &model, &parts),
     };
-    let wanted = shared.settings.answer_tokens;
+    let answer_length = shared.settings.answer_tokens;
     Run {
         dispatch: dispatch.into(),
         program: program.into(),
         model,
         parts,
-        tokens: answer_tokens(&request.messages, wanted.min(request.limit())),
+        tokens: answer_tokens(&request.messages, answer_length.min(request.token_limit())),
         cached_tokens,
-        limited: request.limit() < wanted,
+        truncated: request.token_limit() < answer_length,
         crash: request.contains(CRASH_MARKER),
         cancel: CancellationToken::new(),
         progress: watch::Sender::new(Progress::default()),
@@ -163,7 +165,7 @@
     state.counts.started += 1;
     state.counts.reused_tokens += run.cached_tokens;
     state.counts.filled_tokens += usage.prompt_tokens - run.cached_tokens;
-    state.remembered.begin(DispatchStats {
+    state.history.begin(DispatchStats {
         dispatch: run.dispatch.clone(),
         program: run.program.clone(),
         prompt_tokens: usage.prompt_tokens,
@@ -175,7 +177,7 @@
     state.runs.insert(run.dispatch.clone(), Arc::clone(run));
 }
 
-async fn whole(reader: Reader, model: CompactString) -> Response {
+async fn whole_response(reader: Reader, model: CompactString) -> Response {
     let mut progress = reader.run.progress.subscribe();
     // The run holds the sender, so the wait can't fail.
     let _ = progress.wait_for(|p| p.state != RunState::Running).await;
@@ -215,7 +217,7 @@
     model: CompactString,
     stage: Stage,
     skipped: usize,
-    usage: bool,
+    include_usage: bool,
 }
 
 /// Streams the answer from token `skipped` on.
@@ -223,10 +225,10 @@
     reader: Reader,
     model: CompactString,
     skipped: usize,
-    usage: bool,
+    include_usage: bool,
 ) -> impl Stream<Item = Result<Event, Infallible>> {
     let progress = reader.run.progress.subscribe();
-    let cursor = Cursor { reader, progress, model, stage: Stage::Role, skipped, usage };
+    let cursor = Cursor { reader, progress, model, stage: Stage::Role, skipped, include_usage };
     stream::unfold(cursor, |mut cursor| async move {
         let event = cursor.next().await?;
         Some((Ok(event), cursor))
@@ -243,7 +245,7 @@
             }
             Stage::Tokens(from) => self.tokens(from).await,
             Stage::Finish => {
-                self.stage = if self.usage { Stage::Usage } else { Stage::End };
+                self.stage = if self.include_usage { Stage::Usage } else { Stage::End };
                 Some(self.choice(Delta::default(), Some(self.reader.run.finish_reason())))
             }
             Stage::Usage => {
@@ -282,7 +284,7 @@
         self.chunk(vec![ChunkChoice { index: 0, delta, finish_reason }], false)
     }
 
-    fn chunk(&self, choices: Vec<ChunkChoice>, usage: bool) -> Event {
+    fn chunk(&self, choices: Vec<ChunkChoice>, include_usage: bool) -> Event {
         let run = &self.reader.run;
         let chunk = Chunk {
             id: format_compact!("chatcmpl-{}", run.dispatch),
@@ -290,7 +292,7 @@
             created: seconds_now(),
             model: self.model.clone(),
             choices,
-            usage: usage.then(|| run.usage(run.tokens.len())),
+            usage: include_usage.then(|| run.usage(run.tokens.len())),
         };
         Event::default().data(serde_json::to_string(&chunk).unwrap_or_default())
     }
--- a/crates/standin/src/engine/kv.rs
+++ b/crates/standin/src/engine/kv.rs
@@ -16,13 +16,13 @@
 
 /// The head of an export; padding follows, so that the size is that of the tokens.
 #[derive(Serialize, Deserialize)]
-struct Exported {
+struct ExportHeader {
     model: ModelVersion,
     parts: Vec<(u64, u64)>,
 }
 
 /// Ends the head of an export.
-const HEAD_END: u8 = b'\n';
+const HEADER_END: u8 = b'\n';
 
 pub(super) async fn export(
     State(shared): State<Arc<Shared>>,
@@ -34,9 +34,9 @@
             .into_response();
     };
     let parts = entry.parts.iter().map(|p| (p.hash, p.tokens)).collect();
-    let head = Exported { model: entry.model.clone(), parts };
-    let mut body = serde_json::to_vec(&head).unwrap_or_default();
-    body.push(HEAD_END);
+    let header = ExportHeader { model: entry.model.clone(), parts };
+    let mut body = serde_json::to_vec(&header).unwrap_or_default();
+    body.push(HEADER_END);
     let size = entry.tokens() as usize * shared.settings.kv_bytes;
     body.resize(body.len().max(size), 0);
     let tokens = entry.tokens().to_string();
@@ -47,20 +47,20 @@
 pub(super) async fn import(
     State(shared): State<Arc<Shared>>,
     Path(program): Path<CompactString>,
-    _head: HeaderMap,
+    _headers: HeaderMap,
     body: Bytes,
 ) -> Response {
-    let end = body.iter().position(|b| *b == HEAD_END).unwrap_or(body.len());
-    let Ok(head) = serde_json::from_slice::<Exported>(&body[..end]) else {
+    let end = body.iter().position(|b| *b == HEADER_END).unwrap_or(body.len());
+    let Ok(header) = serde_json::from_slice::<ExportHeader>(&body[..end]) else {
         return Refusal::new(StatusCode::BAD_REQUEST, "bad_export", "not an exported KV cache")
             .into_response();
     };
     let mut state = shared.lock();
-    if !state.models.contains(&head.model) {
+    if !state.models.contains(&header.model) {
         let message = "the model of the export is not loaded";
         return Refusal::new(StatusCode::CONFLICT, "model_not_loaded", message).into_response();
     }
-    let parts = head.parts.into_iter().map(|(hash, tokens)| Part { hash, tokens }).collect();
-    state.store(&program, head.model, parts);
+    let parts = header.parts.into_iter().map(|(hash, tokens)| Part { hash, tokens }).collect();
+    state.store(&program, header.model, parts);
     StatusCode::NO_CONTENT.into_response()
 }
--- a/crates/standin/src/engine/mod.rs
+++ b/crates/standin/src/engine/mod.rs
@@ -51,8 +51,8 @@
             let shared = Arc::clone(&shared);
             move |sequence| announcement(&shared, address, sequence)
         };
-        let now = Arc::clone(&shared.announce);
-        tokio::spawn(announcer::run(announce, shared.process.clone(), now, source));
+        let wake = Arc::clone(&shared.announce_wake);
+        tokio::spawn(announcer::run(announce, shared.process.clone(), wake, source));
         Ok(Engine { address, shared })
     }
 
@@ -73,12 +73,12 @@
 
     /// Kills the engine: every connection drops and nothing more is announced.
     pub fn crash(&self) {
-        self.shared.process.dead.cancel();
+        self.shared.process.shutdown.cancel();
     }
 
     /// Tells whether the engine has died.
     pub fn is_dead(&self) -> bool {
-        self.shared.process.dead.is_cancelled()
+        self.shared.process.shutdown.is_cancelled()
     }
 
     /// Announces that the engine leaves, refuses new calls and returns once none runs.
@@ -86,8 +86,8 @@
     /// It goes on announcing so until it is stopped.
     pub async fn leave(&self) {
         self.shared.lock().leaving = true;
-        self.shared.announce.notify_one();
-        self.shared.process.drained(|| self.shared.is_idle()).await;
+        self.shared.announce_wake.notify_one();
+        self.shared.process.wait_until_drained(|| self.shared.is_idle()).await;
     }
 
     /// Ends the engine at once, without a farewell.
@@ -124,6 +124,6 @@
         leaving: state.leaving,
         sequence,
         load,
-        cache_events: state.reports.due(Instant::now()),
+        cache_events: state.reports.take_due(Instant::now()),
     }
 }
--- a/crates/standin/src/engine/orders.rs
+++ b/crates/standin/src/engine/orders.rs
@@ -40,7 +40,7 @@
 }
 
 pub(super) async fn order(State(shared): State<Arc<Shared>>, Json(order): Json<Order>) -> Response {
-    if let Err(refusal) = accept(&shared, &order) {
+    if let Err(refusal) = check_fence(&shared, &order) {
         return refusal.into_response();
     }
     let model = ModelVersion::new(&order.model, &order.version);
@@ -51,14 +51,15 @@
 }
 
 /// Refuses an order of an earlier holder, if the engine checks that.
-fn accept(shared: &Shared, order: &Order) -> Result<(), Refusal> {
+fn check_fence(shared: &Shared, order: &Order) -> Result<(), Refusal> {
     let mut state = shared.lock();
-    if shared.settings.fencing && order.fence < state.fence {
+    if shared.settings.fencing && order.fence < state.highest_fence {
         state.counts.stale_orders += 1;
-        let message = format!("fencing number {} is older than {}", order.fence, state.fence);
+        let message =
+            format!("fencing number {} is older than {}", order.fence, state.highest_fence);
         return Err(Refusal::new(StatusCode::CONFLICT, "stale_fence", &message));
     }
-    state.fence = state.fence.max(order.fence);
+    state.highest_fence = state.highest_fence.max(order.fence);
     state.counts.orders += 1;
     Ok(())
 }
@@ -87,7 +88,7 @@
             state.models.push(model);
         }
     }
-    shared.announce.notify_one();
+    shared.announce_wake.notify_one();
     StatusCode::NO_CONTENT.into_response()
 }
 
@@ -109,6 +110,6 @@
         state.counts.evicted_tokens += changes.iter().map(|e| e.tokens).sum::<u64>();
         state.reports.add(Instant::now(), changes);
     }
-    shared.announce.notify_one();
+    shared.announce_wake.notify_one();
     StatusCode::NO_CONTENT.into_response()
 }
--- a/crates/standin/src/engine/reports.rs
+++ b/crates/standin/src/engine/reports.rs
@@ -8,15 +8,15 @@
 use crate::announce::{CacheEvent, Load};
 
 /// Most cache events held for the next announcement; older ones are lost, as in a real engine.
-const HELD_EVENTS: usize = 4_096;
+const MAX_PENDING_EVENTS: usize = 4_096;
 
 /// Load and cache events on their way out.
 pub(super) struct Reports {
     settings: ReportSettings,
     loads: VecDeque<(Instant, Load)>,
-    reported: (Option<Instant>, Load),
-    events: VecDeque<(Instant, CacheEvent)>,
-    count: u64,
+    latest_load: (Option<Instant>, Load),
+    pending_events: VecDeque<(Instant, CacheEvent)>,
+    sequence: u64,
 }
 
 impl Reports {
@@ -24,9 +24,9 @@
         Reports {
             settings,
             loads: VecDeque::new(),
-            reported: (None, Load::default()),
-            events: VecDeque::new(),
-            count: 0,
+            latest_load: (None, Load::default()),
+            pending_events: VecDeque::new(),
+            sequence: 0,
         }
     }
 
@@ -40,10 +40,10 @@
         while let Some((at, old)) = self.loads.front()
             && now.duration_since(*at) >= lag
         {
-            self.reported = (Some(*at), *old);
+            self.latest_load = (Some(*at), *old);
             self.loads.pop_front();
         }
-        let (at, load) = self.reported;
+        let (at, load) = self.latest_load;
         let age = at.map_or(lag, |at| now.duration_since(at));
         Load { age_ms: u64::try_from(age.as_millis()).unwrap_or(u64::MAX), ..load }
     }
@@ -51,24 +51,24 @@
     /// Numbers changes and holds them back, but for those that fall into a gap.
     pub(super) fn add(&mut self, now: Instant, changes: Vec<Change>) {
         for Change { program, tokens, evicted } in changes {
-            self.count += 1;
+            self.sequence += 1;
             let gap = self.settings.event_gap;
-            if gap != 0 && self.count.is_multiple_of(gap) {
+            if gap != 0 && self.sequence.is_multiple_of(gap) {
                 continue;
             }
-            if self.events.len() >= HELD_EVENTS {
-                self.events.pop_front();
+            if self.pending_events.len() >= MAX_PENDING_EVENTS {
+                self.pending_events.pop_front();
             }
-            let event = CacheEvent { program, tokens, evicted, sequence: self.count };
-            self.events.push_back((now, event));
+            let event = CacheEvent { program, tokens, evicted, sequence: self.sequence };
+            self.pending_events.push_back((now, event));
         }
     }
 
     /// Returns the events that are old enough to be told.
-    pub(super) fn due(&mut self, now: Instant) -> Vec<CacheEvent> {
+    pub(super) fn take_due(&mut self, now: Instant) -> Vec<CacheEvent> {
         let delay = Duration::from_millis(self.settings.event_delay_ms);
-        let held = self.events.iter();
+        let held = self.pending_events.iter();
         let count = held.take_while(|(at, _)| now.duration_since(*at) >= delay).count();
-        self.events.drain(..count).map(|(_, event)| event).collect()
+        self.pending_events.drain(..count).map(|(_, event)| event).collect()
     }
 }
--- a/crates/standin/src/engine/run.rs
+++ b/crates/standin/src/engine/run.rs
@@ -17,7 +17,7 @@
 use crate::announce::ModelVersion;
 
 /// Shortest sleep; the runtime's timer has millisecond steps, so shorter ones are saved up.
-const TICK: Duration = Duration::from_millis(1);
+const TIMER_STEP: Duration = Duration::from_millis(1);
 /// Time from the start of a marked call to the engine's death.
 const CRASH_DELAY: Duration = Duration::from_millis(5);
 
@@ -30,7 +30,7 @@
     pub(super) tokens: Vec<CompactString>,
     pub(super) cached_tokens: u64,
     /// Whether the caller's limit cut the answer short.
-    pub(super) limited: bool,
+    pub(super) truncated: bool,
     pub(super) crash: bool,
     pub(super) cancel: CancellationToken,
     pub(super) progress: watch::Sender<Progress>,
@@ -57,7 +57,7 @@
     }
 
     pub(super) fn finish_reason(&self) -> &'static str {
-        if self.limited { "length" } else { "stop" }
+        if self.truncated { "length" } else { "stop" }
     }
 }
 
@@ -82,9 +82,9 @@
 /// Generates to the end, and frees the slot.
 pub(super) async fn generate(shared: Arc<Shared>, run: Arc<Run>, slot: Slot) {
     let state = tokio::select! {
-        state = work(&shared, &run) => state,
+        state = produce(&shared, &run) => state,
         () = run.cancel.cancelled() => RunState::Cancelled,
-        () = shared.process.dead.cancelled() => return,
+        () = shared.process.shutdown.cancelled() => return,
     };
     finish(&shared, &run, state);
     drop(slot);
@@ -96,27 +96,27 @@
     }
 }
 
-async fn work(shared: &Shared, run: &Run) -> RunState {
+async fn produce(shared: &Shared, run: &Run) -> RunState {
     if run.crash {
         tokio::time::sleep(CRASH_DELAY).await;
-        shared.process.dead.cancel();
+        shared.process.shutdown.cancel();
         // Not even an error may still reach the caller.
         std::future::pending().await
     }
     let prompt: u64 = run.parts.iter().map(|p| p.tokens).sum();
-    let missing = prompt.saturating_sub(run.cached_tokens);
-    tokio::time::sleep(spent(missing, shared.settings.prefill_rate)).await;
+    let uncached = prompt.saturating_sub(run.cached_tokens);
+    tokio::time::sleep(time_for(uncached, shared.settings.prefill_rate)).await;
     let mut start = Instant::now();
-    let mut unread = None;
+    let mut unread_since = None;
     for emitted in 1..=run.tokens.len() {
-        let due = start + spent(emitted as u64, shared.settings.decode_rate);
-        if due.saturating_duration_since(Instant::now()) >= TICK {
+        let due = start + time_for(emitted as u64, shared.settings.decode_rate);
+        if due.saturating_duration_since(Instant::now()) >= TIMER_STEP {
             tokio::time::sleep_until(due).await;
         }
         let paused = Instant::now();
-        shared.process.thawed().await;
+        shared.process.wait_while_frozen().await;
         start += paused.elapsed();
-        if abandoned(shared, run, &mut unread) {
+        if abandoned(shared, run, &mut unread_since) {
             return RunState::Cancelled;
         }
         run.progress.send_modify(|p| p.emitted = emitted);
@@ -125,16 +125,16 @@
 }
 
 /// Tells whether nobody has read the run for as long as it may be resumed.
-fn abandoned(shared: &Shared, run: &Run, unread: &mut Option<Instant>) -> bool {
+fn abandoned(shared: &Shared, run: &Run, unread_since: &mut Option<Instant>) -> bool {
     if run.readers.load(Ordering::Relaxed) > 0 {
-        *unread = None;
+        *unread_since = None;
         return false;
     }
-    let since = unread.get_or_insert_with(Instant::now);
+    let since = unread_since.get_or_insert_with(Instant::now);
     since.elapsed() >= Duration::from_millis(shared.settings.resume_ms)
 }
 
-fn spent(tokens: u64, rate: u64) -> Duration {
+fn time_for(tokens: u64, rate: u64) -> Duration {
     Duration::from_secs_f64(tokens as f64 / rate.max(1) as f64)
 }
 
@@ -143,7 +143,7 @@
     let emitted = run.progress.borrow().emitted;
     {
         let mut inner = shared.lock();
-        inner.remembered.end(&run.dispatch, state, emitted as u64);
+        inner.history.end(&run.dispatch, state, emitted as u64);
         match state {
             RunState::Finished => inner.counts.finished += 1,
             RunState::Cancelled | RunState::Running => inner.counts.cancelled += 1,
--- a/crates/standin/src/engine/slots.rs
+++ b/crates/standin/src/engine/slots.rs
@@ -14,13 +14,13 @@
 struct State {
     running: u32,
     slots: u32,
-    queue: usize,
+    queue_limit: usize,
     arrivals: u64,
-    waiting: BTreeMap<Place, oneshot::Sender<Slot>>,
+    waiting: BTreeMap<QueueKey, oneshot::Sender<Slot>>,
 }
 
 /// Larger priority first, then earlier arrival.
-type Place = (Reverse<i64>, u64);
+type QueueKey = (Reverse<i64>, u64);
 
 /// One slot, given back when dropped.
 pub(super) struct Slot {
@@ -28,30 +28,30 @@
 }
 
 impl Slots {
-    pub(super) fn new(slots: u32, queue: usize) -> Arc<Slots> {
-        let state = State { running: 0, slots, queue, arrivals: 0, waiting: BTreeMap::new() };
+    pub(super) fn new(slots: u32, queue_limit: usize) -> Arc<Slots> {
+        let state = State { running: 0, slots, queue_limit, arrivals: 0, waiting: BTreeMap::new() };
         Arc::new(Slots { state: Mutex::new(state) })
     }
 
     /// Waits for a slot; `None` when the queue is full.
     pub(super) async fn acquire(self: &Arc<Slots>, priority: i64) -> Option<Slot> {
-        let turn = {
+        let receiver = {
             let mut state = self.lock();
             if state.running < state.slots {
                 state.running += 1;
                 return Some(self.slot());
             }
             state.waiting.retain(|_, sender| !sender.is_closed());
-            if state.waiting.len() >= state.queue {
+            if state.waiting.len() >= state.queue_limit {
                 return None;
             }
             state.arrivals += 1;
-            let place = (Reverse(priority), state.arrivals);
+            let key = (Reverse(priority), state.arrivals);
             let (sender, receiver) = oneshot::channel();
-            state.waiting.insert(place, sender);
+            state.waiting.insert(key, sender);
             receiver
         };
-        turn.await.ok()
+        receiver.await.ok()
     }
 
     /// Returns how many run and how many wait.
--- a/crates/standin/src/engine/state.rs
+++ b/crates/standin/src/engine/state.rs
@@ -14,7 +14,7 @@
 use super::run::Run;
 use super::settings::EngineSettings;
 use super::slots::Slots;
-use super::stats::{EngineCounts, EngineStats, ProgramMemory, Remembered};
+use super::stats::{DispatchHistory, EngineCounts, EngineStats, ProgramMemory};
 use crate::announce::{Load, ModelVersion};
 use crate::process::Process;
 
@@ -23,8 +23,8 @@
     pub(super) settings: EngineSettings,
     pub(super) process: Process,
     pub(super) slots: Arc<Slots>,
-    pub(super) announce: Arc<Notify>,
-    serial: AtomicU64,
+    pub(super) announce_wake: Arc<Notify>,
+    next_id: AtomicU64,
     state: Mutex<State>,
 }
 
@@ -32,11 +32,11 @@
 pub(super) struct State {
     pub(super) models: Vec<ModelVersion>,
     pub(super) leaving: bool,
-    pub(super) fence: u64,
+    pub(super) highest_fence: u64,
     pub(super) cache: PrefixCache,
     pub(super) reports: Reports,
     pub(super) counts: EngineCounts,
-    pub(super) remembered: Remembered,
+    pub(super) history: DispatchHistory,
     pub(super) runs: HashMap<CompactString, Arc<Run>>,
 }
 
@@ -45,18 +45,18 @@
         let state = State {
             models: settings.models.clone(),
             leaving: false,
-            fence: 0,
+            highest_fence: 0,
             cache: PrefixCache::new(settings.cache_tokens),
             reports: Reports::new(settings.reports),
             counts: EngineCounts::default(),
-            remembered: Remembered::default(),
+            history: DispatchHistory::default(),
             runs: HashMap::new(),
         };
         Arc::new(Shared {
             process: Process::new(),
             slots: Slots::new(settings.slots, settings.queue),
-            announce: Arc::new(Notify::new()),
-            serial: AtomicU64::new(0),
+            announce_wake: Arc::new(Notify::new()),
+            next_id: AtomicU64::new(0),
             state: Mutex::new(state),
             settings,
         })
@@ -74,15 +74,15 @@
 
     /// Returns an id for a call that brought none.
     pub(super) fn local_id(&self) -> CompactString {
-        let serial = self.serial.fetch_add(1, Ordering::Relaxed);
-        compact_str::format_compact!("local-{serial}")
+        let id = self.next_id.fetch_add(1, Ordering::Relaxed);
+        compact_str::format_compact!("local-{id}")
     }
 
     /// Returns the load as the engine reports it.
     pub(super) fn load(&self) -> Load {
         let (running, waiting) = self.slots.counts();
         let mut state = self.lock();
-        let cached_tokens = state.cache.held();
+        let cached_tokens = state.cache.held_tokens();
         state.reports.load(Instant::now(), Load { running, waiting, cached_tokens, age_ms: 0 })
     }
 
@@ -90,7 +90,7 @@
         let state = self.lock();
         EngineStats {
             counts: state.counts,
-            dispatches: state.remembered.all(),
+            dispatches: state.history.all(),
             programs: state.programs(),
         }
     }
--- a/crates/standin/src/engine/stats.rs
+++ b/crates/standin/src/engine/stats.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 
 /// Most dispatches that are remembered one by one.
-const REMEMBERED: usize = 65_536;
+const MAX_DISPATCHES: usize = 65_536;
 
 /// How a run stands.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
@@ -107,12 +107,12 @@
 
 /// Dispatches by id, the oldest forgotten first.
 #[derive(Default)]
-pub(super) struct Remembered {
+pub(super) struct DispatchHistory {
     order: VecDeque<CompactString>,
     dispatches: BTreeMap<CompactString, DispatchStats>,
 }
 
-impl Remembered {
+impl DispatchHistory {
     /// Counts one more run of a dispatch.
     pub(super) fn begin(&mut self, run: DispatchStats) {
         if let Some(known) = self.dispatches.get_mut(&run.dispatch) {
@@ -120,7 +120,7 @@
             *known = DispatchStats { runs, ..run };
             return;
         }
-        if self.order.len() >= REMEMBERED
+        if self.order.len() >= MAX_DISPATCHES
             && let Some(oldest) = self.order.pop_front()
         {
             self.dispatches.remove(&oldest);
--- a/crates/standin/src/headers.rs
+++ b/crates/standin/src/headers.rs
@@ -11,7 +11,7 @@
 /// Place in the engine's queue; larger runs sooner, zero when absent.
 pub const PRIORITY: &str = "x-priority";
 /// Count of tokens of a broken stream that the reader already has.
-pub const RESUME: &str = "x-resume-from";
+pub const RESUME_FROM: &str = "x-resume-from";
 /// Version of the model asked for, when several are loaded.
 pub const MODEL_VERSION: &str = "x-model-version";
 /// Set on a refusal that was given before anything started.
@@ -21,7 +21,7 @@
 /// Model and version of an exported KV cache, as `model@version`.
 pub const MODEL: &str = "x-model";
 /// Idempotency key of a call to a plain service.
-pub const KEY: &str = "idempotency-key";
+pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 /// Fault that a plain service shall show on this call.
 pub const FAULT: &str = "x-fault";
 
@@ -36,7 +36,7 @@
 }
 
 /// Adds the echo of a dispatch id.
-pub(crate) fn echo(response: &mut Response, dispatch: &str) {
+pub(crate) fn echo_dispatch(response: &mut Response, dispatch: &str) {
     if let Ok(value) = HeaderValue::from_str(dispatch) {
         response.headers_mut().insert(DISPATCH, value);
     }
@@ -49,34 +49,34 @@
     code: &'static str,
     message: CompactString,
     /// Whether the answer proves that nothing started.
-    proof: bool,
+    not_started: bool,
 }
 
 impl Refusal {
     /// A refusal that leaves open what ran before.
     pub(crate) fn new(status: StatusCode, code: &'static str, message: &str) -> Refusal {
-        Refusal { status, code, message: message.into(), proof: false }
+        Refusal { status, code, message: message.into(), not_started: false }
     }
 
     /// A refusal that proves that nothing started.
     pub(crate) fn not_started(code: &'static str, message: &str) -> Refusal {
         let status = StatusCode::SERVICE_UNAVAILABLE;
-        Refusal { status, code, message: message.into(), proof: true }
+        Refusal { status, code, message: message.into(), not_started: true }
     }
 
     /// A refusal of a request that can't be read, which proves that nothing started.
     pub(crate) fn bad_request(message: &str) -> Refusal {
         let status = StatusCode::BAD_REQUEST;
-        Refusal { status, code: "bad_request", message: message.into(), proof: true }
+        Refusal { status, code: "bad_request", message: message.into(), not_started: true }
     }
 }
 
 impl IntoResponse for Refusal {
     fn into_response(self) -> Response {
-        let Refusal { status, code, message, proof } = self;
+        let Refusal { status, code, message, not_started } = self;
         let body = ErrorBody { error: ErrorDetail { code, message, kind: "standin" } };
         let mut response = (status, axum::Json(body)).into_response();
-        if proof {
+        if not_started {
             response.headers_mut().insert(NOT_STARTED, HeaderValue::from_static("1"));
         }
         response
--- a/crates/standin/src/load/call.rs
+++ b/crates/standin/src/load/call.rs
@@ -14,11 +14,11 @@
 use crate::headers;
 
 /// Pause before a call is sent again when the refusal names none.
-const RETRY_PAUSE: Duration = Duration::from_millis(50);
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 /// Longest pause that a refusal can ask for.
-const LONGEST_PAUSE: Duration = Duration::from_secs(5);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(5);
 /// Ends a streamed answer.
-const DONE: &str = "[DONE]";
+const DONE_EVENT: &str = "[DONE]";
 
 /// A call as it goes on the wire.
 #[derive(Clone)]
@@ -47,7 +47,7 @@
     /// Not run; the same call may be sent again after a pause.
     Refused(Duration),
     /// Not run, and a resend would fare no better.
-    Wrong,
+    Invalid,
     Unknown,
 }
 
@@ -71,12 +71,12 @@
                 outcome.end = End::Unknown;
                 break;
             }
-            Attempt::Refused(pause) if attempt < retries => {
+            Attempt::Refused(delay) if attempt < retries => {
                 outcome.retries += 1;
-                tokio::time::sleep(pause).await;
+                tokio::time::sleep(delay).await;
             }
             Attempt::Refused(_) => {}
-            Attempt::Wrong => break,
+            Attempt::Invalid => break,
         }
     }
     outcome.elapsed = start.elapsed();
@@ -87,38 +87,39 @@
     let mut request = Request::new(Full::new(call.body.clone()));
     *request.method_mut() = call.method.clone();
     let Ok(uri) = call.uri.parse() else {
-        return Attempt::Refused(RETRY_PAUSE);
+        return Attempt::Refused(RETRY_DELAY);
     };
     *request.uri_mut() = uri;
     *request.headers_mut() = call.headers.clone();
     let response = match client.request(request).await {
         Ok(response) => response,
-        Err(error) if error.is_connect() => return Attempt::Refused(RETRY_PAUSE),
+        Err(error) if error.is_connect() => return Attempt::Refused(RETRY_DELAY),
         Err(_) => return Attempt::Unknown,
     };
     if !response.status().is_success() {
-        return refused(response.status(), response.headers().clone(), response.into_body()).await;
+        return read_refusal(response.status(), response.headers().clone(), response.into_body())
+            .await;
     }
     let body = response.into_body();
-    if call.stream { streamed(body, start).await } else { whole(body).await }
+    if call.stream { read_stream(body, start).await } else { read_whole(body).await }
 }
 
-async fn refused(status: StatusCode, head: HeaderMap, body: Incoming) -> Attempt {
+async fn read_refusal(status: StatusCode, head: HeaderMap, body: Incoming) -> Attempt {
     let body = body.collect().await.map(|b| b.to_bytes()).unwrap_or_default();
-    let problem: Value = serde_json::from_slice(&body).unwrap_or_default();
+    let error: Value = serde_json::from_slice(&body).unwrap_or_default();
     if status.is_client_error() && status != StatusCode::TOO_MANY_REQUESTS {
-        return Attempt::Wrong;
+        return Attempt::Invalid;
     }
-    if problem["error"]["outcome"] != "not-run" && !head.contains_key(headers::NOT_STARTED) {
+    if error["error"]["outcome"] != "not-run" && !head.contains_key(headers::NOT_STARTED) {
         return Attempt::Unknown;
     }
     let seconds: u64 = headers::number(&head, header::RETRY_AFTER.as_str());
-    let millis = problem["error"]["retry_after_ms"].as_u64().unwrap_or(seconds * 1_000);
-    let pause = Duration::from_millis(millis).clamp(RETRY_PAUSE, LONGEST_PAUSE);
-    Attempt::Refused(pause)
+    let millis = error["error"]["retry_after_ms"].as_u64().unwrap_or(seconds * 1_000);
+    let delay = Duration::from_millis(millis).clamp(RETRY_DELAY, MAX_RETRY_DELAY);
+    Attempt::Refused(delay)
 }
 
-async fn whole(body: Incoming) -> Attempt {
+async fn read_whole(body: Incoming) -> Attempt {
     let Ok(body) = body.collect().await else {
         return Attempt::Unknown;
     };
@@ -128,7 +129,7 @@
 }
 
 /// Reads a stream; one that ends without its closing event is not an answer.
-async fn streamed(mut body: Incoming, start: Instant) -> Attempt {
+async fn read_stream(mut body: Incoming, start: Instant) -> Attempt {
     let mut buffer = BytesMut::new();
     let mut text = String::new();
     let mut arrivals = Vec::new();
@@ -141,7 +142,7 @@
         };
         buffer.extend_from_slice(&data);
         while let Some(event) = next_event(&mut buffer) {
-            if event == DONE {
+            if event == DONE_EVENT {
                 return Attempt::Answered(text, arrivals);
             }
             let chunk: Value = serde_json::from_str(&event).unwrap_or_default();
--- a/crates/standin/src/load/mod.rs
+++ b/crates/standin/src/load/mod.rs
@@ -34,7 +34,7 @@
 ///
 /// Fails when the settings name no base URL or a header can't be written.
 pub async fn run(settings: LoadSettings) -> anyhow::Result<LoadReport> {
-    anyhow::ensure!(!settings.bases.is_empty(), "name at least one base URL");
+    anyhow::ensure!(!settings.base_urls.is_empty(), "name at least one base URL");
     let start = Instant::now();
     let arrivals = settings.arrivals;
     let programs = settings.programs;
@@ -44,24 +44,24 @@
     run.headers("trial", "trial")?;
     let mut tasks = JoinSet::new();
     match arrivals {
-        Arrivals::Closed(width) => {
-            let width = Arc::new(Semaphore::new(width.max(1)));
+        Arrivals::Closed(limit) => {
+            let permits = Arc::new(Semaphore::new(limit.max(1)));
             for number in 0..programs {
-                let permit = Arc::clone(&width).acquire_owned().await?;
+                let permit = Arc::clone(&permits).acquire_owned().await?;
                 let run = Arc::clone(&run);
                 tasks.spawn(async move {
-                    run.program(number).await;
+                    run.run_program(number).await;
                     drop(permit);
                 });
             }
         }
         Arrivals::Open(rate) => {
-            let pause = Duration::from_secs_f64(1.0 / rate.max(0.001));
-            let mut ticks = tokio::time::interval(pause);
+            let interval = Duration::from_secs_f64(1.0 / rate.max(0.001));
+            let mut ticks = tokio::time::interval(interval);
             for number in 0..programs {
                 ticks.tick().await;
                 let run = Arc::clone(&run);
-                tasks.spawn(async move { run.program(number).await });
+                tasks.spawn(async move { run.run_program(number).await });
             }
         }
     }
@@ -77,11 +77,11 @@
     }
 
     /// Runs one program from its first call to its end.
-    async fn program(&self, number: u64) {
+    async fn run_program(&self, number: u64) {
         self.lock().report.begun += 1;
         let name = format!("{}-{number}", self.settings.prefix);
         let start = Instant::now();
-        let end = self.turns(number, &name).await;
+        let end = self.run_turns(number, &name).await;
         {
             let mut recorder = self.lock();
             recorder.end(end);
@@ -89,12 +89,12 @@
                 recorder.program.add(start.elapsed());
             }
         }
-        self.finish(number, &name).await;
+        self.end_program(number, &name).await;
     }
 
-    async fn turns(&self, number: u64, name: &str) -> End {
+    async fn run_turns(&self, number: u64, name: &str) -> End {
         for turn in 1..=self.settings.turns {
-            let Ok(call) = self.chat(number, name, turn) else {
+            let Ok(call) = self.chat_call(number, name, turn) else {
                 return End::Refused;
             };
             let outcome = self.send(&call).await;
@@ -104,7 +104,7 @@
             if self.settings.tool.is_empty() {
                 continue;
             }
-            let Ok(call) = self.tool(number, name, turn) else {
+            let Ok(call) = self.tool_call(number, name, turn) else {
                 return End::Refused;
             };
             let end = self.send(&call).await.end;
@@ -137,8 +137,8 @@
     }
 
     /// Ends the program, so that nothing stays held for it.
-    async fn finish(&self, number: u64, name: &str) {
-        let uri = format!("{}/v1/programs/{name}", self.base(number));
+    async fn end_program(&self, number: u64, name: &str) {
+        let uri = format!("{}/v1/programs/{name}", self.base_url(number));
         let Ok(headers) = self.headers(name, "end") else {
             return;
         };
@@ -148,14 +148,14 @@
         send(&self.client, &call, self.settings.retries).await;
     }
 
-    fn chat(&self, number: u64, name: &str, turn: u64) -> anyhow::Result<Call> {
+    fn chat_call(&self, number: u64, name: &str, turn: u64) -> anyhow::Result<Call> {
         let settings = &self.settings;
         let words: Vec<String> =
-            (0..settings.words).map(|w| format!("{name}-{turn}-{w}")).collect();
+            (0..settings.prompt_words).map(|w| format!("{name}-{turn}-{w}")).collect();
         let mut body = json!({
             "model": settings.model,
             "messages": [{"role": "user", "content": words.join(" ")}],
-            "max_tokens": settings.output,
+            "max_tokens": settings.max_tokens,
             "stream": settings.stream,
         });
         if settings.stream {
@@ -166,7 +166,7 @@
         Ok(self.post(number, "/v1/chat/completions", headers, &body, settings.stream))
     }
 
-    fn tool(&self, number: u64, name: &str, turn: u64) -> anyhow::Result<Call> {
+    fn tool_call(&self, number: u64, name: &str, turn: u64) -> anyhow::Result<Call> {
         let headers = self.headers(name, &format!("{name}-tool-{turn}"))?;
         let path = format!("/v1/tools/{}", self.settings.tool);
         Ok(self.post(number, &path, headers, &json!({"program": name, "turn": turn}), false))
@@ -180,19 +180,19 @@
         body: &Value,
         stream: bool,
     ) -> Call {
-        let uri = format!("{}{path}", self.base(number));
+        let uri = format!("{}{path}", self.base_url(number));
         Call { method: Method::POST, uri, headers, body: Bytes::from(body.to_string()), stream }
     }
 
-    fn base(&self, number: u64) -> &str {
-        let bases = &self.settings.bases;
-        &bases[number as usize % bases.len()]
+    fn base_url(&self, number: u64) -> &str {
+        let base_urls = &self.settings.base_urls;
+        &base_urls[number as usize % base_urls.len()]
     }
 
     fn headers(&self, program: &str, key: &str) -> anyhow::Result<HeaderMap> {
         let settings = &self.settings;
         let mut headers = HeaderMap::new();
-        let bearer = format!("Bearer {}", settings.key);
+        let bearer = format!("Bearer {}", settings.api_key);
         headers.insert(header::AUTHORIZATION, HeaderValue::from_str(&bearer)?);
         headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
         headers.insert("x-program-id", HeaderValue::from_str(program)?);
--- a/crates/standin/src/load/report.rs
+++ b/crates/standin/src/load/report.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 
 /// Longest latency that a histogram tells apart, in microseconds: one hour.
-const LONGEST: u64 = 3_600_000_000;
+const MAX_LATENCY_MICROS: u64 = 3_600_000_000;
 
 /// How a call or a program ended, as its caller knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -78,11 +78,13 @@
 impl Samples {
     fn new() -> Samples {
         // The bounds are constants that the library accepts.
-        Samples(Histogram::new_with_bounds(1, LONGEST, 3).expect("valid histogram bounds"))
+        Samples(
+            Histogram::new_with_bounds(1, MAX_LATENCY_MICROS, 3).expect("valid histogram bounds"),
+        )
     }
 
     pub(super) fn add(&mut self, sample: Duration) {
-        let micros = u64::try_from(sample.as_micros()).unwrap_or(LONGEST);
+        let micros = u64::try_from(sample.as_micros()).unwrap_or(MAX_LATENCY_MICROS);
         self.0.saturating_record(micros.max(1));
     }
 
--- a/crates/standin/src/load/settings.rs
+++ b/crates/standin/src/load/settings.rs
@@ -15,9 +15,9 @@
 #[derive(Clone, Debug)]
 pub struct LoadSettings {
     /// Base URLs of the callers' listeners, used in turn by program.
-    pub bases: Vec<CompactString>,
+    pub base_urls: Vec<CompactString>,
     /// API key of the organisation.
-    pub key: CompactString,
+    pub api_key: CompactString,
     /// Agent program of the bundle; the organisation's first when empty.
     pub agent: CompactString,
     /// Model asked for.
@@ -29,9 +29,9 @@
     /// Model calls of each program.
     pub turns: u64,
     /// Words of each user message.
-    pub words: u64,
+    pub prompt_words: u64,
     /// Most tokens of each answer.
-    pub output: u64,
+    pub max_tokens: u64,
     /// Whether answers are streamed.
     pub stream: bool,
     /// Tool call after each turn as `service/operation`; none when empty.
@@ -45,15 +45,15 @@
 impl Default for LoadSettings {
     fn default() -> LoadSettings {
         LoadSettings {
-            bases: Vec::new(),
-            key: CompactString::default(),
+            base_urls: Vec::new(),
+            api_key: CompactString::default(),
             agent: CompactString::default(),
             model: "advisor".into(),
             programs: 100,
             arrivals: Arrivals::Closed(8),
             turns: 4,
-            words: 40,
-            output: 64,
+            prompt_words: 40,
+            max_tokens: 64,
             stream: true,
             tool: CompactString::default(),
             retries: 5,
--- a/crates/standin/src/process.rs
+++ b/crates/standin/src/process.rs
@@ -16,19 +16,19 @@
 use tokio_util::sync::CancellationToken;
 
 /// Pause between two looks whether calls still run.
-const LEAVE_POLL: Duration = Duration::from_millis(10);
+const DRAIN_POLL: Duration = Duration::from_millis(10);
 
 /// Switches that the handle, the handlers and the announcer share.
 #[derive(Clone)]
 pub(crate) struct Process {
     /// Once cancelled, every connection is dropped and nothing is announced.
-    pub(crate) dead: CancellationToken,
+    pub(crate) shutdown: CancellationToken,
     frozen: watch::Sender<bool>,
 }
 
 impl Process {
     pub(crate) fn new() -> Process {
-        Process { dead: CancellationToken::new(), frozen: watch::Sender::new(false) }
+        Process { shutdown: CancellationToken::new(), frozen: watch::Sender::new(false) }
     }
 
     /// Stops or resumes all progress, as a stopped process would.
@@ -37,19 +37,19 @@
     }
 
     /// Returns once the process is not frozen.
-    pub(crate) async fn thawed(&self) {
+    pub(crate) async fn wait_while_frozen(&self) {
         let mut frozen = self.frozen.subscribe();
         // The sender lives as long as `self`, so the wait can't fail.
         let _ = frozen.wait_for(|on| !on).await;
     }
 
     /// Returns once `is_idle` says that no call runs, and the last answers had time to leave.
-    pub(crate) async fn drained(&self, is_idle: impl Fn() -> bool) {
+    pub(crate) async fn wait_until_drained(&self, is_idle: impl Fn() -> bool) {
         while !is_idle() {
-            tokio::time::sleep(LEAVE_POLL).await;
+            tokio::time::sleep(DRAIN_POLL).await;
         }
         // The last answers are handed to their sockets; they get time to leave.
-        tokio::time::sleep(LEAVE_POLL).await;
+        tokio::time::sleep(DRAIN_POLL).await;
     }
 
     /// Binds `address` and serves `router` on it until death.
@@ -63,8 +63,8 @@
             .with_context(|| format!("can't listen on {address}; choose a free address"))?;
         let address = listener.local_addr()?;
         let router =
-            router.layer(axum::middleware::from_fn_with_state(self.clone(), wait_until_thawed));
-        tokio::spawn(accept(listener, router, self.dead.clone()));
+            router.layer(axum::middleware::from_fn_with_state(self.clone(), hold_while_frozen));
+        tokio::spawn(accept(listener, router, self.shutdown.clone()));
         Ok(address)
     }
 }
@@ -75,28 +75,28 @@
     u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX)
 }
 
-async fn wait_until_thawed(
+async fn hold_while_frozen(
     State(process): State<Process>,
     request: Request,
     next: Next,
 ) -> Response {
-    process.thawed().await;
+    process.wait_while_frozen().await;
     next.run(request).await
 }
 
-async fn accept(listener: TcpListener, router: Router, dead: CancellationToken) {
+async fn accept(listener: TcpListener, router: Router, shutdown: CancellationToken) {
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            () = dead.cancelled() => return,
+            () = shutdown.cancelled() => return,
         };
         if let Ok((stream, _)) = accepted {
-            tokio::spawn(connection(stream, router.clone(), dead.clone()));
+            tokio::spawn(connection(stream, router.clone(), shutdown.clone()));
         }
     }
 }
 
-async fn connection(stream: TcpStream, router: Router, dead: CancellationToken) {
+async fn connection(stream: TcpStream, router: Router, shutdown: CancellationToken) {
     // Only a hint for speed; a refusal changes nothing else.
     let _ = stream.set_nodelay(true);
     let builder = auto::Builder::new(TokioExecutor::new());
@@ -104,6 +104,6 @@
     tokio::select! {
         // An error here is the peer's hang-up, which the handler sees on its own.
         _ = builder.serve_connection(TokioIo::new(stream), service) => {}
-        () = dead.cancelled() => {}
+        () = shutdown.cancelled() => {}
     }
 }
--- a/crates/standin/src/service/fault.rs
+++ b/crates/standin/src/service/fault.rs
@@ -7,7 +7,7 @@
 use crate::headers;
 
 /// Longest late answer that a marker can ask for.
-const LATEST_MS: u64 = 60_000;
+const MAX_DELAY_MS: u64 = 60_000;
 
 /// What goes wrong with a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -29,36 +29,36 @@
 impl Fault {
     /// Reads the fault of a call: header `x-fault: hang`, or `#hang` in the body, and so on for
     /// `crash-before`, `crash-after`, `late-MILLIS` and `crossed`.
-    pub(super) fn of(head: &HeaderMap, body: &str) -> Fault {
+    pub(super) fn from_call(head: &HeaderMap, body: &str) -> Fault {
         match headers::text(head, headers::FAULT) {
-            Some(name) => Fault::named(name),
+            Some(name) => Fault::parse(name),
             None => body
                 .split('#')
                 .skip(1)
-                .map(marker)
+                .map(parse_marker)
                 .find(|f| *f != Fault::None)
                 .unwrap_or(Fault::None),
         }
     }
 
-    fn named(name: &str) -> Fault {
+    fn parse(name: &str) -> Fault {
         match name {
             "hang" => Fault::Hang,
             "crash-before" => Fault::CrashBefore,
             "crash-after" => Fault::CrashAfter,
             "crossed" => Fault::Crossed,
-            other => late(other).unwrap_or(Fault::None),
+            other => parse_late(other).unwrap_or(Fault::None),
         }
     }
 }
 
-fn marker(rest: &str) -> Fault {
-    let plain = |c: char| c.is_ascii_alphanumeric() || c == '-';
-    let end = rest.find(|c| !plain(c)).unwrap_or(rest.len());
-    Fault::named(&rest[..end])
+fn parse_marker(rest: &str) -> Fault {
+    let is_name_char = |c: char| c.is_ascii_alphanumeric() || c == '-';
+    let end = rest.find(|c| !is_name_char(c)).unwrap_or(rest.len());
+    Fault::parse(&rest[..end])
 }
 
-fn late(name: &str) -> Option<Fault> {
+fn parse_late(name: &str) -> Option<Fault> {
     let millis: u64 = name.strip_prefix("late-")?.parse().ok()?;
-    Some(Fault::Late(Duration::from_millis(millis.min(LATEST_MS))))
+    Some(Fault::Late(Duration::from_millis(millis.min(MAX_DELAY_MS))))
 }
--- a/crates/standin/src/service/http.rs
+++ b/crates/standin/src/service/http.rs
@@ -12,7 +12,7 @@
 use http::{HeaderMap, StatusCode};
 
 use super::fault::Fault;
-use super::state::{Answered, Receipt, ServiceStats, Shared};
+use super::state::{Receipt, RecordedAnswer, ServiceStats, Shared};
 use crate::headers::{self, Refusal};
 
 pub(super) fn router(shared: Arc<Shared>) -> Router {
@@ -24,11 +24,11 @@
 }
 
 /// Counts a call as running until it is answered or its connection is lost.
-struct Running {
+struct CallGuard {
     shared: Arc<Shared>,
 }
 
-impl Drop for Running {
+impl Drop for CallGuard {
     fn drop(&mut self) {
         self.shared.lock().running -= 1;
     }
@@ -41,33 +41,34 @@
     body: Bytes,
 ) -> Response {
     let dispatch = CompactString::from(headers::text(&head, headers::DISPATCH).unwrap_or_default());
-    let key = CompactString::from(headers::text(&head, headers::KEY).unwrap_or_default());
-    let fault = Fault::of(&head, &String::from_utf8_lossy(&body));
+    let key =
+        CompactString::from(headers::text(&head, headers::IDEMPOTENCY_KEY).unwrap_or_default());
+    let fault = Fault::from_call(&head, &String::from_utf8_lossy(&body));
     let mut response = match admit(&shared) {
         Some(running) => run(running, &operation, &key, &dispatch, fault).await,
         None => Refusal::not_started("full", "the service is full or leaving").into_response(),
     };
     if !response.headers().contains_key(headers::DISPATCH) {
-        headers::echo(&mut response, &dispatch);
+        headers::echo_dispatch(&mut response, &dispatch);
     }
     response
 }
 
-fn admit(shared: &Arc<Shared>) -> Option<Running> {
+fn admit(shared: &Arc<Shared>) -> Option<CallGuard> {
     let mut state = shared.lock();
     state.calls += 1;
-    let room = shared.settings.slots as usize + shared.settings.queue;
-    if state.leaving || state.running as usize >= room {
+    let capacity = shared.settings.slots as usize + shared.settings.queue;
+    if state.leaving || state.running as usize >= capacity {
         state.refused += 1;
         return None;
     }
     state.running += 1;
     drop(state);
-    Some(Running { shared: Arc::clone(shared) })
+    Some(CallGuard { shared: Arc::clone(shared) })
 }
 
 async fn run(
-    running: Running,
+    running: CallGuard,
     operation: &str,
     key: &str,
     dispatch: &str,
@@ -76,36 +77,36 @@
     let shared = &running.shared;
     match fault {
         Fault::Hang => std::future::pending().await,
-        Fault::CrashBefore => die(shared).await,
+        Fault::CrashBefore => crash(shared).await,
         Fault::None | Fault::CrashAfter | Fault::Late(_) | Fault::Crossed => {}
     }
     let _slot = shared.slots.acquire().await;
     tokio::time::sleep(Duration::from_millis(shared.settings.work_ms)).await;
-    shared.process.thawed().await;
+    shared.process.wait_while_frozen().await;
     let receipt = shared.lock().apply(&shared.settings.service, operation, key, dispatch);
-    let answered = Answered { dispatch: dispatch.into(), receipt };
-    let before = shared.lock().latest.replace(answered.clone());
+    let answer = RecordedAnswer { dispatch: dispatch.into(), receipt };
+    let previous = shared.lock().last_answer.replace(answer.clone());
     match fault {
-        Fault::CrashAfter => die(shared).await,
+        Fault::CrashAfter => crash(shared).await,
         Fault::Late(delay) => tokio::time::sleep(delay).await,
         Fault::None | Fault::Hang | Fault::CrashBefore | Fault::Crossed => {}
     }
-    match (fault, before) {
-        (Fault::Crossed, Some(before)) => respond(&before.dispatch, before.receipt),
-        _ => respond(&answered.dispatch, answered.receipt),
+    match (fault, previous) {
+        (Fault::Crossed, Some(previous)) => respond(&previous.dispatch, previous.receipt),
+        _ => respond(&answer.dispatch, answer.receipt),
     }
 }
 
 /// Kills the service, and never returns: not even a ready answer may follow.
-async fn die(shared: &Shared) {
-    shared.process.dead.cancel();
+async fn crash(shared: &Shared) {
+    shared.process.shutdown.cancel();
     std::future::pending().await
 }
 
 fn respond(dispatch: &str, receipt: Receipt) -> Response {
     let status = if receipt.granted { StatusCode::OK } else { StatusCode::CONFLICT };
     let mut response = (status, Json(receipt)).into_response();
-    headers::echo(&mut response, dispatch);
+    headers::echo_dispatch(&mut response, dispatch);
     response
 }
 
--- a/crates/standin/src/service/mod.rs
+++ b/crates/standin/src/service/mod.rs
@@ -41,8 +41,8 @@
             let shared = Arc::clone(&shared);
             move |sequence| announcement(&shared, address, sequence)
         };
-        let now = Arc::clone(&shared.announce);
-        tokio::spawn(announcer::run(announce, shared.process.clone(), now, source));
+        let wake = Arc::clone(&shared.announce_wake);
+        tokio::spawn(announcer::run(announce, shared.process.clone(), wake, source));
         Ok(Service { address, shared })
     }
 
@@ -63,19 +63,19 @@
 
     /// Kills the service: every connection drops and nothing more is announced.
     pub fn crash(&self) {
-        self.shared.process.dead.cancel();
+        self.shared.process.shutdown.cancel();
     }
 
     /// Tells whether the service has died.
     pub fn is_dead(&self) -> bool {
-        self.shared.process.dead.is_cancelled()
+        self.shared.process.shutdown.is_cancelled()
     }
 
     /// Announces that the service leaves, refuses new calls and returns once none runs.
     pub async fn leave(&self) {
         self.shared.lock().leaving = true;
-        self.shared.announce.notify_one();
-        self.shared.process.drained(|| self.shared.lock().running == 0).await;
+        self.shared.announce_wake.notify_one();
+        self.shared.process.wait_until_drained(|| self.shared.lock().running == 0).await;
     }
 
     /// Ends the service at once, without a farewell.
--- a/crates/standin/src/service/state.rs
+++ b/crates/standin/src/service/state.rs
@@ -47,7 +47,7 @@
 pub(super) struct Shared {
     pub(super) settings: ServiceSettings,
     pub(super) process: Process,
-    pub(super) announce: Arc<Notify>,
+    pub(super) announce_wake: Arc<Notify>,
     pub(super) slots: Semaphore,
     state: Mutex<State>,
 }
@@ -59,20 +59,20 @@
     pub(super) running: u32,
     pub(super) calls: u64,
     pub(super) refused: u64,
-    pub(super) latest: Option<Answered>,
+    pub(super) last_answer: Option<RecordedAnswer>,
     stock: u64,
-    keys: BTreeMap<CompactString, Effect>,
+    keys: BTreeMap<CompactString, KeyRecord>,
 }
 
 /// A call that took effect, as the next crossed answer would show it.
 #[derive(Clone)]
-pub(super) struct Answered {
+pub(super) struct RecordedAnswer {
     pub(super) dispatch: CompactString,
     pub(super) receipt: Receipt,
 }
 
 #[derive(Clone)]
-struct Effect {
+struct KeyRecord {
     stats: KeyStats,
     receipt: Receipt,
 }
@@ -96,13 +96,13 @@
             running: 0,
             calls: 0,
             refused: 0,
-            latest: None,
+            last_answer: None,
             stock: settings.stock,
             keys: BTreeMap::new(),
         };
         Arc::new(Shared {
             process: Process::new(),
-            announce: Arc::new(Notify::new()),
+            announce_wake: Arc::new(Notify::new()),
             slots: Semaphore::new(settings.slots as usize),
             state: Mutex::new(state),
             settings,
@@ -134,7 +134,7 @@
             run: 1,
             granted,
         };
-        let effect = self.keys.entry(key.into()).or_insert_with(|| Effect {
+        let record = self.keys.entry(key.into()).or_insert_with(|| KeyRecord {
             stats: KeyStats {
                 key: key.into(),
                 operation: operation.into(),
@@ -143,10 +143,10 @@
             },
             receipt: receipt.clone(),
         });
-        effect.stats.runs += 1;
-        effect.stats.dispatches.push(dispatch.into());
-        receipt.run = effect.stats.runs;
-        effect.receipt = receipt.clone();
+        record.stats.runs += 1;
+        record.stats.dispatches.push(dispatch.into());
+        receipt.run = record.stats.runs;
+        record.receipt = receipt.clone();
         receipt
     }
 
--- a/crates/standin/src/weights.rs
+++ b/crates/standin/src/weights.rs
@@ -46,12 +46,12 @@
 struct Shared {
     settings: WeightSettings,
     process: Process,
-    state: Mutex<Pace>,
+    state: Mutex<Throttle>,
 }
 
 /// When the next chunk may leave, and what was read so far.
-struct Pace {
-    next: Instant,
+struct Throttle {
+    next_send: Instant,
     reads: u64,
 }
 
@@ -63,7 +63,7 @@
     /// Fails when the address can't be listened on.
     pub async fn start(settings: WeightSettings) -> anyhow::Result<WeightStore> {
         let listen = settings.listen;
-        let state = Mutex::new(Pace { next: Instant::now(), reads: 0 });
+        let state = Mutex::new(Throttle { next_send: Instant::now(), reads: 0 });
         let shared = Arc::new(Shared { settings, process: Process::new(), state });
         let router = Router::new()
             .route("/v1/weights/{model}/{version}", get(read))
@@ -85,21 +85,21 @@
 
 impl Drop for WeightStore {
     fn drop(&mut self) {
-        self.shared.process.dead.cancel();
+        self.shared.process.shutdown.cancel();
     }
 }
 
 impl Shared {
-    fn lock(&self) -> std::sync::MutexGuard<'_, Pace> {
+    fn lock(&self) -> std::sync::MutexGuard<'_, Throttle> {
         self.state.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
     /// Takes the next place in the common pace and returns when it is due.
-    fn place(&self, bytes: u64) -> Instant {
+    fn reserve(&self, bytes: u64) -> Instant {
         let cost = Duration::from_secs_f64(bytes as f64 / self.settings.rate.max(1) as f64);
-        let mut pace = self.lock();
-        pace.next = pace.next.max(Instant::now()) + cost;
-        pace.next
+        let mut throttle = self.lock();
+        throttle.next_send = throttle.next_send.max(Instant::now()) + cost;
+        throttle.next_send
     }
 }
 
@@ -108,15 +108,15 @@
     Path((_model, _version)): Path<(CompactString, CompactString)>,
 ) -> Response {
     shared.lock().reads += 1;
-    let left = shared.settings.size;
-    let chunks = stream::unfold((shared, left), |(shared, left)| async move {
-        if left == 0 {
+    let remaining = shared.settings.size;
+    let chunks = stream::unfold((shared, remaining), |(shared, remaining)| async move {
+        if remaining == 0 {
             return None;
         }
-        let bytes = left.min(CHUNK_BYTES);
-        tokio::time::sleep_until(shared.place(bytes)).await;
+        let bytes = remaining.min(CHUNK_BYTES);
+        tokio::time::sleep_until(shared.reserve(bytes)).await;
         let chunk = Bytes::from(vec![0; bytes as usize]);
-        Some((Ok::<_, std::convert::Infallible>(chunk), (shared, left - bytes)))
+        Some((Ok::<_, std::convert::Infallible>(chunk), (shared, remaining - bytes)))
     });
     Body::from_stream(chunks).into_response()
 }
--- a/crates/standin/tests/load.rs
+++ b/crates/standin/tests/load.rs
@@ -16,7 +16,7 @@
     let engine = Engine::start(settings).await.unwrap();
     for stream in [true, false] {
         let report = load::run(LoadSettings {
-            bases: vec![format!("http://{}", engine.address()).into()],
+            base_urls: vec![format!("http://{}", engine.address()).into()],
             programs: 6,
             arrivals: Arrivals::Closed(3),
             turns: 2,
@@ -83,7 +83,7 @@
         EngineSettings { announce, reports, decode_rate: 100_000, ..EngineSettings::default() };
     let engine = Engine::start(settings).await.unwrap();
     let load = LoadSettings {
-        bases: vec![format!("http://{}", engine.address()).into()],
+        base_urls: vec![format!("http://{}", engine.address()).into()],
         programs: 5,
         arrivals: Arrivals::Closed(1),
         turns: 1,
