--- a/crates/standin/src/announcer.rs
+++ b/crates/standin/src/announcer.rs
@@ -1,4 +1,4 @@
-//! Repeats announcements to the entries in turn.
+//! Sends an endpoint's announcements at regular intervals.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,12 +12,12 @@
 use crate::client::{self, HttpClient};
 use crate::process::Process;
 
-/// Longest wait for an entry to take an announcement.
+/// Timeout of one announcement to one entry.
 const SEND_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Sends what `source` returns every third of the lease, and at once when `now` is notified.
+/// Sends an announcement every third of the lease, and at once when `wake` is notified.
 ///
-/// `source` is called with the sequence number.
+/// `source` builds the announcement with the given sequence number.
 pub(crate) async fn run(
     settings: AnnounceSettings,
     process: Process,
@@ -45,7 +45,7 @@
     }
 }
 
-/// Tries the entries in turn, starting at another one each time, until one accepts.
+/// Tries the entries in order from index `start` until one accepts the announcement.
 async fn send(client: &HttpClient, settings: &AnnounceSettings, start: usize, body: Bytes) {
     let count = settings.entries.len();
     for offset in 0..count {
--- a/crates/standin/src/bin/gypsumglade-standin.rs
+++ b/crates/standin/src/bin/gypsumglade-standin.rs
@@ -1,4 +1,4 @@
-//! The stand-ins as processes of their own, for scripts.
+//! Command line tool that runs the stand-ins as separate processes.
 
 use std::net::SocketAddr;
 
@@ -11,7 +11,7 @@
 use gypsumglade_standin::service::{Service, ServiceSettings};
 use gypsumglade_standin::weights::{WeightSettings, WeightStore};
 
-/// Stand-ins for the systems outside gypsumglade.
+/// Stand-ins for the systems that gypsumglade works with.
 #[derive(Parser)]
 #[command(version)]
 struct Command {
@@ -21,17 +21,17 @@
 
 #[derive(Subcommand)]
 enum Verb {
-    /// Run a model engine until interrupted; a second interrupt kills it at once.
+    /// Run a model engine until interrupted; a second interrupt stops it at once.
     Engine(EngineArgs),
-    /// Run a plain service until interrupted; a second interrupt kills it at once.
+    /// Run a plain service until interrupted; a second interrupt stops it at once.
     Service(ServiceArgs),
     /// Run a weight store until interrupted.
     Weights(WeightArgs),
-    /// Run programs against the system and print what callers saw as JSON.
+    /// Run programs against the system and print the measurements as JSON.
     Load(LoadArgs),
 }
 
-/// Where an endpoint stands and announces itself.
+/// Arguments that the engine and the service share.
 #[derive(Args)]
 struct EndpointArgs {
     /// Instance name.
@@ -40,10 +40,10 @@
     /// Address to listen on.
     #[arg(long, default_value = "127.0.0.1:0")]
     listen: SocketAddr,
-    /// Base URL of an entry's listener for endpoints; give it again for more of them.
+    /// Base URL of an entry's listener for endpoints; repeat it for more entries.
     #[arg(long = "entry")]
     entries: Vec<CompactString>,
-    /// The deployment's token for endpoints.
+    /// Token with which endpoints of the deployment authenticate.
     #[arg(long, default_value = "")]
     token: CompactString,
     /// Failure domain.
@@ -55,7 +55,7 @@
     /// Length of the announced lease in milliseconds.
     #[arg(long, default_value_t = 3_000)]
     lease_ms: u64,
-    /// Calls that run at one time.
+    /// Maximum number of calls that run at the same time.
     #[arg(long, default_value_t = 8)]
     slots: u32,
 }
@@ -74,22 +74,22 @@
 struct EngineArgs {
     #[command(flatten)]
     place: EndpointArgs,
-    /// Loaded model as MODEL@VERSION; give it again for more of them.
+    /// Loaded model as MODEL@VERSION; repeat it for more models.
     #[arg(long = "model", default_value = "advisor@1")]
     models: Vec<String>,
-    /// Prompt tokens filled a second, each slot.
+    /// Prompt tokens processed per second in each slot.
     #[arg(long, default_value_t = 20_000)]
     prefill_rate: u64,
-    /// Tokens generated a second, each slot.
+    /// Tokens generated per second in each slot.
     #[arg(long, default_value_t = 500)]
     decode_rate: u64,
     /// Size of the prefix cache in tokens.
     #[arg(long, default_value_t = 100_000)]
     cache_tokens: u64,
-    /// Tokens of an answer, unless the caller allows fewer.
+    /// Tokens in an answer, unless the caller's limit is lower.
     #[arg(long, default_value_t = 16)]
     answer_tokens: u64,
-    /// Carry out orders whatever their fencing number.
+    /// Accept orders with a stale fencing number.
     #[arg(long)]
     no_fencing: bool,
     /// Base URL of a weight store.
@@ -104,7 +104,7 @@
     /// Service that this is an instance of.
     #[arg(long, default_value = "booking")]
     service: CompactString,
-    /// Milliseconds that an operation takes.
+    /// Duration of an operation in milliseconds.
     #[arg(long, default_value_t = 5)]
     work_ms: u64,
 }
@@ -114,7 +114,7 @@
     /// Address to listen on.
     #[arg(long, default_value = "127.0.0.1:0")]
     listen: SocketAddr,
-    /// Bytes a second, shared by all readers.
+    /// Transfer rate in bytes per second, shared by all readers.
     #[arg(long, default_value_t = 64 << 20)]
     rate: u64,
     /// Size of each model version in bytes.
@@ -124,7 +124,7 @@
 
 #[derive(Args)]
 struct LoadArgs {
-    /// Base URL of a callers' listener; give it again for more of them.
+    /// Base URL of a listener for callers; repeat it for more listeners.
     #[arg(long = "base", required = true)]
     bases: Vec<CompactString>,
     /// API key of the organisation.
@@ -133,34 +133,34 @@
     /// Agent program of the bundle.
     #[arg(long, default_value = "")]
     agent: CompactString,
-    /// Model asked for.
+    /// Requested model.
     #[arg(long, default_value = "advisor")]
     model: CompactString,
-    /// Programs to run in all.
+    /// Total number of programs.
     #[arg(long, default_value_t = 100)]
     programs: u64,
-    /// Programs at one time, unless `--rate` is given.
+    /// Programs that run at the same time, unless `--rate` is given.
     #[arg(long, default_value_t = 8)]
     width: usize,
-    /// Programs begun a second, whether or not earlier ones have ended.
+    /// Programs started per second, whether or not earlier ones have ended.
     #[arg(long)]
     rate: Option<f64>,
-    /// Model calls of each program.
+    /// Model calls in each program.
     #[arg(long, default_value_t = 4)]
     turns: u64,
-    /// Words of each user message.
+    /// Words in each user message.
     #[arg(long, default_value_t = 40)]
     words: u64,
-    /// Most tokens of each answer.
+    /// Maximum tokens in each answer.
     #[arg(long, default_value_t = 64)]
     output: u64,
-    /// Ask for whole answers in place of streams.
+    /// Ask for whole answers instead of streams.
     #[arg(long)]
     whole: bool,
-    /// Tool call after each turn as SERVICE/OPERATION.
+    /// Tool to call after each model call, as SERVICE/OPERATION.
     #[arg(long, default_value = "")]
     tool: CompactString,
-    /// Prefix of program names; a second run needs another one.
+    /// Prefix of program names; use a new one for each run.
     #[arg(long, default_value = "load")]
     prefix: CompactString,
 }
@@ -249,7 +249,7 @@
     Ok(())
 }
 
-/// Returns at the first interrupt or termination.
+/// Waits for SIGINT or SIGTERM.
 async fn interrupt() -> anyhow::Result<()> {
     let mut terminate = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())?;
     tokio::select! {
--- a/crates/standin/src/client.rs
+++ b/crates/standin/src/client.rs
@@ -1,4 +1,4 @@
-//! The HTTP client of announcements, weights and load.
+//! HTTP client for announcements, model weights and load.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -6,10 +6,10 @@
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt::TokioExecutor;
 
-/// A pooled client for plain HTTP.
+/// Client for unencrypted HTTP with a connection pool.
 pub(crate) type HttpClient = Client<HttpConnector, Full<Bytes>>;
 
-/// Creates the client.
+/// Creates a client that sends small writes at once.
 pub(crate) fn new() -> HttpClient {
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
--- a/crates/standin/src/engine/cache.rs
+++ b/crates/standin/src/engine/cache.rs
@@ -1,4 +1,4 @@
-//! Prefix cache: one prefix for each program, the least recently used given up first.
+//! Prefix cache with one prefix per program and least-recently-used eviction.
 
 use std::collections::BTreeMap;
 
@@ -6,14 +6,14 @@
 
 use crate::announce::ModelVersion;
 
-/// One message of a prompt, as far as the cache tells messages apart.
+/// Hash and token count of one message of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Part {
     pub(super) hash: u64,
     pub(super) tokens: u64,
 }
 
-/// A program's prefix.
+/// Cached prefix of a program.
 #[derive(Clone, Debug)]
 pub(super) struct Entry {
     pub(super) model: ModelVersion,
@@ -27,7 +27,7 @@
     }
 }
 
-/// A change of the cache, numbered only once it is reported.
+/// A change of the cache, which becomes a [`CacheEvent`](crate::announce::CacheEvent).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Change {
     pub(super) program: CompactString,
@@ -35,7 +35,7 @@
     pub(super) evicted: bool,
 }
 
-/// Prefixes of programs within a limit of tokens.
+/// Cached prefixes by program, limited to `capacity` tokens in total.
 pub(super) struct PrefixCache {
     capacity: u64,
     held_tokens: u64,
@@ -48,7 +48,8 @@
         PrefixCache { capacity, held_tokens: 0, clock: 0, entries: BTreeMap::new() }
     }
 
-    /// Returns how many tokens of `parts` the program's prefix covers.
+    /// Returns how many leading tokens of `parts` are cached for the program, and marks its entry
+    /// as used.
     pub(super) fn matched_tokens(
         &mut self,
         program: &str,
@@ -67,7 +68,9 @@
         equal.map(|(part, _)| part.tokens).sum()
     }
 
-    /// Replaces the program's prefix, and returns what changed, evictions included.
+    /// Replaces the program's prefix and returns the changes, including evictions of others.
+    ///
+    /// A prefix larger than the whole cache is not stored and counts as evicted.
     pub(super) fn store(
         &mut self,
         program: &str,
@@ -95,7 +98,7 @@
         changes
     }
 
-    /// Frees a program's memory and returns how many tokens it held.
+    /// Removes a program and returns how many tokens it had.
     pub(super) fn remove(&mut self, program: &str) -> u64 {
         let Some(entry) = self.entries.remove(program) else {
             return 0;
@@ -105,7 +108,7 @@
         tokens
     }
 
-    /// Frees the memory of every program on a model, and returns the changes.
+    /// Removes all programs that use a model, and returns the changes.
     pub(super) fn remove_model(&mut self, model: &ModelVersion) -> Vec<Change> {
         let on_model = self.entries.iter().filter(|(_, e)| e.model == *model);
         let programs: Vec<CompactString> = on_model.map(|(p, _)| p.clone()).collect();
--- a/crates/standin/src/engine/chat.rs
+++ b/crates/standin/src/engine/chat.rs
@@ -1,4 +1,4 @@
-//! The published chat shape, and the deterministic answer to it.
+//! Types of the chat completions API, and the deterministic answers.
 
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
@@ -7,17 +7,17 @@
 
 use super::cache::Part;
 
-/// One message as far as the engine reads it.
+/// One message of a chat request.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Message {
-    /// Who speaks.
+    /// Author of the message, such as `user` or `assistant`.
     pub role: CompactString,
-    /// Text, or a list of parts, or nothing when the message is a tool call.
+    /// Text, a list of content parts, or null for a tool call.
     #[serde(default)]
     pub content: Value,
 }
 
-/// A request as far as the engine reads it; the names of other fields are kept for the statistics.
+/// A chat request. The names of fields that the engine doesn't use are kept for the statistics.
 #[derive(Clone, Debug, Deserialize)]
 pub(super) struct ChatRequest {
     pub(super) model: CompactString,
@@ -41,7 +41,7 @@
 }
 
 impl ChatRequest {
-    /// Returns the most tokens that the caller lets the engine generate.
+    /// Returns the maximum number of tokens in the answer.
     pub(super) fn token_limit(&self) -> u64 {
         self.max_completion_tokens.or(self.max_tokens).unwrap_or(u64::MAX)
     }
@@ -55,24 +55,26 @@
     }
 }
 
-/// Returns how many tokens the stand-in counts in a text: its words, and at least one.
+/// Returns the number of tokens in a text, which is its number of words but at least one.
 pub fn count_tokens(text: &str) -> u64 {
     (text.split_whitespace().count() as u64).max(1)
 }
 
-/// Returns the answer's tokens to these messages, the same on every engine and in every run.
+/// Returns the first `count` tokens of the answer to these messages.
+///
+/// The answer depends only on the messages, so that every engine gives the same one.
 pub fn answer_tokens(messages: &[Message], count: u64) -> Vec<CompactString> {
     let seed = messages.iter().fold(0, |seed, m| xxh3_64_with_seed(hash_input(m).as_bytes(), seed));
     let word = |i: u64| xxh3_64_with_seed(&i.to_le_bytes(), seed) & 0xffff;
     (0..count).map(|i| compact_str::format_compact!("w{:04x}", word(i))).collect()
 }
 
-/// Returns the answer to these messages as one text.
+/// Returns the tokens of [`answer_tokens`] as one text.
 pub fn answer_text(messages: &[Message], count: u64) -> String {
     answer_tokens(messages, count).join(" ")
 }
 
-/// Returns the part that an answer becomes once it stands in the history.
+/// Returns the part for an answer that is sent as a message of the next prompt.
 pub(super) fn answer_part(answer: &str) -> Part {
     part(&Message { role: "assistant".into(), content: Value::from(answer) })
 }
@@ -94,7 +96,7 @@
     }
 }
 
-/// Token counts of one answer.
+/// Token counts of a call.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub(super) struct Usage {
     pub(super) prompt_tokens: u64,
@@ -108,7 +110,7 @@
     pub(super) cached_tokens: u64,
 }
 
-/// A whole answer.
+/// An answer that is not streamed.
 #[derive(Serialize)]
 pub(super) struct Completion {
     pub(super) id: CompactString,
--- a/crates/standin/src/engine/http.rs
+++ b/crates/standin/src/engine/http.rs
@@ -1,4 +1,4 @@
-//! The engine's HTTP interface.
+//! HTTP interface of the engine.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -28,9 +28,9 @@
 use crate::announce::{Load, ModelVersion};
 use crate::headers::{self, Refusal};
 
-/// Marker in a message that makes the engine die with the call in flight.
+/// Text in a message that makes the engine crash while the call is in flight.
 pub const CRASH_MARKER: &str = "#crash-engine";
-/// Largest request body, in bytes; an imported KV cache is the largest.
+/// Largest accepted request body, in bytes, which leaves room for an imported KV cache.
 const MAX_BODY_BYTES: usize = 256 << 20;
 
 pub(super) fn router(shared: Arc<Shared>) -> Router {
@@ -81,14 +81,14 @@
 fn resume_run(shared: &Shared, dispatch: &str) -> Result<Reader, Refusal> {
     let mut state = shared.lock();
     let Some(run) = state.runs.get(dispatch).map(Arc::clone) else {
-        let message = "no such dispatch to resume";
+        let message = "the dispatch is unknown or can no longer be resumed";
         return Err(Refusal::new(StatusCode::NOT_FOUND, "dispatch_not_found", message));
     };
     state.counts.resumed += 1;
     Ok(Reader::new(run))
 }
 
-/// Takes a slot and starts the generation, or refuses before anything started.
+/// Waits for a slot and starts the generation, or refuses the call without starting anything.
 async fn start(
     shared: &Arc<Shared>,
     head: &HeaderMap,
@@ -101,7 +101,7 @@
     let Some(slot) = shared.slots.acquire(priority).await else {
         return Err(refuse(shared, "full", "the queue is full"));
     };
-    // The wait may have been long: what was true on arrival is checked again.
+    // The engine may have started to leave, or unloaded the model, during the wait.
     let model = admit(shared, request, version)?;
     let program = headers::text(head, headers::PROGRAM).unwrap_or_default();
     let run = Arc::new(prepare(shared, dispatch, program, request, model));
@@ -179,7 +179,7 @@
 
 async fn whole_response(reader: Reader, model: CompactString) -> Response {
     let mut progress = reader.run.progress.subscribe();
-    // The run holds the sender, so the wait can't fail.
+    // The wait can't fail, since the run owns the sender.
     let _ = progress.wait_for(|p| p.state != RunState::Running).await;
     let last = *progress.borrow();
     if last.state == RunState::Cancelled {
@@ -200,7 +200,7 @@
     .into_response()
 }
 
-/// Where a reader stands in a stream.
+/// Next event of a stream.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Stage {
     Role,
@@ -220,7 +220,7 @@
     include_usage: bool,
 }
 
-/// Streams the answer from token `skipped` on.
+/// Streams the answer without its first `skipped` tokens.
 fn events(
     reader: Reader,
     model: CompactString,
@@ -260,10 +260,10 @@
         }
     }
 
-    /// Waits for the next token; a cancelled run ends the stream without its closing events.
+    /// Waits for the next token. If the run is cancelled, the stream ends without the final events.
     async fn tokens(&mut self, from: usize) -> Option<Event> {
         let next = |p: &Progress| p.emitted > from || p.state != RunState::Running;
-        // The run holds the sender, so the wait can't fail.
+        // The wait can't fail, since the run owns the sender.
         let _ = self.progress.wait_for(next).await;
         let Progress { emitted, state } = *self.progress.borrow();
         if emitted > from {
--- a/crates/standin/src/engine/kv.rs
+++ b/crates/standin/src/engine/kv.rs
@@ -1,4 +1,4 @@
-//! Export and import of a program's KV cache, with sizes scaled down.
+//! Export and import of a program's KV cache, with fewer bytes per token than a real engine.
 
 use std::sync::Arc;
 
@@ -14,14 +14,14 @@
 use crate::announce::ModelVersion;
 use crate::headers::{self, Refusal};
 
-/// The head of an export; padding follows, so that the size is that of the tokens.
+/// First line of an export. Padding follows, so that the size grows with the number of tokens.
 #[derive(Serialize, Deserialize)]
 struct ExportHeader {
     model: ModelVersion,
     parts: Vec<(u64, u64)>,
 }
 
-/// Ends the head of an export.
+/// Terminates the header of an export.
 const HEADER_END: u8 = b'\n';
 
 pub(super) async fn export(
@@ -30,8 +30,12 @@
 ) -> Response {
     let entry = shared.lock().cache.get(&program).cloned();
     let Some(entry) = entry else {
-        return Refusal::new(StatusCode::NOT_FOUND, "no_memory", "the program holds no memory")
-            .into_response();
+        return Refusal::new(
+            StatusCode::NOT_FOUND,
+            "no_memory",
+            "the program has no KV cache here",
+        )
+        .into_response();
     };
     let parts = entry.parts.iter().map(|p| (p.hash, p.tokens)).collect();
     let header = ExportHeader { model: entry.model.clone(), parts };
@@ -52,12 +56,16 @@
 ) -> Response {
     let end = body.iter().position(|b| *b == HEADER_END).unwrap_or(body.len());
     let Ok(header) = serde_json::from_slice::<ExportHeader>(&body[..end]) else {
-        return Refusal::new(StatusCode::BAD_REQUEST, "bad_export", "not an exported KV cache")
-            .into_response();
+        return Refusal::new(
+            StatusCode::BAD_REQUEST,
+            "bad_export",
+            "the body is not an exported KV cache",
+        )
+        .into_response();
     };
     let mut state = shared.lock();
     if !state.models.contains(&header.model) {
-        let message = "the model of the export is not loaded";
+        let message = "the model of the export is not loaded here";
         return Refusal::new(StatusCode::CONFLICT, "model_not_loaded", message).into_response();
     }
     let parts = header.parts.into_iter().map(|(hash, tokens)| Part { hash, tokens }).collect();
--- a/crates/standin/src/engine/mod.rs
+++ b/crates/standin/src/engine/mod.rs
@@ -1,4 +1,5 @@
-//! Stand-in model engine: batching in slots, prefix cache, streams, orders, announcements.
+//! Stand-in model engine with a running batch, a prefix cache, streamed answers, orders to load
+//! models, and announcements.
 
 mod cache;
 mod chat;
@@ -27,18 +28,18 @@
 use crate::announcer;
 use crate::process::millis_now;
 
-/// A running engine; it dies when the handle is dropped.
+/// A running engine, which stops when the handle is dropped.
 pub struct Engine {
     address: SocketAddr,
     shared: Arc<Shared>,
 }
 
 impl Engine {
-    /// Starts an engine, which listens and announces itself.
+    /// Starts an engine, which listens on the configured address and announces itself.
     ///
     /// # Errors
     ///
-    /// Fails when the address can't be listened on.
+    /// Fails if the address can't be bound.
     pub async fn start(mut settings: EngineSettings) -> anyhow::Result<Engine> {
         if settings.incarnation == 0 {
             settings.incarnation = millis_now();
@@ -56,41 +57,42 @@
         Ok(Engine { address, shared })
     }
 
-    /// Returns where the engine listens.
+    /// Returns the address that the engine listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Returns what really ran and who holds memory.
+    /// Returns the engine's record of dispatches, and the programs in its prefix cache.
     pub fn stats(&self) -> EngineStats {
         self.shared.stats()
     }
 
-    /// Stops all progress, announcements included, or lets it go on, as a paused process would.
+    /// Stops (`true`) or resumes (`false`) all progress, announcements included, like a process
+    /// under SIGSTOP.
     pub fn freeze(&self, on: bool) {
         self.shared.process.freeze(on);
     }
 
-    /// Kills the engine: every connection drops and nothing more is announced.
+    /// Stops the engine abruptly: all connections are dropped and announcements stop.
     pub fn crash(&self) {
         self.shared.process.shutdown.cancel();
     }
 
-    /// Tells whether the engine has died.
+    /// Tells whether the engine has crashed or was stopped.
     pub fn is_dead(&self) -> bool {
         self.shared.process.shutdown.is_cancelled()
     }
 
-    /// Announces that the engine leaves, refuses new calls and returns once none runs.
+    /// Announces that the engine is leaving, refuses new calls and waits for those in flight.
     ///
-    /// It goes on announcing so until it is stopped.
+    /// Announcements continue until the engine is stopped.
     pub async fn leave(&self) {
         self.shared.lock().leaving = true;
         self.shared.announce_wake.notify_one();
         self.shared.process.wait_until_drained(|| self.shared.is_idle()).await;
     }
 
-    /// Ends the engine at once, without a farewell.
+    /// Stops the engine at once, without announcing that it leaves.
     pub fn stop(self) {
         self.crash();
     }
--- a/crates/standin/src/engine/orders.rs
+++ b/crates/standin/src/engine/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to load and unload models, with or without fencing.
+//! Orders to load and unload models, optionally with fencing.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -16,26 +16,26 @@
 use crate::client;
 use crate::headers::Refusal;
 
-/// What an order asks for.
+/// Action of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Action {
-    /// Load a model; the answer comes when it is loaded.
+    /// Loads a model. The answer is sent once it is loaded.
     Load,
-    /// Unload a model; running calls finish.
+    /// Unloads a model. Running calls still finish.
     Unload,
 }
 
-/// One order.
+/// Request to load or unload a model.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Order {
-    /// Fencing number of the holder that gives the order.
+    /// Fencing number of the order lease under which the order is given.
     pub fence: u64,
-    /// What is asked.
+    /// Whether to load or unload the model.
     pub action: Action,
-    /// The model.
+    /// Name of the model.
     pub model: CompactString,
-    /// Its version.
+    /// Version of the model.
     pub version: CompactString,
 }
 
@@ -50,7 +50,7 @@
     }
 }
 
-/// Refuses an order of an earlier holder, if the engine checks that.
+/// Refuses an order whose fencing number is lower than an earlier one, if fencing is enabled.
 fn check_fence(shared: &Shared, order: &Order) -> Result<(), Refusal> {
     let mut state = shared.lock();
     if shared.settings.fencing && order.fence < state.highest_fence {
@@ -71,7 +71,7 @@
             return StatusCode::NO_CONTENT.into_response();
         }
         if state.models.len() >= shared.settings.model_slots {
-            let message = "unload another model first";
+            let message = "no free model slot; unload another model first";
             return Refusal::new(StatusCode::CONFLICT, "no_model_slot", message).into_response();
         }
     }
@@ -95,7 +95,11 @@
 async fn read_weights(store: &str, model: &ModelVersion) -> anyhow::Result<()> {
     let uri = format!("{store}/v1/weights/{}/{}", model.model, model.version);
     let mut response = client::new().get(uri.parse()?).await?;
-    anyhow::ensure!(response.status().is_success(), "the store answered {}", response.status());
+    anyhow::ensure!(
+        response.status().is_success(),
+        "the weight store answered {}",
+        response.status()
+    );
     while let Some(frame) = response.body_mut().frame().await {
         frame?;
     }
--- a/crates/standin/src/engine/reports.rs
+++ b/crates/standin/src/engine/reports.rs
@@ -1,4 +1,4 @@
-//! Reports that lag, come late and have gaps.
+//! Delayed and incomplete reports of load and cache events, like those of real engines.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -7,10 +7,10 @@
 use super::settings::ReportSettings;
 use crate::announce::{CacheEvent, Load};
 
-/// Most cache events held for the next announcement; older ones are lost, as in a real engine.
+/// Maximum number of cache events that wait for an announcement. Older ones are dropped.
 const MAX_PENDING_EVENTS: usize = 4_096;
 
-/// Load and cache events on their way out.
+/// Load samples and cache events that are not reported yet.
 pub(super) struct Reports {
     settings: ReportSettings,
     loads: VecDeque<(Instant, Load)>,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Takes what is true now, and returns what was true one lag ago.
+    /// Records the current load and returns the latest sample that is as old as the configured lag.
     pub(super) fn load(&mut self, now: Instant, load: Load) -> Load {
         if self.settings.load_lag_ms == 0 {
             return load;
@@ -48,7 +48,7 @@
         Load { age_ms: u64::try_from(age.as_millis()).unwrap_or(u64::MAX), ..load }
     }
 
-    /// Numbers changes and holds them back, but for those that fall into a gap.
+    /// Numbers the changes and queues them as events, except those that are dropped on purpose.
     pub(super) fn add(&mut self, now: Instant, changes: Vec<Change>) {
         for Change { program, tokens, evicted } in changes {
             self.sequence += 1;
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Returns the events that are old enough to be told.
+    /// Removes and returns the events whose delay has passed.
     pub(super) fn take_due(&mut self, now: Instant) -> Vec<CacheEvent> {
         let delay = Duration::from_millis(self.settings.event_delay_ms);
         let held = self.pending_events.iter();
--- a/crates/standin/src/engine/run.rs
+++ b/crates/standin/src/engine/run.rs
@@ -1,4 +1,4 @@
-//! One generation: prefill, then token after token, whoever reads.
+//! Generation of one answer: prefill, then decoding, independent of its readers.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -16,12 +16,12 @@
 use super::stats::RunState;
 use crate::announce::ModelVersion;
 
-/// Shortest sleep; the runtime's timer has millisecond steps, so shorter ones are saved up.
+/// Resolution of the runtime's timer. Shorter waits are skipped, and a later one makes up for them.
 const TIMER_STEP: Duration = Duration::from_millis(1);
-/// Time from the start of a marked call to the engine's death.
+/// Time from the start of a call with the crash marker to the crash.
 const CRASH_DELAY: Duration = Duration::from_millis(5);
 
-/// A generation under way, or lately ended.
+/// A generation that runs, or has ended and can still be resumed by a reader.
 pub(super) struct Run {
     pub(super) dispatch: CompactString,
     pub(super) program: CompactString,
@@ -29,7 +29,7 @@
     pub(super) parts: Vec<Part>,
     pub(super) tokens: Vec<CompactString>,
     pub(super) cached_tokens: u64,
-    /// Whether the caller's limit cut the answer short.
+    /// Whether the caller's token limit shortens the answer.
     pub(super) truncated: bool,
     pub(super) crash: bool,
     pub(super) cancel: CancellationToken,
@@ -37,7 +37,7 @@
     pub(super) readers: AtomicUsize,
 }
 
-/// How far a generation is.
+/// Progress of a generation.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Progress {
     pub(super) emitted: usize,
@@ -61,7 +61,8 @@
     }
 }
 
-/// Keeps a run alive while somebody reads it.
+/// Counts as a reader of a run until it is dropped. A run without readers is cancelled after a
+/// while.
 pub(super) struct Reader {
     pub(super) run: Arc<Run>,
 }
@@ -79,7 +80,7 @@
     }
 }
 
-/// Generates to the end, and frees the slot.
+/// Runs a generation, frees its slot and forgets the run once it can't be resumed any more.
 pub(super) async fn generate(shared: Arc<Shared>, run: Arc<Run>, slot: Slot) {
     let state = tokio::select! {
         state = produce(&shared, &run) => state,
@@ -100,7 +101,7 @@
     if run.crash {
         tokio::time::sleep(CRASH_DELAY).await;
         shared.process.shutdown.cancel();
-        // Not even an error may still reach the caller.
+        // Never returns, so that the caller doesn't get an error answer either.
         std::future::pending().await
     }
     let prompt: u64 = run.parts.iter().map(|p| p.tokens).sum();
@@ -124,7 +125,7 @@
     RunState::Finished
 }
 
-/// Tells whether nobody has read the run for as long as it may be resumed.
+/// Tells whether the run has had no reader for longer than it can be resumed.
 fn abandoned(shared: &Shared, run: &Run, unread_since: &mut Option<Instant>) -> bool {
     if run.readers.load(Ordering::Relaxed) > 0 {
         *unread_since = None;
@@ -138,7 +139,9 @@
     Duration::from_secs_f64(tokens as f64 / rate.max(1) as f64)
 }
 
-/// Files the prefix and counts, before readers learn of the end.
+/// Updates the prefix cache and the statistics, then notifies the readers.
+///
+/// In this order, statistics that are read after an answer include it.
 fn finish(shared: &Shared, run: &Run, state: RunState) {
     let emitted = run.progress.borrow().emitted;
     {
--- a/crates/standin/src/engine/settings.rs
+++ b/crates/standin/src/engine/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a stand-in engine.
+//! Configuration of the stand-in engine.
 
 use std::net::SocketAddr;
 
@@ -6,59 +6,60 @@
 
 use crate::announce::{AnnounceSettings, ModelVersion};
 
-/// How the engine behaves.
+/// Settings of a stand-in engine.
 #[derive(Clone, Debug)]
 pub struct EngineSettings {
     /// Instance name.
     pub name: CompactString,
-    /// Grows with each start; the milliseconds since 1970 when zero.
+    /// Number that grows with each start. Zero selects the Unix time in milliseconds.
     pub incarnation: u64,
-    /// Where it listens; port zero takes a free one.
+    /// Address to listen on. Port zero selects a free port.
     pub listen: SocketAddr,
     /// Failure domain that it announces.
     pub domain: CompactString,
     /// Region that it announces.
     pub region: CompactString,
-    /// Models loaded from the start.
+    /// Models that are loaded at the start.
     pub models: Vec<ModelVersion>,
-    /// Most models loaded at one time.
+    /// Maximum number of models that are loaded at the same time.
     pub model_slots: usize,
-    /// Calls that run at one time.
+    /// Maximum number of calls that run at the same time.
     pub slots: u32,
-    /// Calls that wait for a slot before the engine refuses.
+    /// Maximum number of calls that wait for a slot. Further calls are refused.
     pub queue: usize,
-    /// Prompt tokens filled a second, each slot.
+    /// Prompt tokens processed per second in each slot.
     pub prefill_rate: u64,
-    /// Tokens generated a second, each slot.
+    /// Tokens generated per second in each slot.
     pub decode_rate: u64,
     /// Size of the prefix cache in tokens.
     pub cache_tokens: u64,
-    /// Tokens of an answer, unless the caller allows fewer.
+    /// Number of tokens in an answer, unless the caller's limit is lower.
     pub answer_tokens: u64,
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether it refuses orders with a stale fencing number.
     pub fencing: bool,
-    /// Milliseconds that loading a model takes, besides reading its weights.
+    /// Time to load a model in milliseconds, in addition to reading its weights.
     pub load_ms: u64,
-    /// Base URL of the weight store; none to load without it.
+    /// Base URL of the weight store. Without it, no weights are read.
     pub weights: Option<CompactString>,
-    /// Bytes of exported KV cache a token; far smaller than a real engine's.
+    /// Bytes per token of an exported KV cache, far fewer than in a real engine.
     pub kv_bytes: usize,
-    /// Milliseconds that a generation outlives its last reader, so that it can be resumed.
+    /// Time in milliseconds in which a generation that has lost its readers, or has ended, can be
+    /// resumed.
     pub resume_ms: u64,
-    /// Faults of its reports.
+    /// Delays and gaps of its reports.
     pub reports: ReportSettings,
-    /// Where it announces itself.
+    /// Where and how often it announces itself.
     pub announce: AnnounceSettings,
 }
 
-/// How late and how incomplete the engine's reports are.
+/// Delays and gaps of an engine's reports.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ReportSettings {
-    /// Age of reported load in milliseconds.
+    /// Minimum age of reported load in milliseconds.
     pub load_lag_ms: u64,
-    /// Age at which a cache event is first told, in milliseconds.
+    /// Delay of cache events in milliseconds.
     pub event_delay_ms: u64,
-    /// Every so many cache events one is never told; zero for none.
+    /// Every how many cache events one is dropped. Zero drops none.
     pub event_gap: u64,
 }
 
--- a/crates/standin/src/engine/slots.rs
+++ b/crates/standin/src/engine/slots.rs
@@ -1,4 +1,4 @@
-//! Slots of the running batch, with a bounded queue in order of priority.
+//! Slots of the running batch, with a bounded priority queue.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -6,7 +6,7 @@
 
 use tokio::sync::oneshot;
 
-/// The batch's slots.
+/// Slots of the running batch and the calls that wait for one.
 pub(super) struct Slots {
     state: Mutex<State>,
 }
@@ -19,10 +19,10 @@
     waiting: BTreeMap<QueueKey, oneshot::Sender<Slot>>,
 }
 
-/// Larger priority first, then earlier arrival.
+/// Sorts by descending priority, then by arrival.
 type QueueKey = (Reverse<i64>, u64);
 
-/// One slot, given back when dropped.
+/// An occupied slot, which passes to the next waiting call when dropped.
 pub(super) struct Slot {
     slots: Arc<Slots>,
 }
@@ -33,7 +33,7 @@
         Arc::new(Slots { state: Mutex::new(state) })
     }
 
-    /// Waits for a slot; `None` when the queue is full.
+    /// Waits for a slot. Returns `None` if the queue is full.
     pub(super) async fn acquire(self: &Arc<Slots>, priority: i64) -> Option<Slot> {
         let receiver = {
             let mut state = self.lock();
@@ -54,7 +54,7 @@
         receiver.await.ok()
     }
 
-    /// Returns how many run and how many wait.
+    /// Returns the numbers of running and of waiting calls.
     pub(super) fn counts(&self) -> (u32, u32) {
         let state = self.lock();
         let waiting = state.waiting.values().filter(|s| !s.is_closed()).count();
@@ -81,7 +81,7 @@
             next
         };
         if let Some((_, sender)) = next {
-            // A waiter that hung up hands the slot back, and its drop serves the next one.
+            // If the waiting call was dropped, `send` returns the slot, whose drop serves the next.
             let _ = sender.send(self.slots.slot());
         }
     }
--- a/crates/standin/src/engine/state.rs
+++ b/crates/standin/src/engine/state.rs
@@ -1,4 +1,4 @@
-//! State that the engine's handlers share.
+//! State of the engine.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -18,7 +18,7 @@
 use crate::announce::{Load, ModelVersion};
 use crate::process::Process;
 
-/// The engine behind its handlers.
+/// State shared by the engine's handlers and generations.
 pub(super) struct Shared {
     pub(super) settings: EngineSettings,
     pub(super) process: Process,
@@ -28,7 +28,7 @@
     state: Mutex<State>,
 }
 
-/// What changes while the engine runs.
+/// Mutable state of the engine.
 pub(super) struct State {
     pub(super) models: Vec<ModelVersion>,
     pub(super) leaving: bool,
@@ -66,19 +66,19 @@
         self.state.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// Tells whether no call runs or waits and every answer was read.
+    /// Tells whether no call runs or waits and no answer is being read.
     pub(super) fn is_idle(&self) -> bool {
         let read = |run: &Arc<Run>| run.readers.load(Ordering::Relaxed) == 0;
         self.slots.counts() == (0, 0) && self.lock().runs.values().all(read)
     }
 
-    /// Returns an id for a call that brought none.
+    /// Returns a new id for a call without a dispatch id.
     pub(super) fn local_id(&self) -> CompactString {
         let id = self.next_id.fetch_add(1, Ordering::Relaxed);
         compact_str::format_compact!("local-{id}")
     }
 
-    /// Returns the load as the engine reports it.
+    /// Returns the load that the engine reports, which lags behind as configured.
     pub(super) fn load(&self) -> Load {
         let (running, waiting) = self.slots.counts();
         let mut state = self.lock();
@@ -98,6 +98,9 @@
 
 impl State {
     /// Returns the loaded model that a request asks for.
+    ///
+    /// A version in the request's model name takes precedence over `version`. Without either, the
+    /// version loaded last is used.
     pub(super) fn model(
         &self,
         request: &ChatRequest,
@@ -124,7 +127,7 @@
         self.cache.iter().map(memory).collect()
     }
 
-    /// Files a program's prefix and counts what it pushed out.
+    /// Stores a program's prefix and counts the evictions that it causes.
     pub(super) fn store(&mut self, program: &str, model: ModelVersion, parts: Vec<Part>) {
         let changes = self.cache.store(program, model, parts);
         let evicted = changes.iter().filter(|e| e.evicted);
@@ -132,7 +135,7 @@
         self.reports.add(Instant::now(), changes);
     }
 
-    /// Frees a program's memory by order of the system.
+    /// Removes a program from the prefix cache and returns how many tokens it had there.
     pub(super) fn release(&mut self, program: &str) -> u64 {
         let tokens = self.cache.remove(program);
         if tokens == 0 {
@@ -145,7 +148,7 @@
     }
 }
 
-/// Writes a model as `model@version`.
+/// Formats a model as `model@version`.
 pub(super) fn format_model(model: &ModelVersion) -> CompactString {
     format_args!("{}@{}", model.model, model.version).to_compact_string()
 }
--- a/crates/standin/src/engine/stats.rs
+++ b/crates/standin/src/engine/stats.rs
@@ -1,14 +1,14 @@
-//! What really ran, for tests to compare with what the system says.
+//! Statistics of the engine, which tests compare with what the system reports.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use compact_str::CompactString;
 use serde::Serialize;
 
-/// Most dispatches that are remembered one by one.
+/// Maximum number of dispatches in the history.
 const MAX_DISPATCHES: usize = 65_536;
 
-/// How a run stands.
+/// State of a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum RunState {
@@ -17,39 +17,39 @@
     Running,
     /// The whole answer was generated.
     Finished,
-    /// Cut off by a cancel, or by the loss of its reader.
+    /// Cancelled by request, or because it had no reader.
     Cancelled,
 }
 
-/// One dispatch as the engine saw it.
+/// Record of one dispatch.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct DispatchStats {
-    /// Its id.
+    /// Id of the dispatch.
     pub dispatch: CompactString,
-    /// Program that it named.
+    /// Program of the dispatch, as `org/program`; empty if it named none.
     pub program: CompactString,
-    /// How often it was started; more than once is a fault of the system.
+    /// Number of times it was started. More than one is a fault of the system under test.
     pub runs: u32,
-    /// Tokens of its prompt.
+    /// Number of tokens in its prompt.
     pub prompt_tokens: u64,
-    /// How many of them the prefix cache held.
+    /// Number of prompt tokens found in the prefix cache.
     pub cached_tokens: u64,
-    /// Tokens generated so far.
+    /// Number of tokens generated; zero while it runs.
     pub output_tokens: u64,
-    /// Priority that it named.
+    /// Priority in the engine's queue.
     pub priority: i64,
-    /// How the latest run stands.
+    /// State of the latest run.
     pub state: RunState,
-    /// Request fields that the engine does not read.
+    /// Names of request fields that the engine doesn't use.
     pub fields: Vec<CompactString>,
 }
 
-/// Memory that a program holds.
+/// Prefix cache usage of a program.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct ProgramMemory {
     /// Organisation and program as `org/program`.
     pub program: CompactString,
-    /// Tokens held.
+    /// Number of cached tokens.
     pub tokens: u64,
     /// Model and version as `model@version`.
     pub model: CompactString,
@@ -58,54 +58,54 @@
 /// Counts since the engine's start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct EngineCounts {
-    /// Runs begun.
+    /// Runs started.
     pub started: u64,
     /// Runs whose whole answer was generated.
     pub finished: u64,
-    /// Runs cut off.
+    /// Runs that were cancelled.
     pub cancelled: u64,
-    /// Calls refused before they started.
+    /// Calls refused without being started.
     pub refused: u64,
-    /// Streams resumed.
+    /// Calls that resumed a dispatch.
     pub resumed: u64,
-    /// Prompt tokens filled because no prefix held them.
+    /// Prompt tokens processed because they were not in the prefix cache.
     pub filled_tokens: u64,
-    /// Prompt tokens that a prefix held.
+    /// Prompt tokens found in the prefix cache.
     pub reused_tokens: u64,
-    /// Tokens of prefixes given up for want of room.
+    /// Tokens evicted from the prefix cache for lack of space or with their model.
     pub evicted_tokens: u64,
-    /// Tokens of prefixes freed by a release.
+    /// Tokens removed from the prefix cache by a release.
     pub released_tokens: u64,
-    /// Orders carried out.
+    /// Orders accepted.
     pub orders: u64,
-    /// Orders refused for an old fencing number.
+    /// Orders refused for a stale fencing number.
     pub stale_orders: u64,
 }
 
-/// Everything an engine tells about itself.
+/// Statistics of an engine since its start.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct EngineStats {
-    /// Totals.
+    /// Totals over all calls and orders.
     pub counts: EngineCounts,
-    /// The latest dispatches, in order of their ids.
+    /// The latest dispatches, sorted by id.
     pub dispatches: Vec<DispatchStats>,
-    /// Programs that hold memory.
+    /// Programs in the prefix cache.
     pub programs: Vec<ProgramMemory>,
 }
 
 impl EngineStats {
-    /// Returns one dispatch, if the engine remembers it.
+    /// Returns a dispatch, or `None` if it is not in the history.
     pub fn dispatch(&self, id: &str) -> Option<&DispatchStats> {
         self.dispatches.iter().find(|d| d.dispatch == id)
     }
 
-    /// Returns the tokens that a program holds.
+    /// Returns the number of cached tokens of a program.
     pub fn held(&self, program: &str) -> u64 {
         self.programs.iter().filter(|p| p.program == program).map(|p| p.tokens).sum()
     }
 }
 
-/// Dispatches by id, the oldest forgotten first.
+/// Bounded history of dispatches by id, which drops the oldest.
 #[derive(Default)]
 pub(super) struct DispatchHistory {
     order: VecDeque<CompactString>,
@@ -113,7 +113,7 @@
 }
 
 impl DispatchHistory {
-    /// Counts one more run of a dispatch.
+    /// Records the start of a run. A dispatch that is already known counts one more run.
     pub(super) fn begin(&mut self, run: DispatchStats) {
         if let Some(known) = self.dispatches.get_mut(&run.dispatch) {
             let runs = known.runs + 1;
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,14 +1,14 @@
-//! Stand-ins for the systems outside: model engine, plain service, weight store, load.
+//! Stand-ins for external systems in tests and demos: a model engine, a plain service, a weight
+//! store and a load generator.
 //!
-//! They speak real HTTP on real sockets, answer deterministically, and count what really ran, so
-//! that a test can hold the system to its promises. They share no code with the system: what both
-//! sides agree on is the JSON of [`announce`] and the headers of [`headers`].
+//! They use HTTP over real sockets, give deterministic answers and record what ran, so that tests
+//! can compare the record with what the system reports. They share no code with the system; the
+//! interface is the JSON of [`announce`] and the headers of [`headers`].
 
 pub mod announce;
 pub mod engine;
 pub mod headers;
 pub mod load;
-
 pub mod service;
 pub mod weights;
 
--- a/crates/standin/src/load/call.rs
+++ b/crates/standin/src/load/call.rs
@@ -1,4 +1,4 @@
-//! One call to the system, sent again after a refusal under the same idempotency key.
+//! Sends one call to the system and retries it with the same idempotency key.
 
 use std::time::{Duration, Instant};
 
@@ -13,14 +13,14 @@
 use crate::client::HttpClient;
 use crate::headers;
 
-/// Pause before a call is sent again when the refusal names none.
+/// Shortest delay before a retry, used if the refusal names none.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
-/// Longest pause that a refusal can ask for.
+/// Longest delay before a retry, whatever the refusal asks for.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(5);
-/// Ends a streamed answer.
+/// Data of the last event of a streamed answer.
 const DONE_EVENT: &str = "[DONE]";
 
-/// A call as it goes on the wire.
+/// An HTTP request to the system, which can be sent several times.
 #[derive(Clone)]
 pub(super) struct Call {
     pub(super) method: Method,
@@ -30,28 +30,28 @@
     pub(super) stream: bool,
 }
 
-/// What one call came to.
+/// Result of a call after its last attempt.
 pub(super) struct Outcome {
     pub(super) end: End,
     /// Text of the model's answer.
     pub(super) text: String,
     pub(super) retries: u64,
     pub(super) elapsed: Duration,
-    /// When each token came, from the call's start.
+    /// Arrival time of each token of a stream, from the call's start.
     pub(super) arrivals: Vec<Duration>,
 }
 
-/// What one attempt came to.
+/// Result of one attempt.
 enum Attempt {
     Answered(String, Vec<Duration>),
-    /// Not run; the same call may be sent again after a pause.
+    /// Not run. The call may be sent again after this delay.
     Refused(Duration),
-    /// Not run, and a resend would fare no better.
+    /// Refused as invalid; a retry would be refused too.
     Invalid,
     Unknown,
 }
 
-/// Sends a call until it is answered, its outcome is unknown, or its retries are used up.
+/// Sends a call and retries it after refusals, until it ends otherwise or no retries are left.
 pub(super) async fn send(client: &HttpClient, call: &Call, retries: u32) -> Outcome {
     let start = Instant::now();
     let mut outcome = Outcome {
@@ -128,7 +128,7 @@
     Attempt::Answered(text.to_owned(), Vec::new())
 }
 
-/// Reads a stream; one that ends without its closing event is not an answer.
+/// Reads a streamed answer. The outcome is unknown if the stream ends without its last event.
 async fn read_stream(mut body: Incoming, start: Instant) -> Attempt {
     let mut buffer = BytesMut::new();
     let mut text = String::new();
@@ -155,7 +155,9 @@
     Attempt::Unknown
 }
 
-/// Takes the next whole line out of the buffer and returns its data, skipping other lines.
+/// Removes lines from the buffer up to the next `data:` line and returns its data.
+///
+/// Returns `None` if the buffer has no more complete lines.
 fn next_event(buffer: &mut BytesMut) -> Option<CompactString> {
     loop {
         let end = buffer.iter().position(|b| *b == b'\n')?;
--- a/crates/standin/src/load/mod.rs
+++ b/crates/standin/src/load/mod.rs
@@ -1,4 +1,4 @@
-//! Load tool: runs programs of several turns against the system, and measures what callers see.
+//! Load generator: runs programs of several turns and measures latencies as callers see them.
 
 mod call;
 mod report;
@@ -21,18 +21,18 @@
 use self::report::{End, Recorder};
 use crate::client::{self, HttpClient};
 
-/// Everything that the programs of one run share.
+/// State shared by the programs of one load run.
 struct Run {
     settings: LoadSettings,
     client: HttpClient,
     recorder: Mutex<Recorder>,
 }
 
-/// Runs the load to its end.
+/// Runs all programs and returns the measurements.
 ///
 /// # Errors
 ///
-/// Fails when the settings name no base URL or a header can't be written.
+/// Fails if no base URL is set, a setting is not a valid header value, or a program panics.
 pub async fn run(settings: LoadSettings) -> anyhow::Result<LoadReport> {
     anyhow::ensure!(!settings.base_urls.is_empty(), "name at least one base URL");
     let start = Instant::now();
@@ -40,7 +40,7 @@
     let programs = settings.programs;
     let recorder = Mutex::new(Recorder::new());
     let run = Arc::new(Run { settings, client: client::new(), recorder });
-    // Headers are the same in every program but for its name, so one trial finds what is wrong.
+    // Reports invalid settings before any program starts.
     run.headers("trial", "trial")?;
     let mut tasks = JoinSet::new();
     match arrivals {
@@ -76,7 +76,7 @@
         self.recorder.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// Runs one program from its first call to its end.
+    /// Runs one program and records its result.
     async fn run_program(&self, number: u64) {
         self.lock().report.begun += 1;
         let name = format!("{}-{number}", self.settings.prefix);
@@ -115,7 +115,7 @@
         End::Finished
     }
 
-    /// Sends a call and records it.
+    /// Sends a call and records its latencies if it was answered.
     async fn send(&self, call: &Call) -> Outcome {
         let outcome = send(&self.client, call, self.settings.retries).await;
         let mut recorder = self.lock();
@@ -136,7 +136,7 @@
         outcome
     }
 
-    /// Ends the program, so that nothing stays held for it.
+    /// Ends the program, so that the system frees what it holds for the program.
     async fn end_program(&self, number: u64, name: &str) {
         let uri = format!("{}/v1/programs/{name}", self.base_url(number));
         let Ok(headers) = self.headers(name, "end") else {
@@ -144,7 +144,7 @@
         };
         let method = Method::DELETE;
         let call = Call { method, uri, headers, body: Bytes::new(), stream: false };
-        // The program's idle time ends it if this is lost.
+        // If this call fails, the program ends by its idle timeout.
         send(&self.client, &call, self.settings.retries).await;
     }
 
--- a/crates/standin/src/load/report.rs
+++ b/crates/standin/src/load/report.rs
@@ -1,69 +1,69 @@
-//! What a load run measured.
+//! Measurements of a load run.
 
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-/// Longest latency that a histogram tells apart, in microseconds: one hour.
+/// Upper bound of the histograms: one hour. Longer latencies are counted as this.
 const MAX_LATENCY_MICROS: u64 = 3_600_000_000;
 
-/// How a call or a program ended, as its caller knows it.
+/// How a call or a program ended, as seen by its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum End {
-    /// The whole answer came.
+    /// Answered in full.
     Finished,
-    /// Surely not run.
+    /// Refused without being run.
     Refused,
-    /// It may have run.
+    /// No full answer was received, so it may have run.
     Unknown,
 }
 
-/// Counts and percentiles of a run.
+/// Counts and latencies of a load run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct LoadReport {
-    /// Programs begun.
+    /// Programs started.
     pub begun: u64,
-    /// Programs whose every call was answered.
+    /// Programs with an answer to every call.
     pub finished: u64,
-    /// Programs given up after a refusal.
+    /// Programs ended by a refused call.
     pub refused: u64,
-    /// Programs with a call whose outcome is unknown.
+    /// Programs ended by a call with an unknown outcome.
     pub unknown: u64,
     /// Calls answered.
     pub calls: u64,
-    /// Calls sent again after a refusal.
+    /// Retries of refused calls.
     pub retries: u64,
     /// Tokens received in answers.
     pub tokens: u64,
-    /// Seconds that the run took.
+    /// Duration of the run in seconds.
     pub seconds: f64,
-    /// From a program's first call to its last answer.
+    /// Time from a program's first call to its last answer.
     pub program: Latency,
-    /// Whole calls.
+    /// Time from a call's start to its full answer, retries included.
     pub call: Latency,
-    /// From a call's start to the first token of its stream.
+    /// Time from a call's start to the first token of its stream.
     pub first_token: Latency,
-    /// Between two tokens of one stream.
+    /// Time between consecutive tokens of a stream.
     pub token_gap: Latency,
 }
 
-/// Percentiles in milliseconds.
+/// Latency percentiles in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Latency {
-    /// Count of samples.
+    /// Number of samples.
     pub count: u64,
-    /// Half are below.
+    /// Median.
     pub p50_ms: f64,
-    /// 95 in 100 are below.
+    /// 95th percentile.
     pub p95_ms: f64,
-    /// 99 in 100 are below.
+    /// 99th percentile.
     pub p99_ms: f64,
-    /// The largest.
+    /// Largest sample.
     pub max_ms: f64,
 }
 
-/// Samples while a run goes on.
+/// Collects the measurements during a run.
 pub(super) struct Recorder {
     pub(super) report: LoadReport,
     pub(super) program: Samples,
@@ -72,12 +72,11 @@
     pub(super) token_gap: Samples,
 }
 
-/// One histogram.
+/// Histogram of latencies in microseconds.
 pub(super) struct Samples(Histogram<u64>);
 
 impl Samples {
     fn new() -> Samples {
-        // The bounds are constants that the library accepts.
         Samples(
             Histogram::new_with_bounds(1, MAX_LATENCY_MICROS, 3).expect("valid histogram bounds"),
         )
--- a/crates/standin/src/load/settings.rs
+++ b/crates/standin/src/load/settings.rs
@@ -1,44 +1,44 @@
-//! What the load tool sends.
+//! Settings of the load generator.
 
 use compact_str::CompactString;
 
 /// How programs arrive.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Arrivals {
-    /// This many programs at one time; the next begins when one ends.
+    /// Runs at most this many programs at the same time and starts the next when one ends.
     Closed(usize),
-    /// This many programs a second, whether or not earlier ones have ended.
+    /// Starts this many programs per second, whether or not earlier ones have ended.
     Open(f64),
 }
 
-/// A load of programs, each a chain of model calls with a tool call between them.
+/// Describes a load of programs, each of which makes several model calls one after the other.
 #[derive(Clone, Debug)]
 pub struct LoadSettings {
     /// Base URLs of the callers' listeners, used in turn by program.
     pub base_urls: Vec<CompactString>,
     /// API key of the organisation.
     pub api_key: CompactString,
-    /// Agent program of the bundle; the organisation's first when empty.
+    /// Agent program of the bundle; the organisation's first if empty.
     pub agent: CompactString,
-    /// Model asked for.
+    /// Requested model.
     pub model: CompactString,
-    /// Programs to run in all.
+    /// Total number of programs.
     pub programs: u64,
-    /// How they arrive.
+    /// When programs are started.
     pub arrivals: Arrivals,
-    /// Model calls of each program.
+    /// Number of model calls in each program.
     pub turns: u64,
-    /// Words of each user message.
+    /// Number of words in each user message.
     pub prompt_words: u64,
-    /// Most tokens of each answer.
+    /// Maximum number of tokens in each answer.
     pub max_tokens: u64,
-    /// Whether answers are streamed.
+    /// Whether to ask for streamed answers.
     pub stream: bool,
-    /// Tool call after each turn as `service/operation`; none when empty.
+    /// Tool to call after each model call, as `service/operation`; none if empty.
     pub tool: CompactString,
-    /// Most times that a call is sent again after a refusal.
+    /// Maximum number of retries of a refused call.
     pub retries: u32,
-    /// Prefix of program names, so that two runs don't share programs; also their seed.
+    /// Prefix of program names and prompts. Runs with different prefixes share no programs.
     pub prefix: CompactString,
 }
 
--- a/crates/standin/src/process.rs
+++ b/crates/standin/src/process.rs
@@ -1,4 +1,4 @@
-//! Life and death of one stand-in: listening, freezing, crashing.
+//! Life cycle of a stand-in: serving, freezing, draining and shutdown.
 
 use std::net::SocketAddr;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -15,13 +15,13 @@
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
 
-/// Pause between two looks whether calls still run.
+/// Interval between checks for calls in flight.
 const DRAIN_POLL: Duration = Duration::from_millis(10);
 
-/// Switches that the handle, the handlers and the announcer share.
+/// State shared by the handle, the HTTP handlers and the announcer.
 #[derive(Clone)]
 pub(crate) struct Process {
-    /// Once cancelled, every connection is dropped and nothing is announced.
+    /// Once cancelled, all connections are dropped and announcements stop.
     pub(crate) shutdown: CancellationToken,
     frozen: watch::Sender<bool>,
 }
@@ -31,28 +31,28 @@
         Process { shutdown: CancellationToken::new(), frozen: watch::Sender::new(false) }
     }
 
-    /// Stops or resumes all progress, as a stopped process would.
+    /// Stops (`true`) or resumes (`false`) all progress, like a process under SIGSTOP.
     pub(crate) fn freeze(&self, on: bool) {
         self.frozen.send_replace(on);
     }
 
-    /// Returns once the process is not frozen.
+    /// Waits until the process is not frozen.
     pub(crate) async fn wait_while_frozen(&self) {
         let mut frozen = self.frozen.subscribe();
         // The sender lives as long as `self`, so the wait can't fail.
         let _ = frozen.wait_for(|on| !on).await;
     }
 
-    /// Returns once `is_idle` says that no call runs, and the last answers had time to leave.
+    /// Waits until `is_idle` returns true and the last answers have been written.
     pub(crate) async fn wait_until_drained(&self, is_idle: impl Fn() -> bool) {
         while !is_idle() {
             tokio::time::sleep(DRAIN_POLL).await;
         }
-        // The last answers are handed to their sockets; they get time to leave.
+        // Calls end before their answers are written to the socket.
         tokio::time::sleep(DRAIN_POLL).await;
     }
 
-    /// Binds `address` and serves `router` on it until death.
+    /// Binds `address`, serves `router` on it until shutdown and returns the bound address.
     pub(crate) async fn serve(
         &self,
         address: SocketAddr,
@@ -69,7 +69,7 @@
     }
 }
 
-/// Returns the milliseconds since 1970, which grow with each start.
+/// Returns the current Unix time in milliseconds.
 pub(crate) fn millis_now() -> u64 {
     let elapsed = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX)
@@ -97,12 +97,12 @@
 }
 
 async fn connection(stream: TcpStream, router: Router, shutdown: CancellationToken) {
-    // Only a hint for speed; a refusal changes nothing else.
+    // Only affects latency, so a failure is ignored.
     let _ = stream.set_nodelay(true);
     let builder = auto::Builder::new(TokioExecutor::new());
     let service = TowerToHyperService::new(router);
     tokio::select! {
-        // An error here is the peer's hang-up, which the handler sees on its own.
+        // An error means that the peer disconnected, which needs no handling here.
         _ = builder.serve_connection(TokioIo::new(stream), service) => {}
         () = shutdown.cancelled() => {}
     }
--- a/crates/standin/src/service/fault.rs
+++ b/crates/standin/src/service/fault.rs
@@ -1,4 +1,4 @@
-//! Faults that a call asks the service to show, by header or by a marker in its body.
+//! Faults that a call asks the service to simulate, by a header or a marker in its body.
 
 use std::time::Duration;
 
@@ -6,29 +6,31 @@
 
 use crate::headers;
 
-/// Longest late answer that a marker can ask for.
+/// Upper limit of the delay of [`Fault::Late`].
 const MAX_DELAY_MS: u64 = 60_000;
 
-/// What goes wrong with a call.
+/// Fault that the service simulates in a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     None,
-    /// No answer ever comes, and the operation does not run.
+    /// The operation does not run and the call is never answered.
     Hang,
-    /// The service dies before the operation takes effect.
+    /// The service crashes before the operation takes effect.
     CrashBefore,
-    /// The service dies after the operation took effect.
+    /// The service crashes after the operation took effect.
     CrashAfter,
-    /// The operation takes effect at once, and its answer comes this much later.
+    /// The operation takes effect, and its answer is delayed by this time.
     Late(Duration),
-    /// The answer is that of the call before, dispatch id and all.
+    /// The operation takes effect, but the answer and its dispatch id are those of the call before.
     Crossed,
 }
 
 impl Fault {
-    /// Reads the fault of a call: header `x-fault: hang`, or `#hang` in the body, and so on for
-    /// `crash-before`, `crash-after`, `late-MILLIS` and `crossed`.
+    /// Reads the fault from the header `x-fault`, or else from the first marker in the body.
+    ///
+    /// Faults are named `hang`, `crash-before`, `crash-after`, `late-MILLIS` and `crossed`. A
+    /// marker is a `#` followed by the name. Other names are ignored.
     pub(super) fn from_call(head: &HeaderMap, body: &str) -> Fault {
         match headers::text(head, headers::FAULT) {
             Some(name) => Fault::parse(name),
--- a/crates/standin/src/service/http.rs
+++ b/crates/standin/src/service/http.rs
@@ -1,4 +1,4 @@
-//! The service's HTTP interface.
+//! HTTP interface of the service.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -97,7 +97,7 @@
     }
 }
 
-/// Kills the service, and never returns: not even a ready answer may follow.
+/// Crashes the service. Never returns, so that the call gets no answer.
 async fn crash(shared: &Shared) {
     shared.process.shutdown.cancel();
     std::future::pending().await
@@ -110,16 +110,16 @@
     response
 }
 
-/// Tells whether a key ran, where the service can be asked.
+/// Returns the latest receipt of a key, if the service supports status queries.
 async fn status(State(shared): State<Arc<Shared>>, Path(key): Path<CompactString>) -> Response {
     if !shared.settings.inquiry {
-        let message = "this service can't be asked";
+        let message = "this service does not support status queries";
         return Refusal::new(StatusCode::NOT_IMPLEMENTED, "no_inquiry", message).into_response();
     }
     match shared.lock().receipt(&key) {
         Some(receipt) => Json(receipt).into_response(),
         None => {
-            let message = "the key did not run here";
+            let message = "no call with this key has run on this instance";
             Refusal::new(StatusCode::NOT_FOUND, "not_run", message).into_response()
         }
     }
--- a/crates/standin/src/service/mod.rs
+++ b/crates/standin/src/service/mod.rs
@@ -1,4 +1,5 @@
-//! Stand-in plain service: counts how often each key really ran, and shows faults on request.
+//! Stand-in plain service, which counts the runs of each idempotency key and simulates faults on
+//! request.
 
 mod fault;
 mod http;
@@ -17,18 +18,18 @@
 use crate::announcer;
 use crate::process::millis_now;
 
-/// A running service; it dies when the handle is dropped.
+/// A running service, which stops when the handle is dropped.
 pub struct Service {
     address: SocketAddr,
     shared: Arc<Shared>,
 }
 
 impl Service {
-    /// Starts a service, which listens and announces itself.
+    /// Starts a service, which listens on the configured address and announces itself.
     ///
     /// # Errors
     ///
-    /// Fails when the address can't be listened on.
+    /// Fails if the address can't be bound.
     pub async fn start(mut settings: ServiceSettings) -> anyhow::Result<Service> {
         if settings.incarnation == 0 {
             settings.incarnation = millis_now();
@@ -46,39 +47,39 @@
         Ok(Service { address, shared })
     }
 
-    /// Returns where the service listens.
+    /// Returns the address that the service listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Returns how often each key really ran.
+    /// Returns the number of runs of each key and the totals of the service.
     pub fn stats(&self) -> ServiceStats {
         self.shared.lock().stats()
     }
 
-    /// Stops all progress or lets it go on, as a paused process would.
+    /// Stops (`true`) or resumes (`false`) all progress, like a process under SIGSTOP.
     pub fn freeze(&self, on: bool) {
         self.shared.process.freeze(on);
     }
 
-    /// Kills the service: every connection drops and nothing more is announced.
+    /// Stops the service abruptly: all connections are dropped and announcements stop.
     pub fn crash(&self) {
         self.shared.process.shutdown.cancel();
     }
 
-    /// Tells whether the service has died.
+    /// Tells whether the service has crashed or was stopped.
     pub fn is_dead(&self) -> bool {
         self.shared.process.shutdown.is_cancelled()
     }
 
-    /// Announces that the service leaves, refuses new calls and returns once none runs.
+    /// Announces that the service is leaving, refuses new calls and waits for those in flight.
     pub async fn leave(&self) {
         self.shared.lock().leaving = true;
         self.shared.announce_wake.notify_one();
         self.shared.process.wait_until_drained(|| self.shared.lock().running == 0).await;
     }
 
-    /// Ends the service at once, without a farewell.
+    /// Stops the service at once, without announcing that it leaves.
     pub fn stop(self) {
         self.crash();
     }
--- a/crates/standin/src/service/settings.rs
+++ b/crates/standin/src/service/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a stand-in service.
+//! Configuration of the stand-in service.
 
 use std::net::SocketAddr;
 
@@ -6,32 +6,32 @@
 
 use crate::announce::AnnounceSettings;
 
-/// How the service behaves.
+/// Settings of a stand-in service.
 #[derive(Clone, Debug)]
 pub struct ServiceSettings {
     /// Instance name.
     pub name: CompactString,
-    /// Grows with each start; the milliseconds since 1970 when zero.
+    /// Number that grows with each start. Zero selects the Unix time in milliseconds.
     pub incarnation: u64,
-    /// Service that it is an instance of.
+    /// Name of the service that this is an instance of.
     pub service: CompactString,
-    /// Where it listens; port zero takes a free one.
+    /// Address to listen on. Port zero selects a free port.
     pub listen: SocketAddr,
     /// Failure domain that it announces.
     pub domain: CompactString,
     /// Region that it announces.
     pub region: CompactString,
-    /// Calls that run at one time.
+    /// Maximum number of calls that run at the same time.
     pub slots: u32,
-    /// Calls that wait before the service refuses.
+    /// Maximum number of calls that wait for a slot. Further calls are refused.
     pub queue: usize,
-    /// Milliseconds that an operation takes.
+    /// Duration of an operation in milliseconds.
     pub work_ms: u64,
-    /// Counsellor slots, lenses or the like that the operation `slots` may give out.
+    /// Number of times that the operation `slots` can succeed.
     pub stock: u64,
     /// Whether `GET /v1/tools/status/{key}` answers.
     pub inquiry: bool,
-    /// Where it announces itself.
+    /// Where and how often it announces itself.
     pub announce: AnnounceSettings,
 }
 
--- a/crates/standin/src/service/state.rs
+++ b/crates/standin/src/service/state.rs
@@ -1,4 +1,4 @@
-//! What the service did, key by key.
+//! State of the service and its record of runs by key.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -10,40 +10,40 @@
 use super::settings::ServiceSettings;
 use crate::process::Process;
 
-/// How often one key ran.
+/// Runs of one idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct KeyStats {
     /// Idempotency key; calls without one are counted under the empty key.
     pub key: CompactString,
-    /// Operation that ran.
+    /// Operation of the key's first run.
     pub operation: CompactString,
-    /// How often the operation took effect.
+    /// Number of times that an operation took effect.
     pub runs: u64,
-    /// Dispatches that ran it, in order.
+    /// Ids of the dispatches that ran it, in order.
     pub dispatches: Vec<CompactString>,
 }
 
-/// Everything a service tells about itself.
+/// Statistics of a service since its start.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct ServiceStats {
-    /// Keys that took effect, in order.
+    /// Keys that took effect, sorted by key.
     pub keys: Vec<KeyStats>,
-    /// Calls that arrived, refused ones included.
+    /// Calls received, including refused ones.
     pub calls: u64,
     /// Calls refused before they started.
     pub refused: u64,
-    /// What is left of the stock.
+    /// Number of times that the operation `slots` can still succeed.
     pub stock: u64,
 }
 
 impl ServiceStats {
-    /// Returns how often a key took effect.
+    /// Returns the number of times that a key took effect.
     pub fn runs(&self, key: &str) -> u64 {
         self.keys.iter().filter(|k| k.key == key).map(|k| k.runs).sum()
     }
 }
 
-/// The service behind its handlers.
+/// State shared by the service's handlers.
 pub(super) struct Shared {
     pub(super) settings: ServiceSettings,
     pub(super) process: Process,
@@ -52,10 +52,10 @@
     state: Mutex<State>,
 }
 
-/// What changes while the service runs.
+/// Mutable state of the service.
 pub(super) struct State {
     pub(super) leaving: bool,
-    /// Calls admitted and not answered yet.
+    /// Calls in flight, including those that wait for a slot.
     pub(super) running: u32,
     pub(super) calls: u64,
     pub(super) refused: u64,
@@ -64,7 +64,7 @@
     keys: BTreeMap<CompactString, KeyRecord>,
 }
 
-/// A call that took effect, as the next crossed answer would show it.
+/// The latest answer, which is repeated for the next [`Fault::Crossed`](super::Fault::Crossed).
 #[derive(Clone)]
 pub(super) struct RecordedAnswer {
     pub(super) dispatch: CompactString,
@@ -77,15 +77,15 @@
     receipt: Receipt,
 }
 
-/// The answer of an operation.
+/// Answer to a call.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct Receipt {
     pub(super) service: CompactString,
     pub(super) operation: CompactString,
     pub(super) key: CompactString,
-    /// Number of the effect under this key, one for the first.
+    /// Number of the run among those with this key, from one.
     pub(super) run: u64,
-    /// Whether the stock had one left to give.
+    /// Whether the operation succeeded; only `slots` can fail, when the stock is used up.
     pub(super) granted: bool,
 }
 
@@ -115,7 +115,9 @@
 }
 
 impl State {
-    /// Lets an operation take effect, again if its key ran before: the service trusts the system.
+    /// Runs an operation and records it.
+    ///
+    /// Repeated keys are not deduplicated, so that tests can detect double execution.
     pub(super) fn apply(
         &mut self,
         service: &str,
--- a/crates/standin/src/weights.rs
+++ b/crates/standin/src/weights.rs
@@ -1,4 +1,4 @@
-//! Stand-in weight store: one rate for all readers together.
+//! Stand-in weight store whose readers share a limited transfer rate.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -16,15 +16,15 @@
 
 use crate::process::Process;
 
-/// Bytes sent at a time.
+/// Largest chunk of a response, in bytes.
 const CHUNK_BYTES: u64 = 64 << 10;
 
-/// How the store behaves.
+/// Settings of a weight store.
 #[derive(Clone, Debug)]
 pub struct WeightSettings {
-    /// Where it listens; port zero takes a free one.
+    /// Address to listen on. Port zero selects a free port.
     pub listen: SocketAddr,
-    /// Bytes a second, shared by all readers.
+    /// Transfer rate in bytes per second, shared by all readers.
     pub rate: u64,
     /// Size of each model version in bytes.
     pub size: u64,
@@ -37,7 +37,7 @@
     }
 }
 
-/// A running weight store; it dies when the handle is dropped.
+/// A running weight store, which stops when the handle is dropped.
 pub struct WeightStore {
     address: SocketAddr,
     shared: Arc<Shared>,
@@ -49,18 +49,18 @@
     state: Mutex<Throttle>,
 }
 
-/// When the next chunk may leave, and what was read so far.
+/// Rate limiter of the store, with the number of reads so far.
 struct Throttle {
     next_send: Instant,
     reads: u64,
 }
 
 impl WeightStore {
-    /// Starts a store.
+    /// Starts a store and listens on the configured address.
     ///
     /// # Errors
     ///
-    /// Fails when the address can't be listened on.
+    /// Fails if the address can't be bound.
     pub async fn start(settings: WeightSettings) -> anyhow::Result<WeightStore> {
         let listen = settings.listen;
         let state = Mutex::new(Throttle { next_send: Instant::now(), reads: 0 });
@@ -72,12 +72,12 @@
         Ok(WeightStore { address, shared })
     }
 
-    /// Returns where the store listens.
+    /// Returns the address that the store listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Returns how many reads were begun.
+    /// Returns the number of reads that were started.
     pub fn reads(&self) -> u64 {
         self.shared.lock().reads
     }
@@ -94,7 +94,7 @@
         self.state.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// Takes the next place in the common pace and returns when it is due.
+    /// Reserves the transfer of `bytes` and returns the time at which they may be sent.
     fn reserve(&self, bytes: u64) -> Instant {
         let cost = Duration::from_secs_f64(bytes as f64 / self.settings.rate.max(1) as f64);
         let mut throttle = self.lock();
