--- a/crates/standin/src/engine/cache.rs
+++ b/crates/standin/src/engine/cache.rs
@@ -1,4 +1,4 @@
-//! Prefix cache: one prefix for each program, the least recently used given up first.
+//! Prefix cache with one prefix per program and least-recently-used eviction.
 
 use std::collections::BTreeMap;
 
@@ -6,19 +6,19 @@
 
 use crate::announce::ModelVersion;
 
-/// One message of a prompt, as far as the cache tells messages apart.
+/// Hash and token count of one message of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Part {
     pub(super) hash: u64,
     pub(super) tokens: u64,
 }
 
-/// A program's prefix.
+/// Cached prefix of a program.
 #[derive(Clone, Debug)]
 pub(super) struct Entry {
     pub(super) model: ModelVersion,
     pub(super) parts: Vec<Part>,
-    used: u64,
+    last_used: u64,
 }
 
 impl Entry {
@@ -27,7 +27,7 @@
     }
 }
 
-/// A change of the cache, numbered only once it is reported.
+/// A change of the cache, which becomes a [`CacheEvent`](crate::announce::CacheEvent).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Change {
     pub(super) program: CompactString,
@@ -35,21 +35,27 @@
     pub(super) evicted: bool,
 }
 
-/// Prefixes of programs within a limit of tokens.
+/// Cached prefixes by program, limited to `capacity` tokens in total.
 pub(super) struct PrefixCache {
-    limit: u64,
-    held: u64,
+    capacity: u64,
+    held_tokens: u64,
     clock: u64,
     entries: BTreeMap<CompactString, Entry>,
 }
 
 impl PrefixCache {
-    pub(super) fn new(limit: u64) -> PrefixCache {
-        PrefixCache { limit, held: 0, clock: 0, entries: BTreeMap::new() }
+    pub(super) fn new(capacity: u64) -> PrefixCache {
+        PrefixCache { capacity, held_tokens: 0, clock: 0, entries: BTreeMap::new() }
     }
 
-    /// Returns how many tokens of `parts` the program's prefix covers.
-    pub(super) fn covered(&mut self, program: &str, model: &ModelVersion, parts: &[Part]) -> u64 {
+    /// Returns how many leading tokens of `parts` are cached for the program, and marks its entry
+    /// as used.
+    pub(super) fn matched_tokens(
+        &mut self,
+        program: &str,
+        model: &ModelVersion,
+        parts: &[Part],
+    ) -> u64 {
         self.clock += 1;
         let Some(entry) = self.entries.get_mut(program) else {
             return 0;
@@ -57,12 +63,14 @@
         if entry.model != *model {
             return 0;
         }
-        entry.used = self.clock;
+        entry.last_used = self.clock;
         let equal = entry.parts.iter().zip(parts).take_while(|(a, b)| a == b);
         equal.map(|(part, _)| part.tokens).sum()
     }
 
-    /// Replaces the program's prefix, and returns what changed, evictions included.
+    /// Replaces the program's prefix and returns the changes, including evictions of others.
+    ///
+    /// A prefix larger than the whole cache is not stored and counts as evicted.
     pub(super) fn store(
         &mut self,
         program: &str,
@@ -71,36 +79,36 @@
     ) -> Vec<Change> {
         self.clock += 1;
         self.remove(program);
-        let entry = Entry { model, parts, used: self.clock };
+        let entry = Entry { model, parts, last_used: self.clock };
         let tokens = entry.tokens();
-        if tokens > self.limit {
+        if tokens > self.capacity {
             return vec![change(program, tokens, true)];
         }
         let mut changes = Vec::new();
-        while self.held + tokens > self.limit {
-            let Some(oldest) = self.oldest() else {
+        while self.held_tokens + tokens > self.capacity {
+            let Some(least_recent) = self.least_recent() else {
                 break;
             };
-            let given_up = self.remove(&oldest);
-            changes.push(change(&oldest, given_up, true));
+            let freed = self.remove(&least_recent);
+            changes.push(change(&least_recent, freed, true));
         }
-        self.held += tokens;
+        self.held_tokens += tokens;
         self.entries.insert(program.into(), entry);
         changes.push(change(program, tokens, false));
         changes
     }
 
-    /// Frees a program's memory and returns how many tokens it held.
+    /// Removes a program and returns how many tokens it had.
     pub(super) fn remove(&mut self, program: &str) -> u64 {
         let Some(entry) = self.entries.remove(program) else {
             return 0;
         };
         let tokens = entry.tokens();
-        self.held -= tokens;
+        self.held_tokens -= tokens;
         tokens
     }
 
-    /// Frees the memory of every program on a model, and returns the changes.
+    /// Removes all programs that use a model, and returns the changes.
     pub(super) fn remove_model(&mut self, model: &ModelVersion) -> Vec<Change> {
         let on_model = self.entries.iter().filter(|(_, e)| e.model == *model);
         let programs: Vec<CompactString> = on_model.map(|(p, _)| p.clone()).collect();
@@ -111,16 +119,16 @@
         self.entries.get(program)
     }
 
-    pub(super) fn held(&self) -> u64 {
-        self.held
+    pub(super) fn held_tokens(&self) -> u64 {
+        self.held_tokens
     }
 
     pub(super) fn iter(&self) -> impl Iterator<Item = (&CompactString, &Entry)> {
         self.entries.iter()
     }
 
-    fn oldest(&self) -> Option<CompactString> {
-        let entry = self.entries.iter().min_by_key(|(_, e)| e.used);
+    fn least_recent(&self) -> Option<CompactString> {
+        let entry = self.entries.iter().min_by_key(|(_, e)| e.last_used);
         entry.map(|(program, _)| program.clone())
     }
 }
--- a/crates/standin/src/engine/run.rs
+++ b/crates/standin/src/engine/run.rs
@@ -1,4 +1,4 @@
-//! One generation: prefill, then token after token, whoever reads.
+//! Generation of one answer: prefill, then decoding, independent of its readers.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -16,12 +16,12 @@
 use super::stats::RunState;
 use crate::announce::ModelVersion;
 
-/// Shortest sleep; the runtime's timer has millisecond steps, so shorter ones are saved up.
-const TICK: Duration = Duration::from_millis(1);
-/// Time from the start of a marked call to the engine's death.
+/// Resolution of the runtime's timer. Shorter waits are skipped, and a later one makes up for them.
+const TIMER_STEP: Duration = Duration::from_millis(1);
+/// Time from the start of a call with the crash marker to the crash.
 const CRASH_DELAY: Duration = Duration::from_millis(5);
 
-/// A generation under way, or lately ended.
+/// A generation that runs, or has ended and can still be resumed by a reader.
 pub(super) struct Run {
     pub(super) dispatch: CompactString,
     pub(super) program: CompactString,
@@ -29,15 +29,15 @@
     pub(super) parts: Vec<Part>,
     pub(super) tokens: Vec<CompactString>,
     pub(super) cached_tokens: u64,
-    /// Whether the caller's limit cut the answer short.
-    pub(super) limited: bool,
+    /// Whether the caller's token limit shortens the answer.
+    pub(super) truncated: bool,
     pub(super) crash: bool,
     pub(super) cancel: CancellationToken,
     pub(super) progress: watch::Sender<Progress>,
     pub(super) readers: AtomicUsize,
 }
 
-/// How far a generation is.
+/// Progress of a generation.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Progress {
     pub(super) emitted: usize,
@@ -57,11 +57,12 @@
     }
 
     pub(super) fn finish_reason(&self) -> &'static str {
-        if self.limited { "length" } else { "stop" }
+        if self.truncated { "length" } else { "stop" }
     }
 }
 
-/// Keeps a run alive while somebody reads it.
+/// Counts as a reader of a run until it is dropped. A run without readers is cancelled after a
+/// while.
 pub(super) struct Reader {
     pub(super) run: Arc<Run>,
 }
@@ -79,12 +80,12 @@
     }
 }
 
-/// Generates to the end, and frees the slot.
+/// Runs a generation, frees its slot and forgets the run once it can't be resumed any more.
 pub(super) async fn generate(shared: Arc<Shared>, run: Arc<Run>, slot: Slot) {
     let state = tokio::select! {
-        state = work(&shared, &run) => state,
+        state = produce(&shared, &run) => state,
         () = run.cancel.cancelled() => RunState::Cancelled,
-        () = shared.process.dead.cancelled() => return,
+        () = shared.process.shutdown.cancelled() => return,
     };
     finish(&shared, &run, state);
     drop(slot);
@@ -96,27 +97,27 @@
     }
 }
 
-async fn work(shared: &Shared, run: &Run) -> RunState {
+async fn produce(shared: &Shared, run: &Run) -> RunState {
     if run.crash {
         tokio::time::sleep(CRASH_DELAY).await;
-        shared.process.dead.cancel();
-        // Not even an error may still reach the caller.
+        shared.process.shutdown.cancel();
+        // Never returns, so that the caller doesn't get an error answer either.
         std::future::pending().await
     }
     let prompt: u64 = run.parts.iter().map(|p| p.tokens).sum();
-    let missing = prompt.saturating_sub(run.cached_tokens);
-    tokio::time::sleep(spent(missing, shared.settings.prefill_rate)).await;
+    let uncached = prompt.saturating_sub(run.cached_tokens);
+    tokio::time::sleep(time_for(uncached, shared.settings.prefill_rate)).await;
     let mut start = Instant::now();
-    let mut unread = None;
+    let mut unread_since = None;
     for emitted in 1..=run.tokens.len() {
-        let due = start + spent(emitted as u64, shared.settings.decode_rate);
-        if due.saturating_duration_since(Instant::now()) >= TICK {
+        let due = start + time_for(emitted as u64, shared.settings.decode_rate);
+        if due.saturating_duration_since(Instant::now()) >= TIMER_STEP {
             tokio::time::sleep_until(due).await;
         }
         let paused = Instant::now();
-        shared.process.thawed().await;
+        shared.process.wait_while_frozen().await;
         start += paused.elapsed();
-        if abandoned(shared, run, &mut unread) {
+        if abandoned(shared, run, &mut unread_since) {
             return RunState::Cancelled;
         }
         run.progress.send_modify(|p| p.emitted = emitted);
@@ -124,26 +125,28 @@
     RunState::Finished
 }
 
-/// Tells whether nobody has read the run for as long as it may be resumed.
-fn abandoned(shared: &Shared, run: &Run, unread: &mut Option<Instant>) -> bool {
+/// Tells whether the run has had no reader for longer than it can be resumed.
+fn abandoned(shared: &Shared, run: &Run, unread_since: &mut Option<Instant>) -> bool {
     if run.readers.load(Ordering::Relaxed) > 0 {
-        *unread = None;
+        *unread_since = None;
         return false;
     }
-    let since = unread.get_or_insert_with(Instant::now);
+    let since = unread_since.get_or_insert_with(Instant::now);
     since.elapsed() >= Duration::from_millis(shared.settings.resume_ms)
 }
 
-fn spent(tokens: u64, rate: u64) -> Duration {
+fn time_for(tokens: u64, rate: u64) -> Duration {
     Duration::from_secs_f64(tokens as f64 / rate.max(1) as f64)
 }
 
-/// Files the prefix and counts, before readers learn of the end.
+/// Updates the prefix cache and the statistics, then notifies the readers.
+///
+/// In this order, statistics that are read after an answer include it.
 fn finish(shared: &Shared, run: &Run, state: RunState) {
     let emitted = run.progress.borrow().emitted;
     {
         let mut inner = shared.lock();
-        inner.remembered.end(&run.dispatch, state, emitted as u64);
+        inner.history.end(&run.dispatch, state, emitted as u64);
         match state {
             RunState::Finished => inner.counts.finished += 1,
             RunState::Cancelled | RunState::Running => inner.counts.cancelled += 1,
--- a/crates/standin/src/engine/slots.rs
+++ b/crates/standin/src/engine/slots.rs
@@ -1,4 +1,4 @@
-//! Slots of the running batch, with a bounded queue in order of priority.
+//! Slots of the running batch, with a bounded priority queue.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -6,7 +6,7 @@
 
 use tokio::sync::oneshot;
 
-/// The batch's slots.
+/// Slots of the running batch and the calls that wait for one.
 pub(super) struct Slots {
     state: Mutex<State>,
 }
@@ -14,47 +14,47 @@
 struct State {
     running: u32,
     slots: u32,
-    queue: usize,
+    queue_limit: usize,
     arrivals: u64,
-    waiting: BTreeMap<Place, oneshot::Sender<Slot>>,
+    waiting: BTreeMap<QueueKey, oneshot::Sender<Slot>>,
 }
 
-/// Larger priority first, then earlier arrival.
-type Place = (Reverse<i64>, u64);
+/// Sorts by descending priority, then by arrival.
+type QueueKey = (Reverse<i64>, u64);
 
-/// One slot, given back when dropped.
+/// An occupied slot, which passes to the next waiting call when dropped.
 pub(super) struct Slot {
     slots: Arc<Slots>,
 }
 
 impl Slots {
-    pub(super) fn new(slots: u32, queue: usize) -> Arc<Slots> {
-        let state = State { running: 0, slots, queue, arrivals: 0, waiting: BTreeMap::new() };
+    pub(super) fn new(slots: u32, queue_limit: usize) -> Arc<Slots> {
+        let state = State { running: 0, slots, queue_limit, arrivals: 0, waiting: BTreeMap::new() };
         Arc::new(Slots { state: Mutex::new(state) })
     }
 
-    /// Waits for a slot; `None` when the queue is full.
+    /// Waits for a slot. Returns `None` if the queue is full.
     pub(super) async fn acquire(self: &Arc<Slots>, priority: i64) -> Option<Slot> {
-        let turn = {
+        let receiver = {
             let mut state = self.lock();
             if state.running < state.slots {
                 state.running += 1;
                 return Some(self.slot());
             }
             state.waiting.retain(|_, sender| !sender.is_closed());
-            if state.waiting.len() >= state.queue {
+            if state.waiting.len() >= state.queue_limit {
                 return None;
             }
             state.arrivals += 1;
-            let place = (Reverse(priority), state.arrivals);
+            let key = (Reverse(priority), state.arrivals);
             let (sender, receiver) = oneshot::channel();
-            state.waiting.insert(place, sender);
+            state.waiting.insert(key, sender);
             receiver
         };
-        turn.await.ok()
+        receiver.await.ok()
     }
 
-    /// Returns how many run and how many wait.
+    /// Returns the numbers of running and of waiting calls.
     pub(super) fn counts(&self) -> (u32, u32) {
         let state = self.lock();
         let waiting = state.waiting.values().filter(|s| !s.is_closed()).count();
@@ -81,7 +81,7 @@
             next
         };
         if let Some((_, sender)) = next {
-            // A waiter that hung up hands the slot back, and its drop serves the next one.
+            // If the waiting call was dropped, `send` returns the slot, whose drop serves the next.
             let _ = sender.send(self.slots.slot());
         }
     }
--- a/crates/standin/src/engine/state.rs
+++ b/crates/standin/src/engine/state.rs
@@ -1,4 +1,4 @@
-//! State that the engine's handlers share.
+//! State of the engine.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -14,29 +14,29 @@
 use super::run::Run;
 use super::settings::EngineSettings;
 use super::slots::Slots;
-use super::stats::{EngineCounts, EngineStats, ProgramMemory, Remembered};
+use super::stats::{DispatchHistory, EngineCounts, EngineStats, ProgramMemory};
 use crate::announce::{Load, ModelVersion};
 use crate::process::Process;
 
-/// The engine behind its handlers.
+/// State shared by the engine's handlers and generations.
 pub(super) struct Shared {
     pub(super) settings: EngineSettings,
     pub(super) process: Process,
     pub(super) slots: Arc<Slots>,
-    pub(super) announce: Arc<Notify>,
-    serial: AtomicU64,
+    pub(super) announce_wake: Arc<Notify>,
+    next_id: AtomicU64,
     state: Mutex<State>,
 }
 
-/// What changes while the engine runs.
+/// Mutable state of the engine.
 pub(super) struct State {
     pub(super) models: Vec<ModelVersion>,
     pub(super) leaving: bool,
-    pub(super) fence: u64,
+    pub(super) highest_fence: u64,
     pub(super) cache: PrefixCache,
     pub(super) reports: Reports,
     pub(super) counts: EngineCounts,
-    pub(super) remembered: Remembered,
+    pub(super) history: DispatchHistory,
     pub(super) runs: HashMap<CompactString, Arc<Run>>,
 }
 
@@ -45,18 +45,18 @@
         let state = State {
             models: settings.models.clone(),
             leaving: false,
-            fence: 0,
+            highest_fence: 0,
             cache: PrefixCache::new(settings.cache_tokens),
             reports: Reports::new(settings.reports),
             counts: EngineCounts::default(),
-            remembered: Remembered::default(),
+            history: DispatchHistory::default(),
             runs: HashMap::new(),
         };
         Arc::new(Shared {
             process: Process::new(),
             slots: Slots::new(settings.slots, settings.queue),
-            announce: Arc::new(Notify::new()),
-            serial: AtomicU64::new(0),
+            announce_wake: Arc::new(Notify::new()),
+            next_id: AtomicU64::new(0),
             state: Mutex::new(state),
             settings,
         })
@@ -66,23 +66,23 @@
         self.state.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// Tells whether no call runs or waits and every answer was read.
+    /// Tells whether no call runs or waits and no answer is being read.
     pub(super) fn is_idle(&self) -> bool {
         let read = |run: &Arc<Run>| run.readers.load(Ordering::Relaxed) == 0;
         self.slots.counts() == (0, 0) && self.lock().runs.values().all(read)
     }
 
-    /// Returns an id for a call that brought none.
+    /// Returns a new id for a call without a dispatch id.
     pub(super) fn local_id(&self) -> CompactString {
-        let serial = self.serial.fetch_add(1, Ordering::Relaxed);
-        compact_str::format_compact!("local-{serial}")
+        let id = self.next_id.fetch_add(1, Ordering::Relaxed);
+        compact_str::format_compact!("local-{id}")
     }
 
-    /// Returns the load as the engine reports it.
+    /// Returns the load that the engine reports, which lags behind as configured.
     pub(super) fn load(&self) -> Load {
         let (running, waiting) = self.slots.counts();
         let mut state = self.lock();
-        let cached_tokens = state.cache.held();
+        let cached_tokens = state.cache.held_tokens();
         state.reports.load(Instant::now(), Load { running, waiting, cached_tokens, age_ms: 0 })
     }
 
@@ -90,7 +90,7 @@
         let state = self.lock();
         EngineStats {
             counts: state.counts,
-            dispatches: state.remembered.all(),
+            dispatches: state.history.all(),
             programs: state.programs(),
         }
     }
@@ -98,6 +98,9 @@
 
 impl State {
     /// Returns the loaded model that a request asks for.
+    ///
+    /// A version in the request's model name takes precedence over `version`. Without either, the
+    /// version loaded last is used.
     pub(super) fn model(
         &self,
         request: &ChatRequest,
@@ -124,7 +127,7 @@
         self.cache.iter().map(memory).collect()
     }
 
-    /// Files a program's prefix and counts what it pushed out.
+    /// Stores a program's prefix and counts the evictions that it causes.
     pub(super) fn store(&mut self, program: &str, model: ModelVersion, parts: Vec<Part>) {
         let changes = self.cache.store(program, model, parts);
         let evicted = changes.iter().filter(|e| e.evicted);
@@ -132,7 +135,7 @@
         self.reports.add(Instant::now(), changes);
     }
 
-    /// Frees a program's memory by order of the system.
+    /// Removes a program from the prefix cache and returns how many tokens it had there.
     pub(super) fn release(&mut self, program: &str) -> u64 {
         let tokens = self.cache.remove(program);
         if tokens == 0 {
@@ -145,7 +148,7 @@
     }
 }
 
-/// Writes a model as `model@version`.
+/// Formats a model as `model@version`.
 pub(super) fn format_model(model: &ModelVersion) -> CompactString {
     format_args!("{}@{}", model.model, model.version).to_compact_string()
 }
--- a/crates/standin/src/service/state.rs
+++ b/crates/standin/src/service/state.rs
@@ -1,4 +1,4 @@
-//! What the service did, key by key.
+//! State of the service and its record of runs by key.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -10,82 +10,82 @@
 use super::settings::ServiceSettings;
 use crate::process::Process;
 
-/// How often one key ran.
+/// Runs of one idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct KeyStats {
     /// Idempotency key; calls without one are counted under the empty key.
     pub key: CompactString,
-    /// Operation that ran.
+    /// Operation of the key's first run.
     pub operation: CompactString,
-    /// How often the operation took effect.
+    /// Number of times that an operation took effect.
     pub runs: u64,
-    /// Dispatches that ran it, in order.
+    /// Ids of the dispatches that ran it, in order.
     pub dispatches: Vec<CompactString>,
 }
 
-/// Everything a service tells about itself.
+/// Statistics of a service since its start.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct ServiceStats {
-    /// Keys that took effect, in order.
+    /// Keys that took effect, sorted by key.
     pub keys: Vec<KeyStats>,
-    /// Calls that arrived, refused ones included.
+    /// Calls received, including refused ones.
     pub calls: u64,
     /// Calls refused before they started.
     pub refused: u64,
-    /// What is left of the stock.
+    /// Number of times that the operation `slots` can still succeed.
     pub stock: u64,
 }
 
 impl ServiceStats {
-    /// Returns how often a key took effect.
+    /// Returns the number of times that a key took effect.
     pub fn runs(&self, key: &str) -> u64 {
         self.keys.iter().filter(|k| k.key == key).map(|k| k.runs).sum()
     }
 }
 
-/// The service behind its handlers.
+/// State shared by the service's handlers.
 pub(super) struct Shared {
     pub(super) settings: ServiceSettings,
     pub(super) process: Process,
-    pub(super) announce: Arc<Notify>,
+    pub(super) announce_wake: Arc<Notify>,
     pub(super) slots: Semaphore,
     state: Mutex<State>,
 }
 
-/// What changes while the service runs.
+/// Mutable state of the service.
 pub(super) struct State {
     pub(super) leaving: bool,
-    /// Calls admitted and not answered yet.
+    /// Calls in flight, including those that wait for a slot.
     pub(super) running: u32,
     pub(super) calls: u64,
     pub(super) refused: u64,
-    pub(super) latest: Option<Answered>,
+    pub(super) last_answer: Option<RecordedAnswer>,
     stock: u64,
-    keys: BTreeMap<CompactString, Effect>,
+    keys: BTreeMap<CompactString, KeyRecord>,
 }
 
-/// A call that took effect, as the next crossed answer would show it.
+/// The latest answer, which is repeated for the next [`Fault::Crossed`](super::Fault::Crossed).
 #[derive(Clone)]
-pub(super) struct Answered {
+pub(super) struct RecordedAnswer {
     pub(super) dispatch: CompactString,
     pub(super) receipt: Receipt,
 }
 
 #[derive(Clone)]
-struct Effect {
+struct KeyRecord {
     stats: KeyStats,
     receipt: Receipt,
 }
 
-/// The answer of an operation.
+/// Answer to a call.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct Receipt {
     pub(super) service: CompactString,
     pub(super) operation: CompactString,
     pub(super) key: CompactString,
-    /// Number of the effect under this key, one for the first.
+    /// Number of the run among those with this key, from one.
     pub(super) run: u64,
-    /// Whether the stock had one left to give.
+    /// Whether the operation succeeded; only `slots` can fail, when the stock is used up.
     pub(super) granted: bool,
 }
 
@@ -96,13 +96,13 @@
             running: 0,
             calls: 0,
             refused: 0,
-            latest: None,
+            last_answer: None,
             stock: settings.stock,
             keys: BTreeMap::new(),
         };
         Arc::new(Shared {
             process: Process::new(),
-            announce: Arc::new(Notify::new()),
+            announce_wake: Arc::new(Notify::new()),
             slots: Semaphore::new(settings.slots as usize),
             state: Mutex::new(state),
             settings,
@@ -115,7 +115,9 @@
 }
 
 impl State {
-    /// Lets an operation take effect, again if its key ran before: the service trusts the system.
+    /// Runs an operation and records it.
+    ///
+    /// Repeated keys are not deduplicated, so that tests can detect double execution.
     pub(super) fn apply(
         &mut self,
         service: &str,
@@ -134,7 +136,7 @@
             run: 1,
             granted,
         };
-        let effect = self.keys.entry(key.into()).or_insert_with(|| Effect {
+        let record = self.keys.entry(key.into()).or_insert_with(|| KeyRecord {
             stats: KeyStats {
                 key: key.into(),
                 operation: operation.into(),
@@ -143,10 +145,10 @@
             },
             receipt: receipt.clone(),
         });
-        effect.stats.runs += 1;
-        effect.stats.dispatches.push(dispatch.into());
-        receipt.run = effect.stats.runs;
-        effect.receipt = receipt.clone();
+        record.stats.runs += 1;
+        record.stats.dispatches.push(dispatch.into());
+        receipt.run = record.stats.runs;
+        record.receipt = receipt.clone();
         receipt
     }
 
--- a/crates/standin/src/weights.rs
+++ b/crates/standin/src/weights.rs
@@ -1,4 +1,4 @@
-//! Stand-in weight store: one rate for all readers together.
+//! Stand-in weight store whose readers share a limited transfer rate.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -16,15 +16,15 @@
 
 use crate::process::Process;
 
-/// Bytes sent at a time.
+/// Largest chunk of a response, in bytes.
 const CHUNK_BYTES: u64 = 64 << 10;
 
-/// How the store behaves.
+/// Settings of a weight store.
 #[derive(Clone, Debug)]
 pub struct WeightSettings {
-    /// Where it listens; port zero takes a free one.
+    /// Address to listen on. Port zero selects a free port.
     pub listen: SocketAddr,
-    /// Bytes a second, shared by all readers.
+    /// Transfer rate in bytes per second, shared by all readers.
     pub rate: u64,
     /// Size of each model version in bytes.
     pub size: u64,
@@ -37,7 +37,7 @@
     }
 }
 
-/// A running weight store; it dies when the handle is dropped.
+/// A running weight store, which stops when the handle is dropped.
 pub struct WeightStore {
     address: SocketAddr,
     shared: Arc<Shared>,
@@ -46,24 +46,24 @@
 struct Shared {
     settings: WeightSettings,
     process: Process,
-    state: Mutex<Pace>,
+    state: Mutex<Throttle>,
 }
 
-/// When the next chunk may leave, and what was read so far.
-struct Pace {
-    next: Instant,
+/// Rate limiter of the store, with the number of reads so far.
+struct Throttle {
+    next_send: Instant,
     reads: u64,
 }
 
 impl WeightStore {
-    /// Starts a store.
+    /// Starts a store and listens on the configured address.
     ///
     /// # Errors
     ///
-    /// Fails when the address can't be listened on.
+    /// Fails if the address can't be bound.
     pub async fn start(settings: WeightSettings) -> anyhow::Result<WeightStore> {
         let listen = settings.listen;
-        let state = Mutex::new(Pace { next: Instant::now(), reads: 0 });
+        let state = Mutex::new(Throttle { next_send: Instant::now(), reads: 0 });
         let shared = Arc::new(Shared { settings, process: Process::new(), state });
         let router = Router::new()
             .route("/v1/weights/{model}/{version}", get(read))
@@ -72,12 +72,12 @@
         Ok(WeightStore { address, shared })
     }
 
-    /// Returns where the store listens.
+    /// Returns the address that the store listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Returns how many reads were begun.
+    /// Returns the number of reads that were started.
     pub fn reads(&self) -> u64 {
         self.shared.lock().reads
     }
@@ -85,21 +85,21 @@
 
 impl Drop for WeightStore {
     fn drop(&mut self) {
-        self.shared.process.dead.cancel();
+        self.shared.process.shutdown.cancel();
     }
 }
 
 impl Shared {
-    fn lock(&self) -> std::sync::MutexGuard<'_, Pace> {
+    fn lock(&self) -> std::sync::MutexGuard<'_, Throttle> {
         self.state.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// Takes the next place in the common pace and returns when it is due.
-    fn place(&self, bytes: u64) -> Instant {
+    /// Reserves the transfer of `bytes` and returns the time at which they may be sent.
+    fn reserve(&self, bytes: u64) -> Instant {
         let cost = Duration::from_secs_f64(bytes as f64 / self.settings.rate.max(1) as f64);
-        let mut pace = self.lock();
-        pace.next = pace.next.max(Instant::now()) + cost;
-        pace.next
+        let mut throttle = self.lock();
+        throttle.next_send = throttle.next_send.max(Instant::now()) + cost;
+        throttle.next_send
     }
 }
 
@@ -108,15 +108,15 @@
     Path((_model, _version)): Path<(CompactString, CompactString)>,
 ) -> Response {
     shared.lock().reads += 1;
-    let left = shared.settings.size;
-    let chunks = stream::unfold((shared, left), |(shared, left)| async move {
-        if left == 0 {
+    let remaining = shared.settings.size;
+    let chunks = stream::unfold((shared, remaining), |(shared, remaining)| async move {
+        if remaining == 0 {
             return None;
         }
-        let bytes = left.min(CHUNK_BYTES);
-        tokio::time::sleep_until(shared.place(bytes)).await;
+        let bytes = remaining.min(CHUNK_BYTES);
+        tokio::time::sleep_until(shared.reserve(bytes)).await;
         let chunk = Bytes::from(vec![0; bytes as usize]);
-        Some((Ok::<_, std::convert::Infallible>(chunk), (shared, left - bytes)))
+        Some((Ok::<_, std::convert::Infallible>(chunk), (shared, remaining - bytes)))
     });
     Body::from_stream(chunks).into_response()
 }
