--- a/crates/gypsumglade/src/cli/bundle.rs
+++ b/crates/gypsumglade/src/cli/bundle.rs
@@ -186,7 +186,7 @@
     seconds: u64,
     output: Output,
 ) -> Result<(), Failure> {
-    let answer = client.command(command).map_err(|f| f.with_unknown_advice(RESEND_ADVICE))?;
+    let answer = client.command(command).map_err(|f| f.with_resend_advice(RESEND_ADVICE))?;
     let accepted = orders::outcome(answer)?;
     let report = wait_in_force(client, &accepted, Duration::from_secs(seconds))?;
     output.print(&report)?;
--- a/crates/gypsumglade/src/cli/failure.rs
+++ b/crates/gypsumglade/src/cli/failure.rs
@@ -74,8 +74,8 @@
         Failure { findings: Some(findings), ..failure }
     }
 
-    /// Replaces the advice of a failure of kind [`FailureKind::Unknown`].
-    pub(super) fn with_unknown_advice(self, advice: &'static str) -> Failure {
+    /// Replaces the advice if the answer was lost ([`FailureKind::Unknown`]).
+    pub(super) fn with_resend_advice(self, advice: &'static str) -> Failure {
         match self.kind {
             FailureKind::Unknown => Failure { advice, ..self },
             _ => self,
--- a/crates/gypsumglade/src/listener.rs
+++ b/crates/gypsumglade/src/listener.rs
@@ -60,7 +60,7 @@
         B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
     {
         let socket = TcpListener::bind(address).await.with_context(|| {
-            format!("cannot listen on {address}: free the port or change `listen` in the settings")
+            format!("can't listen on {address}: free the port or change `listen` in the settings")
         })?;
         let address = socket.local_addr()?;
         let task = tokio::spawn(accept_loop(socket, service, options, stop));
--- a/crates/gypsumglade/src/membership/mod.rs
+++ b/crates/gypsumglade/src/membership/mod.rs
@@ -89,13 +89,14 @@
 ///
 /// Fails if the address can't be bound, or if other VMs can't reach it.
 pub fn start(settings: MembershipSettings) -> anyhow::Result<Handle> {
-    let socket = UdpSocket::bind(settings.bind)
-        .with_context(|| format!("membership can't listen on {}: choose another", settings.bind))?;
+    let socket = UdpSocket::bind(settings.bind).with_context(|| {
+        format!("membership can't listen on {}: choose another address", settings.bind)
+    })?;
     socket.set_nonblocking(true)?;
     let socket = tokio::net::UdpSocket::from_std(socket)?;
     let address = settings.advertise.unwrap_or(socket.local_addr()?);
     if address.ip().is_unspecified() {
-        bail!("others can't reach {address}: set the advertised membership address");
+        bail!("other VMs can't reach {address}: set the advertised membership address");
     }
     let started = tokio::time::Instant::now();
     let membership = core::Membership::new(core_settings(&settings, address), Time::ZERO);
--- a/crates/gypsumglade/src/rpc/client.rs
+++ b/crates/gypsumglade/src/rpc/client.rs
@@ -179,6 +179,7 @@
         if slot.failed_at.is_some_and(|failed| failed.elapsed() < RECONNECT_BACKOFF) {
             return Err(RpcError::Unreachable(address));
         }
+        // Set beforehand, since the caller's timeout may cancel the attempt.
         slot.failed_at = Some(Instant::now());
         let client = self.open(address).await.ok_or(RpcError::Unreachable(address));
         slot.failed_at = client.is_err().then(Instant::now);
--- a/crates/gypsumglade/src/settings/discovery.rs
+++ b/crates/gypsumglade/src/settings/discovery.rs
@@ -30,7 +30,7 @@
             findings.add("discovery.seeds", "nothing", "the address of at least one store");
         }
         if self.domains.get(&vm.domain) != Some(&vm.region) {
-            let allowed = "the region of vm.domain, as vm.region names it";
+            let allowed = "vm.domain with the region in vm.region";
             findings.add("discovery.domains", format_args!("{:?}", self.domains), allowed);
         }
     }
--- a/crates/gypsumglade/src/settings/mod.rs
+++ b/crates/gypsumglade/src/settings/mod.rs
@@ -142,8 +142,7 @@
         role.text()
     }
 
-    /// Returns the names of all failure domains, sorted so that their positions are the same on every
-    /// VM.
+    /// Returns the names of all failure domains, sorted so that positions are the same on every VM.
     pub fn domains(&self) -> Vec<CompactString> {
         if let Some(discovery) = &self.discovery {
             return discovery.domains.keys().cloned().collect();
@@ -152,7 +151,7 @@
         sorted(peers.chain([self.vm.domain.clone()]).collect())
     }
 
-    /// Returns the names of all regions, sorted so that their positions are the same on every VM.
+    /// Returns the names of all regions, sorted so that positions are the same on every VM.
     pub fn regions(&self) -> Vec<CompactString> {
         if let Some(discovery) = &self.discovery {
             return sorted(discovery.domains.values().cloned().collect());
--- a/crates/gypsumglade/src/settings/operators.rs
+++ b/crates/gypsumglade/src/settings/operators.rs
@@ -29,7 +29,7 @@
                 findings.add(&place, format_args!("{key:?}"), allowed);
             }
             if self.keys[..i].contains(key) {
-                findings.add(&place, format_args!("{key:?} again"), "each key once");
+                findings.add(&place, format_args!("{key:?} a second time"), "each key once");
             }
         }
         let count = self.keys.len() as u64;
--- a/crates/gypsumglade/src/settings/policy.rs
+++ b/crates/gypsumglade/src/settings/policy.rs
@@ -40,7 +40,7 @@
         ];
         for (place, price) in prices {
             if !(0.0..=MAX_PRICE).contains(&price) {
-                findings.add(place, price, "seconds for a megabyte, from 0 to 100000");
+                findings.add(place, price, "0 to 100000 seconds per megabyte");
             }
         }
     }
--- a/crates/gypsumglade/src/settings/store.rs
+++ b/crates/gypsumglade/src/settings/store.rs
@@ -69,7 +69,7 @@
             findings.add("store.signer", "a secret", "64 hexadecimal digits");
         }
         if self.folder.as_os_str().is_empty() {
-            findings.add("store.folder", "an empty path", "a folder on a disk that syncs");
+            findings.add("store.folder", "an empty path", "the path of a folder on a durable disk");
         }
         findings.check_range("store.heartbeat_ms", self.heartbeat_ms, 10..=10_000, "milliseconds");
         findings.check_range("store.tolerate", u64::from(self.tolerate), 0..=4, "VMs");
--- a/crates/gypsumglade/src/tls.rs
+++ b/crates/gypsumglade/src/tls.rs
@@ -72,5 +72,5 @@
 }
 
 fn read(path: &Path) -> anyhow::Result<Vec<u8>> {
-    std::fs::read(path).with_context(|| format!("cannot read {}", path.display()))
+    std::fs::read(path).with_context(|| format!("can't read {}", path.display()))
 }
