--- a/crates/standin/src/engine/settings.rs
+++ b/crates/standin/src/engine/settings.rs
@@ -59,7 +59,7 @@
     pub load_lag_ms: u64,
     /// Delay of cache events in milliseconds.
     pub event_delay_ms: u64,
-    /// Every how many cache events one is dropped. Zero drops none.
+    /// Drops each cache event whose number is a multiple of this. Zero drops none.
     pub event_gap: u64,
 }
 
