--- a/crates/core/tests/control_endpoints.rs
+++ b/crates/core/tests/control_endpoints.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn register_renewal_is_no_news() {
+fn register_renewal_is_no_change() {
     let mut control = Control::new();
     register(&mut control, record("one", 5, 1));
 
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn register_same_name_started_anew() {
+fn register_same_name_after_restart() {
     let mut control = Control::new();
     register(&mut control, EndpointRecord { leaving: true, ..record("one", 5, 9) });
     register(&mut control, record("one", 6, 1));
@@ -78,7 +78,7 @@
 /// An endpoint crashes and its address goes to another. A report of the first one was held back by
 /// a partition and arrives now. It must not take the address away from the endpoint that runs there.
 #[test]
-fn register_late_report_of_former_tenant() {
+fn register_late_report_of_replaced_endpoint() {
     let mut control = Control::new();
     let address = "10.0.0.7:8000".to_owned();
     register(&mut control, EndpointRecord { address: address.clone(), ..record("old", 5, 1) });
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn deregister_older_start() {
+fn deregister_older_incarnation() {
     let mut control = Control::new();
     register(&mut control, record("one", 6, 1));
     deregister(&mut control, "one", 5);
@@ -112,13 +112,13 @@
 }
 
 #[test]
-fn news_only_when_changed() {
+fn changes_since_empty_when_unchanged() {
     let mut control = Control::new();
     register(&mut control, record("one", 5, 1));
-    let news = control.endpoints().changes_since(0);
-    assert_eq!((news.change, news.endpoints.len()), (1, 1));
+    let changes = control.endpoints().changes_since(0);
+    assert_eq!((changes.change, changes.endpoints.len()), (1, 1));
 
-    assert!(control.endpoints().changes_since(news.change).endpoints.is_empty());
+    assert!(control.endpoints().changes_since(changes.change).endpoints.is_empty());
 }
 
 /// A replica that was restored from a snapshot must decide like those that applied every command:
@@ -141,16 +141,16 @@
 }
 
 /// Names of the endpoints that are told of, and of those told as gone.
-fn told(control: &Control, seen: u64) -> (Vec<String>, Vec<String>) {
-    let news = control.endpoints().changes_since(seen);
-    (news.endpoints.into_iter().map(|record| record.name).collect(), news.gone)
+fn reported(control: &Control, seen: u64) -> (Vec<String>, Vec<String>) {
+    let changes = control.endpoints().changes_since(seen);
+    (changes.endpoints.into_iter().map(|record| record.name).collect(), changes.gone)
 }
 
 /// Endpoints are replaced one after another, and every entry VM asks after each change. What it is
 /// told must be what changed, or a deployment's own messages fill the links between its failure
 /// domains.
 #[test]
-fn news_tells_only_changes() {
+fn changes_since_lists_only_changes() {
     let mut control = Control::new();
     for (index, name) in ["a", "bb", "ccc"].into_iter().enumerate() {
         register(&mut control, record(name, 1 + index as u64, 1));
@@ -159,44 +159,44 @@
     register(&mut control, EndpointRecord { leaving: true, ..record("bb", 2, 2) });
     deregister(&mut control, "ccc", 3);
 
-    assert_eq!(told(&control, seen), (vec!["bb".to_owned()], vec!["ccc".to_owned()]));
+    assert_eq!(reported(&control, seen), (vec!["bb".to_owned()], vec!["ccc".to_owned()]));
     assert!(control.endpoints().changes_since(seen).delta);
-    assert_eq!(told(&control, control.endpoints().change()), (Vec::new(), Vec::new()));
+    assert_eq!(reported(&control, control.endpoints().change()), (Vec::new(), Vec::new()));
 }
 
 /// An address is taken over by another endpoint. The former one must not go on getting calls at an
 /// entry VM that is told only of changes.
 #[test]
-fn news_tells_of_evicted() {
+fn changes_since_lists_evicted() {
     let mut control = Control::new();
     register(&mut control, record("one", 5, 1));
     let seen = control.endpoints().change();
     register(&mut control, record("two", 6, 1));
 
-    assert_eq!(told(&control, seen), (vec!["two".to_owned()], vec!["one".to_owned()]));
+    assert_eq!(reported(&control, seen), (vec!["two".to_owned()], vec!["one".to_owned()]));
 }
 
 #[test]
-fn news_tells_all_to_newcomer() {
+fn changes_since_lists_all_for_new_caller() {
     let mut control = Control::new();
     register(&mut control, record("a", 5, 1));
     register(&mut control, record("bb", 6, 1));
 
     assert!(!control.endpoints().changes_since(0).delta);
-    assert_eq!(told(&control, 0).0, ["a", "bb"]);
+    assert_eq!(reported(&control, 0).0, ["a", "bb"]);
 }
 
 /// A leader was restored from a snapshot, which does not say what the changes before it touched. An
 /// asker that lacks some of them must be told all, or it would keep endpoints that are gone.
 #[test]
-fn news_tells_all_after_restore() {
+fn changes_since_lists_all_after_restore() {
     let mut control = Control::new();
     register(&mut control, record("a", 5, 1));
     let seen = control.endpoints().change();
     register(&mut control, record("bb", 6, 1));
     let restored = Control::restore(&control.snapshot()).expect("own snapshot");
 
-    let news = restored.endpoints().changes_since(seen);
-    assert!(!news.delta);
-    assert_eq!(news.endpoints.len(), 2);
+    let changes = restored.endpoints().changes_since(seen);
+    assert!(!changes.delta);
+    assert_eq!(changes.endpoints.len(), 2);
 }
--- a/crates/core/tests/control_placement.rs
+++ b/crates/core/tests/control_placement.rs
@@ -56,7 +56,7 @@
     caught_up: bool,
 }
 
-struct World {
+struct Simulation {
     control: Control,
     settings: PlanSettings,
     stores: Vec<StoreVm>,
@@ -64,8 +64,8 @@
     planned: Vec<Command>,
 }
 
-impl World {
-    fn new(mutation: Mutation, settings: PlanSettings) -> World {
+impl Simulation {
+    fn new(mutation: Mutation, settings: PlanSettings) -> Simulation {
         let store = |vm: u32| StoreVm {
             vm: VmId(vm),
             domain: DomainId((vm % DOMAINS) as u16),
@@ -76,7 +76,7 @@
         let mut control = Control::with_mutation(mutation);
         control.apply(&create(GROUPS, &stores, &settings).expect("stores are up"));
         let logs = vec![Log::default(); GROUPS as usize];
-        World { control, settings, stores, logs, planned: Vec::new() }
+        Simulation { control, settings, stores, logs, planned: Vec::new() }
     }
 
     fn run(&mut self, action: &Action) -> Result<(), TestCaseError> {
@@ -158,8 +158,8 @@
 fn check_group(group: &GroupPlacement) -> Result<(), TestCaseError> {
     let voters = group.replicas.iter().filter(|replica| replica.role() == ReplicaRole::Voter);
     prop_assert!(voters.count() >= 3, "fewer than three voters: {group:?}");
-    let staying = group.replicas.iter().filter(|replica| Some(replica.vm) != group.retiring);
-    let mut domains: Vec<u32> = staying.map(|replica| replica.domain).collect();
+    let remaining = group.replicas.iter().filter(|replica| Some(replica.vm) != group.retiring);
+    let mut domains: Vec<u32> = remaining.map(|replica| replica.domain).collect();
     domains.sort_unstable();
     prop_assert_eq!(domains, vec![0, 1, 2], "replicas share a domain");
     Ok(())
@@ -173,8 +173,8 @@
     let settings = PlanSettings { mutation: plan, ..PlanSettings::default() };
     let actions = prop::collection::vec(action(), 1..200);
     let result = TestRunner::new(config).run(&actions, |actions| {
-        let mut world = World::new(mutation, settings);
-        actions.iter().try_for_each(|action| world.run(action))
+        let mut simulation = Simulation::new(mutation, settings);
+        actions.iter().try_for_each(|action| simulation.run(action))
     });
     result.map_err(|error| error.to_string())
 }
@@ -202,7 +202,7 @@
 }
 
 #[test]
-fn plan_replacing_an_absent_vm_is_caught() {
+fn plan_replacing_an_unreachable_vm_is_caught() {
     assert!(run(Mutation::None, PlanMutation::ReplaceUnreachable, 5_000).is_err());
 }
 
@@ -212,16 +212,16 @@
 }
 
 /// Runs planner and logs until nothing is left to do.
-fn settle(world: &mut World) {
+fn run_to_completion(simulation: &mut Simulation) {
     for _ in 0..100 {
-        world.planned.clear();
-        world.plan();
-        for step in std::mem::take(&mut world.planned) {
-            world.apply(&step).expect("the step keeps the rules");
+        simulation.planned.clear();
+        simulation.plan();
+        for step in std::mem::take(&mut simulation.planned) {
+            simulation.apply(&step).expect("the step keeps the rules");
         }
         for group in 0..GROUPS as usize {
-            world.run(&Action::Report { group }).expect("a report");
-            world.run(&Action::CatchUp { group }).expect("a learner catches up");
+            simulation.run(&Action::Report { group }).expect("a report");
+            simulation.run(&Action::CatchUp { group }).expect("a learner catches up");
         }
     }
 }
@@ -230,16 +230,16 @@
 fn plan_second_loss_right_after_repair() {
     // A VM is lost for good and replaced. Right after the repair a second VM of the same groups
     // goes. Every group must end with three voters that are up, in three domains.
-    let mut world = World::new(Mutation::None, PlanSettings::default());
+    let mut simulation = Simulation::new(Mutation::None, PlanSettings::default());
     for _ in 0..2 {
-        let vm = world.control.groups()[0].replicas[0].vm as usize;
-        world.stores[vm - 1].availability = Availability::Lost;
-        settle(&mut world);
+        let vm = simulation.control.groups()[0].replicas[0].vm as usize;
+        simulation.stores[vm - 1].availability = Availability::Lost;
+        run_to_completion(&mut simulation);
     }
-    for group in world.control.groups() {
+    for group in simulation.control.groups() {
         assert!(check_group(group).is_ok(), "{group:?}");
         assert_eq!((group.replicas.len(), group.retiring), (3, None));
-        let up = |vm: u32| world.stores[vm as usize - 1].availability == Availability::Up;
+        let up = |vm: u32| simulation.stores[vm as usize - 1].availability == Availability::Up;
         assert!(group.replicas.iter().all(|replica| up(replica.vm)), "{group:?}");
     }
 }
@@ -248,23 +248,23 @@
 fn plan_waits_when_no_domain_is_free() {
     // A whole domain is lost. Its replicas are not moved into the two that remain, where one
     // more loss would take a majority.
-    let mut world = World::new(Mutation::None, PlanSettings::default());
-    let before = world.control.groups().to_vec();
-    for store in world.stores.iter_mut().filter(|store| store.domain == DomainId(2)) {
+    let mut simulation = Simulation::new(Mutation::None, PlanSettings::default());
+    let before = simulation.control.groups().to_vec();
+    for store in simulation.stores.iter_mut().filter(|store| store.domain == DomainId(2)) {
         store.availability = Availability::Lost;
     }
-    settle(&mut world);
-    assert_eq!(world.control.groups(), before.as_slice());
+    run_to_completion(&mut simulation);
+    assert_eq!(simulation.control.groups(), before.as_slice());
 }
 
 #[test]
 fn create_balances_replicas() {
-    let world = World::new(Mutation::None, PlanSettings::default());
-    let held = |vm: u32| {
-        let replicas = world.control.groups().iter().flat_map(|group| &group.replicas);
+    let simulation = Simulation::new(Mutation::None, PlanSettings::default());
+    let replica_count = |vm: u32| {
+        let replicas = simulation.control.groups().iter().flat_map(|group| &group.replicas);
         replicas.filter(|replica| replica.vm == vm).count()
     };
-    let counts: Vec<usize> = (1..=STORES).map(held).collect();
+    let counts: Vec<usize> = (1..=STORES).map(replica_count).collect();
     assert!(counts.iter().all(|count| (1..=2).contains(count)), "{counts:?}");
 }
 
--- a/crates/core/tests/control_revisions.rs
+++ b/crates/core/tests/control_revisions.rs
@@ -137,7 +137,7 @@
     assert_eq!(fault(&roll_back(&mut control, "d", 3, 9)), Some(Fault::RevisionNotKept));
 }
 
-fn forgotten_version_answer(mutation: Mutation) -> AnswerBody {
+fn evicted_version_answer(mutation: Mutation) -> AnswerBody {
     let mut control = Control::with_mutation(mutation);
     for version in 1..=MAX_DEDUP_RECORDS as u64 + 1 {
         apply(&mut control, accept(&version.to_string(), version - 1, version, 0));
@@ -147,12 +147,12 @@
 }
 
 #[test]
-fn accept_forgotten_version_is_refused() {
+fn accept_evicted_version_is_refused() {
     // Someone keeps an old signed bundle until the group has forgotten its version, and sends
     // it again: old content would be in force without anyone signing that.
-    let answer = forgotten_version_answer(Mutation::None);
+    let answer = evicted_version_answer(Mutation::None);
     assert_eq!(fault(&answer), Some(Fault::VersionTooOld));
-    let answer = forgotten_version_answer(Mutation::NoVersionFloor);
+    let answer = evicted_version_answer(Mutation::NoVersionFloor);
     assert!(revision(&answer).is_some(), "the test must notice the missing floor");
 }
 
@@ -222,7 +222,7 @@
     let mut control = Control::with_mutation(mutation);
     let mut revisions: Vec<(u64, Digest)> = Vec::new();
     let mut versions: std::collections::HashMap<u64, Digest> = Default::default();
-    let mut orders_done: std::collections::HashMap<u8, u64> = Default::default();
+    let mut completed_orders: std::collections::HashMap<u8, u64> = Default::default();
     for order in orders {
         let before = control.history().number().0;
         let (id, base, answer) = match *order {
@@ -250,7 +250,7 @@
         let Some(current) = control.current() else { continue };
         prop_assert_eq!(Digest::of(&current.content), current.digest);
         let Some(number) = revision(&answer) else { continue };
-        if let Some(first) = orders_done.insert(id, number) {
+        if let Some(first) = completed_orders.insert(id, number) {
             prop_assert_eq!(first, number, "order {} was carried out twice", id);
         }
         if after == before {
@@ -264,8 +264,8 @@
         }
     }
     for (number, digest) in revisions {
-        let kept = control.history().find(RevisionNumber(number)).map(|found| found.digest);
-        prop_assert_eq!(kept, Some(digest));
+        let retained = control.history().find(RevisionNumber(number)).map(|found| found.digest);
+        prop_assert_eq!(retained, Some(digest));
     }
     Ok(())
 }
@@ -285,7 +285,7 @@
 }
 
 #[test]
-fn apply_racing_orders() {
+fn apply_concurrent_orders() {
     assert_eq!(run(Mutation::None, cases(CASES)), Ok(()));
 }
 
@@ -295,12 +295,12 @@
 }
 
 #[test]
-fn apply_without_order_memory_is_caught() {
+fn apply_without_order_dedup_is_caught() {
     assert_caught(Mutation::ForgetOrders);
 }
 
 #[test]
-fn apply_without_version_memory_is_caught() {
+fn apply_without_version_dedup_is_caught() {
     assert_caught(Mutation::ForgetVersions);
 }
 
@@ -310,6 +310,6 @@
 }
 
 #[test]
-fn apply_with_falling_roll_back_is_caught() {
+fn apply_with_reused_number_is_caught() {
     assert_caught(Mutation::ReuseNumber);
 }
--- a/crates/core/tests/lease_in_force.rs
+++ b/crates/core/tests/lease_in_force.rs
@@ -71,7 +71,7 @@
 }
 
 /// A leader, relays and VMs behind them, each with its own clock.
-struct World {
+struct Simulation {
     settings: LeaseSettings,
     rates: Vec<i64>,
     micros: u64,
@@ -80,14 +80,14 @@
     leader: ConfigGrants,
     nodes: Vec<Node>,
     wire: Vec<Message>,
-    lives: u64,
+    incarnations: u64,
 }
 
-impl World {
-    fn new(mutation: Mutation, rates: Vec<i64>) -> World {
+impl Simulation {
+    fn new(mutation: Mutation, rates: Vec<i64>) -> Simulation {
         let drift_ppm = DRIFT_PPM as u32;
         let settings = LeaseSettings { drift_ppm, mutation, ..LeaseSettings::default() };
-        let mut world = World {
+        let mut simulation = Simulation {
             settings,
             rates,
             micros: 1_000_000,
@@ -96,18 +96,18 @@
             leader: ConfigGrants::new(settings),
             nodes: Vec::new(),
             wire: Vec::new(),
-            lives: 0,
+            incarnations: 0,
         };
-        world.nodes = (0..NODES).map(|node| world.start(node)).collect();
-        world
+        simulation.nodes = (0..NODES).map(|node| simulation.start(node)).collect();
+        simulation
     }
 
     fn start(&mut self, node: usize) -> Node {
-        self.lives += 1;
+        self.incarnations += 1;
         let now = self.clock(node + 1);
         let vm = VmId(node as u32);
         Node {
-            lease: ConfigLease::new(self.settings, vm, self.lives, now),
+            lease: ConfigLease::new(self.settings, vm, self.incarnations, now),
             grants: ConfigGrants::new(self.settings),
         }
     }
@@ -207,10 +207,10 @@
     let rates = prop::collection::vec(prop::sample::select(vec![-DRIFT_PPM, DRIFT_PPM]), 5);
     let actions = prop::collection::vec(action(), 1..160);
     let result = TestRunner::new(config).run(&(rates, actions), |(rates, actions)| {
-        let mut world = World::new(mutation, rates);
+        let mut simulation = Simulation::new(mutation, rates);
         for action in &actions {
-            world.run(action);
-            world.check()?;
+            simulation.run(action);
+            simulation.check()?;
         }
         Ok(())
     });
@@ -234,7 +234,7 @@
 }
 
 #[test]
-fn in_force_without_wait_out_is_caught() {
+fn in_force_without_expiry_wait_is_caught() {
     assert_caught(Mutation::NoExpiryWait);
 }
 
@@ -244,22 +244,22 @@
 }
 
 #[test]
-fn in_force_without_blind_wait_is_caught() {
+fn in_force_without_grace_period_is_caught() {
     assert_caught(Mutation::NoGracePeriod);
 }
 
 #[test]
-fn in_force_with_falling_revision_is_caught() {
+fn in_force_with_downgrade_is_caught() {
     assert_caught(Mutation::AllowDowngrade);
 }
 
 #[test]
-fn in_force_with_extending_relay_is_caught() {
+fn in_force_with_relay_ignoring_limit_is_caught() {
     assert_caught(Mutation::RelayIgnoresLimit);
 }
 
 #[test]
-fn in_force_with_hidden_children_is_caught() {
+fn in_force_with_relay_hiding_children_is_caught() {
     assert_caught(Mutation::RelayHidesChildren);
 }
 
@@ -269,19 +269,19 @@
 }
 
 /// A relay restarts while a VM behind it holds a lease under the older revision.
-fn restarted_relay_world(mutation: Mutation) -> World {
-    let mut world = World::new(mutation, vec![0; NODES + 1]);
-    let exchange = |world: &mut World, node: usize, ancestor: usize| {
-        world.run(&Action::Exchange { node, ancestor });
+fn restarted_relay(mutation: Mutation) -> Simulation {
+    let mut simulation = Simulation::new(mutation, vec![0; NODES + 1]);
+    let exchange = |simulation: &mut Simulation, node: usize, ancestor: usize| {
+        simulation.run(&Action::Exchange { node, ancestor });
     };
     for node in [0, 0, 1, 1] {
-        exchange(&mut world, node, node);
+        exchange(&mut simulation, node, node);
     }
-    world.run(&Action::Commit);
-    world.run(&Action::Restart { node: 0 });
-    exchange(&mut world, 0, 0);
-    exchange(&mut world, 0, 0);
-    world
+    simulation.run(&Action::Commit);
+    simulation.run(&Action::Restart { node: 0 });
+    exchange(&mut simulation, 0, 0);
+    exchange(&mut simulation, 0, 0);
+    simulation
 }
 
 #[test]
@@ -289,26 +289,26 @@
     // A relay restarts, fetches the new revision and confirms it. It no longer knows that a VM
     // behind it, now cut off, still holds a lease under the old revision, so its word must not
     // cover what its earlier life granted.
-    let mut world = restarted_relay_world(Mutation::None);
-    let now = world.clock(2);
-    assert_eq!(world.nodes[1].lease.working_revision(now), Some(RevisionNumber(1)));
-    assert!(world.check().is_ok());
-    assert_ne!(world.leader.in_force(RevisionNumber(2), world.clock(0)), InForce::Yes);
-    world.micros += 6_000_000;
-    assert_eq!(world.nodes[1].lease.working_revision(world.clock(2)), None);
-    world.micros += 2_000_000;
-    assert_eq!(world.leader.in_force(RevisionNumber(2), world.clock(0)), InForce::Yes);
+    let mut simulation = restarted_relay(Mutation::None);
+    let now = simulation.clock(2);
+    assert_eq!(simulation.nodes[1].lease.working_revision(now), Some(RevisionNumber(1)));
+    assert!(simulation.check().is_ok());
+    assert_ne!(simulation.leader.in_force(RevisionNumber(2), simulation.clock(0)), InForce::Yes);
+    simulation.micros += 6_000_000;
+    assert_eq!(simulation.nodes[1].lease.working_revision(simulation.clock(2)), None);
+    simulation.micros += 2_000_000;
+    assert_eq!(simulation.leader.in_force(RevisionNumber(2), simulation.clock(0)), InForce::Yes);
 }
 
 #[test]
-fn in_force_with_forgotten_lives_is_caught() {
+fn in_force_without_incarnation_check_is_caught() {
     // The random property meets this order of events too seldom, so it is scripted.
-    let mut world = restarted_relay_world(Mutation::IgnoreIncarnation);
-    assert!(world.check().is_err(), "vm1 acts on an old revision unnoticed");
+    let mut simulation = restarted_relay(Mutation::IgnoreIncarnation);
+    assert!(simulation.check().is_err(), "vm1 acts on an old revision unnoticed");
 }
 
 #[test]
-fn in_force_waits_for_a_silent_vm_until_its_lease_is_over() {
+fn in_force_waits_for_an_unreachable_vm_until_its_lease_expires() {
     let settings = LeaseSettings::default();
     let mut grants = ConfigGrants::new(settings);
     let request = ConfirmRequest { vm: 7, ask: 1, applied: 1, floor: 1, incarnation: 1 };
--- a/crates/core/tests/lease_relay.rs
+++ b/crates/core/tests/lease_relay.rs
@@ -54,7 +54,7 @@
 }
 
 /// Brings a relay to the leader's revision with a lease.
-fn settle(leader: &mut Leader, relay: &mut Relay) {
+fn confirm(leader: &mut Leader, relay: &mut Relay) {
     for _ in 0..2 {
         let reply = leader.answer(relay);
         relay.handle_reply(reply, &keys(&operator()), NOW).expect("verifies");
@@ -65,7 +65,7 @@
 fn reply_applies_a_delta() {
     let (mut leader, mut relay) = (Leader::new(), relay(1));
     leader.history.push(revision(1));
-    settle(&mut leader, &mut relay);
+    confirm(&mut leader, &mut relay);
     leader.history.push(revision(2));
     relay.hint(RevisionNumber(2), NOW);
     let reply = leader.answer(&mut relay);
@@ -77,12 +77,12 @@
 }
 
 #[test]
-fn reply_that_does_not_fit_is_followed_by_the_whole() {
+fn reply_with_mismatched_delta_is_followed_by_full_content() {
     // A delta is made from another base than the one held, or is damaged. Its digest gives it
     // away, and the next request asks for the whole content.
     let (mut leader, mut relay) = (Leader::new(), relay(1));
     leader.history.push(revision(1));
-    settle(&mut leader, &mut relay);
+    confirm(&mut leader, &mut relay);
     leader.history.push(revision(2));
     relay.hint(RevisionNumber(2), NOW);
     let mut reply = leader.answer(&mut relay);
@@ -91,7 +91,7 @@
     let result = relay.handle_reply(reply, &keys(&operator()), NOW);
     assert_eq!(result, Err(RelayError::DeltaMismatch));
     relay.hint(RevisionNumber(2), NOW);
-    settle(&mut leader, &mut relay);
+    confirm(&mut leader, &mut relay);
     assert_eq!(relay.lease().working_revision(NOW), Some(RevisionNumber(2)));
 }
 
@@ -113,8 +113,8 @@
     // A relay that is cut off from its own granter has nothing to give.
     let (mut leader, mut relay, mut child) = (Leader::new(), relay(1), relay(2));
     leader.history.push(revision(1));
-    settle(&mut leader, &mut relay);
-    settle(&mut leader, &mut child);
+    confirm(&mut leader, &mut relay);
+    confirm(&mut leader, &mut child);
     let later = NOW + LeaseSettings::default().length();
     let request = child.next_request(later).expect("a request is due");
     let reply = relay.serve(&request, later);
@@ -124,7 +124,7 @@
 /// Callers are refused though the control group has a leader again: every process was killed, and a
 /// VM that found no leader at its first request waits a whole interval before the next one.
 #[test]
-fn ask_sooner_without_lease() {
+fn next_request_sooner_without_lease() {
     let interval = LeaseSettings::default().interval();
     let mut relay = relay(2);
     relay.next_request(NOW).expect("the first is due");
@@ -132,12 +132,12 @@
 }
 
 #[test]
-fn ask_rarely_with_lease() {
+fn next_request_at_interval_with_lease() {
     let mut leader = Leader::new();
     leader.history.push(revision(1));
     let interval = LeaseSettings::default().interval();
     let mut relay = relay(2);
-    settle(&mut leader, &mut relay);
+    confirm(&mut leader, &mut relay);
     relay.next_request(NOW + interval / 2).expect("the request before had no lease yet");
     assert!(relay.next_request(NOW + interval).is_none());
     assert!(relay.next_request(NOW + interval * 3 / 2).is_some());
@@ -147,7 +147,7 @@
 /// that it asks for its lease is cut off from all stores and passes on what is left of its own, while
 /// the VM itself could reach every store.
 #[test]
-fn reply_of_cut_off_relay_moves_on() {
+fn reply_of_cut_off_relay_fails_over() {
     let settings =
         LeaseSettings { length_ms: 10_000, interval_ms: 400, ..LeaseSettings::default() };
     let new = |vm| Relay::new(settings, VmId(vm), 1, NOW);
@@ -155,10 +155,10 @@
     history.push(revision(1));
     let (mut parent, mut child) = (new(1), new(2));
     let mut now = NOW;
-    let mut learnt = None;
+    let mut applied_at = None;
     // The parent is cut off at 2 s, and the next revision is committed then.
     let cut = NOW + Duration::from_millis(2_000);
-    while learnt.is_none() {
+    while applied_at.is_none() {
         now = now + Duration::from_millis(10);
         if now >= cut && history.number() < RevisionNumber(2) {
             history.push(revision(2));
@@ -178,7 +178,7 @@
             };
             child.handle_reply(reply, &keys(&operator()), now).expect("verifies");
         }
-        learnt = (child.lease().applied() == RevisionNumber(2)).then_some(now);
+        applied_at = (child.lease().applied() == RevisionNumber(2)).then_some(now);
     }
     let took = now.since(cut);
     assert!(took <= Duration::from_millis(2_000), "learnt after {took:?}");
@@ -186,7 +186,7 @@
 
 /// A VM whose parent is well doesn't go to the leader, or the leader's cost grows with the VMs.
 #[test]
-fn reply_of_relay_keeps_to_it() {
+fn reply_of_healthy_relay_keeps_parent() {
     let settings =
         LeaseSettings { length_ms: 10_000, interval_ms: 400, ..LeaseSettings::default() };
     let (mut history, mut grants) = (History::new(8), ConfigGrants::new(settings));
@@ -201,8 +201,8 @@
                 None => serve(&history, &mut grants, settings.length(), &request, now),
             };
             path[place].handle_reply(reply, &keys(&operator()), now).expect("verifies");
-            let settled = step > 200;
-            assert!(!settled || path[place].lease().failures() == 0, "VM {place} at {step}");
+            let steady = step > 200;
+            assert!(!steady || path[place].lease().failures() == 0, "VM {place} at {step}");
         }
     }
 }
--- a/crates/core/tests/membership_harness/mod.rs
+++ b/crates/core/tests/membership_harness/mod.rs
@@ -45,7 +45,7 @@
     pub false_deaths: u64,
     queue: BinaryHeap<Reverse<Event>>,
     events: u64,
-    random: ChaCha8Rng,
+    rng: ChaCha8Rng,
     mutation: Mutation,
     domain: fn(VmId) -> u16,
 }
@@ -76,7 +76,7 @@
             false_deaths: 0,
             queue: BinaryHeap::new(),
             events: 0,
-            random: ChaCha8Rng::seed_from_u64(seed),
+            rng: ChaCha8Rng::seed_from_u64(seed),
             mutation,
             domain,
         };
@@ -96,7 +96,7 @@
             region: RegionId(domain % 4),
             seeds: (1..=3).map(|seed| address(VmId(seed))).collect(),
             incarnation,
-            seed: self.random.random(),
+            seed: self.rng.random(),
             times: Times::default(),
             mutation: self.mutation,
         };
@@ -134,10 +134,10 @@
     pub fn input(&mut self, vm: VmId, input: Input) {
         let Some(node) = self.nodes.get_mut(&vm) else { return };
         let effects = node.step(self.now, input);
-        let wake = node.next_tick();
-        self.push(wake, vm, None);
+        let next_tick = node.next_tick();
+        self.push(next_tick, vm, None);
         for effect in effects {
-            self.take(vm, effect);
+            self.apply_effect(vm, effect);
         }
     }
 
@@ -157,7 +157,7 @@
         }
     }
 
-    fn take(&mut self, vm: VmId, effect: Effect) {
+    fn apply_effect(&mut self, vm: VmId, effect: Effect) {
         match effect {
             Effect::Send { to, bytes } => self.send(vm, to, bytes),
             Effect::Changed(other) => {
@@ -176,10 +176,10 @@
         let [_, _, high, low] = v4.ip().octets();
         let to = VmId(u32::from(high) << 8 | u32::from(low));
         let cut = self.cut.is_some_and(|cut| cut(from, to));
-        if cut || self.random.random_bool(self.loss) {
+        if cut || self.rng.random_bool(self.loss) {
             return;
         }
-        let delay = Duration::from_micros(self.random.random_range(300..9_000));
+        let delay = Duration::from_micros(self.rng.random_range(300..9_000));
         self.push(self.now + delay, to, Some((from, bytes)));
     }
 
@@ -193,8 +193,9 @@
         let all = self.nodes.len() - 1;
         self.nodes.iter().all(|(vm, node)| {
             let up = node.members().filter(|member| member.is_up());
-            let right = up.filter(|member| member.vm != *vm && self.nodes.contains_key(&member.vm));
-            right.count() == all
+            let correct =
+                up.filter(|member| member.vm != *vm && self.nodes.contains_key(&member.vm));
+            correct.count() == all
                 && node.members().all(|other| other.is_up() == self.nodes.contains_key(&other.vm))
         })
     }
--- a/crates/core/tests/membership_merge.rs
+++ b/crates/core/tests/membership_merge.rs
@@ -26,7 +26,7 @@
 }
 
 /// Tells a new VM that vm2 is alive and then this news; returns what it believes.
-fn belief(mutation: Mutation, news: &[Rumour]) -> (Liveness, u32, Bytes) {
+fn merged_state(mutation: Mutation, rumours: &[Rumour]) -> (Liveness, u32, Bytes) {
     let settings = Settings {
         vm: VmId(1),
         address: ([10, 0, 0, 1], 257).into(),
@@ -40,7 +40,7 @@
     };
     let mut node = Membership::new(settings, Time::ZERO);
     let first = rumour(0, Liveness::Alive, 0);
-    for rumour in std::iter::once(&first).chain(news) {
+    for rumour in std::iter::once(&first).chain(rumours) {
         let datagram = Datagram { from: 3, body: None, rumours: vec![rumour.clone()] };
         let bytes = datagram.encode_to_vec().into();
         node.step(Time::ZERO, Input::Datagram { from: ([10, 0, 0, 3], 257).into(), bytes });
@@ -57,23 +57,24 @@
         max_shrink_iters: 0,
         ..Config::default()
     };
-    let news = prop::collection::vec(any_rumour(), 1..8);
-    let orders = news.prop_flat_map(|news| (Just(news.clone()), Just(news).prop_shuffle()));
-    let result = TestRunner::new(config).run(&orders, |(news, shuffled)| {
-        prop_assert_eq!(belief(mutation, &news), belief(mutation, &shuffled));
+    let rumours = prop::collection::vec(any_rumour(), 1..8);
+    let orders =
+        rumours.prop_flat_map(|rumours| (Just(rumours.clone()), Just(rumours).prop_shuffle()));
+    let result = TestRunner::new(config).run(&orders, |(rumours, shuffled)| {
+        prop_assert_eq!(merged_state(mutation, &rumours), merged_state(mutation, &shuffled));
         Ok(())
     });
     result.map_err(|error| error.to_string())
 }
 
 #[test]
-fn learn_in_any_order() {
+fn merge_in_any_order() {
     // Datagrams overtake each other and come twice. VMs that got the same news in another order
     // must not go on to believe different things.
     assert_eq!(run(Mutation::None), Ok(()));
 }
 
 #[test]
-fn learn_without_incarnations_is_caught() {
+fn merge_without_incarnations_is_caught() {
     assert!(run(Mutation::IgnoreIncarnation).is_err());
 }
--- a/crates/core/tests/membership_protocol.rs
+++ b/crates/core/tests/membership_protocol.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn kill_is_noticed_by_all() {
+fn kill_is_detected_by_all() {
     let mut net = joined(50, 0.05, Mutation::None);
     net.run(seconds(5));
     net.kill(VmId(40));
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn heavy_loss_without_objections_is_caught() {
+fn heavy_loss_without_refutation_is_caught() {
     // One probe in five gets lost on each way. VMs that are up are suspected often; with no
     // right to object they would all be taken for dead in turn.
     assert_eq!(deaths_under_heavy_loss(Mutation::None), 0);
@@ -90,7 +90,7 @@
     if vm.0.is_multiple_of(10) { 0 } else { 1 + (vm.0 % 2) as u16 }
 }
 
-fn large_domains_parted(from: VmId, to: VmId) -> bool {
+fn large_domains_partitioned(from: VmId, to: VmId) -> bool {
     let (from, to) = (small_third_domain(from), small_third_domain(to));
     from != to && from != 0 && to != 0
 }
@@ -103,7 +103,7 @@
     let suspicions = |mutation| {
         let mut net = Net::with_domains(20, 0.0, SEED, mutation, small_third_domain);
         assert!(agrees(&mut net, 60));
-        net.cut = Some(large_domains_parted);
+        net.cut = Some(large_domains_partitioned);
         net.run(seconds(60));
         net.suspicions()
     };
@@ -112,16 +112,16 @@
 }
 
 /// Odd domains and even ones lose each other.
-fn halves(from: VmId, to: VmId) -> bool {
+fn partitioned_halves(from: VmId, to: VmId) -> bool {
     from.0 % 11 % 2 != to.0 % 11 % 2
 }
 
-fn heals(mutation: Mutation) -> bool {
+fn recovers_from_partition(mutation: Mutation) -> bool {
     let mut net = joined(50, 0.0, mutation);
-    net.cut = Some(halves);
+    net.cut = Some(partitioned_halves);
     net.run(seconds(120));
-    let parted = net.nodes[&VmId(1)].members().filter(|other| !other.is_up()).count();
-    assert_eq!(parted, 27, "vm1 holds the other side for dead");
+    let unreachable = net.nodes[&VmId(1)].members().filter(|other| !other.is_up()).count();
+    assert_eq!(unreachable, 27, "vm1 holds the other side for dead");
     net.cut = None;
     agrees(&mut net, 120)
 }
@@ -130,12 +130,12 @@
 fn partition_heals_by_contacting_the_dead() {
     // Two halves lose each other for minutes, until each holds the other for dead. Nobody probes
     // the dead, so without seldom contacts the halves would stay apart after the network heals.
-    assert!(heals(Mutation::None));
-    assert!(!heals(Mutation::NoContactDead));
+    assert!(recovers_from_partition(Mutation::None));
+    assert!(!recovers_from_partition(Mutation::NoContactDead));
 }
 
 #[test]
-fn restart_with_lower_incarnation_is_taken_back() {
+fn restart_with_lower_incarnation_rejoins() {
     // A VM dies, is replaced under the same number and starts from incarnation zero. Others hold
     // a higher incarnation of it for dead; it must learn that and step past it.
     let mut net = joined(20, 0.0, Mutation::None);
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn leave_is_told_without_suspicion() {
+fn leave_spreads_without_suspicion() {
     let mut net = joined(20, 0.0, Mutation::None);
     let before = net.suspicions();
     net.input(VmId(9), Input::Leave);
@@ -189,7 +189,7 @@
     assert!(!late_join_agrees(Mutation::NoPull));
 }
 
-fn tell(node: &mut Membership, incarnation: u32, liveness: Liveness) {
+fn deliver_rumour(node: &mut Membership, incarnation: u32, liveness: Liveness) {
     let profile =
         Profile { address: Bytes::from_static(&[10, 0, 0, 2, 1, 1]), ..Profile::default() };
     let rumour = Rumour {
@@ -204,19 +204,19 @@
     node.step(Time::from_millis(2_000), Input::Datagram { from: harness::address(VmId(3)), bytes });
 }
 
-fn liveness_after_late_news(mutation: Mutation) -> Option<Liveness> {
+fn liveness_after_late_rumour(mutation: Mutation) -> Option<Liveness> {
     let mut net = Net::new(1, 0.0, SEED, mutation);
     let node = net.nodes.get_mut(&VmId(1)).expect("started");
-    tell(node, 1, Liveness::Alive);
-    tell(node, 2, Liveness::Alive);
-    tell(node, 1, Liveness::Dead);
+    deliver_rumour(node, 1, Liveness::Alive);
+    deliver_rumour(node, 2, Liveness::Alive);
+    deliver_rumour(node, 1, Liveness::Dead);
     node.member(VmId(2)).map(|member| member.liveness)
 }
 
 #[test]
-fn older_incarnation_is_passed_over() {
+fn older_incarnation_is_ignored() {
     // A datagram that tells of a death arrives after the VM objected to it. Taken as news, late
     // datagrams would bring old deaths back.
-    assert_eq!(liveness_after_late_news(Mutation::None), Some(Liveness::Alive));
-    assert_eq!(liveness_after_late_news(Mutation::IgnoreIncarnation), Some(Liveness::Dead));
+    assert_eq!(liveness_after_late_rumour(Mutation::None), Some(Liveness::Alive));
+    assert_eq!(liveness_after_late_rumour(Mutation::IgnoreIncarnation), Some(Liveness::Dead));
 }
--- a/crates/core/tests/orders_fencing.rs
+++ b/crates/core/tests/orders_fencing.rs
@@ -49,12 +49,12 @@
 }
 
 /// An order under way to the endpoint.
-struct Flight {
+struct SentOrder {
     fence: FencingToken,
     sent: u64,
 }
 
-struct World {
+struct Simulation {
     settings: OrderSettings,
     checks_fencing: bool,
     rates: Vec<i64>,
@@ -62,17 +62,17 @@
     held: Option<OrderLease>,
     grants: OrderGrants,
     holders: Vec<Option<OrderHolder>>,
-    asked: Vec<(usize, Time)>,
-    flights: Vec<Flight>,
-    obeyed: FencingToken,
-    given: FencingToken,
+    requested: Vec<(usize, Time)>,
+    in_flight: Vec<SentOrder>,
+    executed: FencingToken,
+    issued: FencingToken,
 }
 
-impl World {
-    fn new(mutation: Mutation, checks_fencing: bool, rates: Vec<i64>) -> World {
+impl Simulation {
+    fn new(mutation: Mutation, checks_fencing: bool, rates: Vec<i64>) -> Simulation {
         let mut settings = OrderSettings { mutation, ..OrderSettings::default() };
         settings.lease.drift_ppm = DRIFT_PPM as u32;
-        World {
+        Simulation {
             settings,
             checks_fencing,
             rates,
@@ -80,10 +80,10 @@
             held: None,
             grants: OrderGrants::for_leader(settings, Time(100_000_000)),
             holders: vec![None; HOLDERS],
-            asked: Vec::new(),
-            flights: Vec::new(),
-            obeyed: FencingToken(0),
-            given: FencingToken(0),
+            requested: Vec::new(),
+            in_flight: Vec::new(),
+            executed: FencingToken(0),
+            issued: FencingToken(0),
         }
     }
 
@@ -96,10 +96,10 @@
     fn run(&mut self, action: &Action) -> Result<(), TestCaseError> {
         match *action {
             Action::Advance { millis } => self.micros += millis * 1_000,
-            Action::Ask { holder } => self.asked.push((holder, self.clock(holder + 1))),
-            Action::Answer { index } if !self.asked.is_empty() => self.answer(index),
+            Action::Ask { holder } => self.requested.push((holder, self.clock(holder + 1))),
+            Action::Answer { index } if !self.requested.is_empty() => self.answer(index),
             Action::Order { holder } => return self.order(holder),
-            Action::Arrive { index } if !self.flights.is_empty() => return self.arrive(index),
+            Action::Arrive { index } if !self.in_flight.is_empty() => return self.arrive(index),
             Action::ChangeLeader => {
                 self.grants = OrderGrants::for_leader(self.settings, self.clock(0));
             }
@@ -109,7 +109,7 @@
     }
 
     fn answer(&mut self, index: usize) {
-        let (holder, asked) = self.asked.remove(index % self.asked.len());
+        let (holder, requested) = self.requested.remove(index % self.requested.len());
         let now = self.clock(0);
         let taker = TakeOrderLease { vm: holder as u32, incarnation: 1 };
         if !self.grants.may_take(self.held.as_ref(), &taker, now) {
@@ -126,7 +126,7 @@
         }
         let length = self.grants.renew(&lease, &taker, now).expect("it holds the lease");
         if let Some(holder) = &mut self.holders[holder] {
-            holder.renewed(asked, length);
+            holder.renewed(requested, length);
         }
     }
 
@@ -134,23 +134,24 @@
         let now = self.clock(index + 1);
         let Some(holder) = &mut self.holders[index] else { return Ok(()) };
         let Some(fence) = holder.next_token(self.checks_fencing, now) else { return Ok(()) };
-        prop_assert!(fence > self.given, "two holders give orders at once");
-        self.given = fence;
-        self.flights.push(Flight { fence, sent: self.micros });
+        prop_assert!(fence > self.issued, "two holders give orders at once");
+        self.issued = fence;
+        self.in_flight.push(SentOrder { fence, sent: self.micros });
         Ok(())
     }
 
     fn arrive(&mut self, index: usize) -> Result<(), TestCaseError> {
-        let flight = self.flights.remove(index % self.flights.len());
-        let over = self.micros - flight.sent > self.settings.delivery_timeout.as_micros() as u64;
-        if over || (self.checks_fencing && flight.fence < self.obeyed) {
+        let sent_order = self.in_flight.remove(index % self.in_flight.len());
+        let over =
+            self.micros - sent_order.sent > self.settings.delivery_timeout.as_micros() as u64;
+        if over || (self.checks_fencing && sent_order.fence < self.executed) {
             return Ok(());
         }
         // Within one lease the sender gives an engine one order at a time, so only orders of
         // different leases can cross.
-        let (lease, before) = (flight.fence.0 >> 32, self.obeyed.0 >> 32);
+        let (lease, before) = (sent_order.fence.0 >> 32, self.executed.0 >> 32);
         prop_assert!(lease >= before, "an order of an earlier holder was obeyed late");
-        self.obeyed = self.obeyed.max(flight.fence);
+        self.executed = self.executed.max(sent_order.fence);
         Ok(())
     }
 }
@@ -163,31 +164,31 @@
     let rates = prop::collection::vec(prop::sample::select(vec![-DRIFT_PPM, DRIFT_PPM]), 3);
     let actions = prop::collection::vec(action(), 1..120);
     let result = TestRunner::new(config).run(&(rates, actions), |(rates, actions)| {
-        let mut world = World::new(mutation, checks_fencing, rates);
-        actions.iter().try_for_each(|action| world.run(action))
+        let mut simulation = Simulation::new(mutation, checks_fencing, rates);
+        actions.iter().try_for_each(|action| simulation.run(action))
     });
     result.map_err(|error| error.to_string())
 }
 
 #[test]
-fn number_with_endpoints_that_check() {
+fn next_token_with_endpoints_that_check() {
     // The holder is cut off and paused while another VM takes over; then its orders arrive.
     assert_eq!(run(Mutation::None, true, cases(CASES)), Ok(()));
 }
 
 #[test]
-fn number_with_endpoints_that_ignore_fencing() {
+fn next_token_with_endpoints_that_ignore_fencing() {
     // As above, but the endpoint obeys any order: only the wait keeps an old one away.
     assert_eq!(run(Mutation::None, false, cases(CASES)), Ok(()));
 }
 
 #[test]
-fn number_without_wait_out_is_caught() {
+fn next_token_without_expiry_wait_is_caught() {
     assert!(run(Mutation::NoExpiryWait, false, 40_000).is_err());
 }
 
 #[test]
-fn number_without_lease_check_is_caught() {
+fn next_token_without_lease_check_is_caught() {
     assert!(run(Mutation::IgnoreLease, true, 40_000).is_err());
 }
 
@@ -197,6 +198,6 @@
 }
 
 #[test]
-fn may_take_without_blind_wait_is_caught() {
+fn may_take_without_grace_period_is_caught() {
     assert!(run(Mutation::NoGracePeriod, true, 40_000).is_err());
 }
--- a/crates/core/tests/orders_plan.rs
+++ b/crates/core/tests/orders_plan.rs
@@ -40,7 +40,7 @@
     }
 }
 
-fn give(engines: &mut [Engine], orders: Vec<Order>) {
+fn assign(engines: &mut [Engine], orders: Vec<Order>) {
     for order in orders {
         let (Order::Load { endpoint, .. } | Order::Drop { endpoint, .. }) = &order;
         let engine = engines.iter_mut().find(|engine| engine.name == *endpoint);
@@ -50,33 +50,33 @@
 
 /// Changes version 1 to 2 while engines finish or lose their orders in this order; returns the
 /// fewest engines that served the model at any time, and the engines at the end.
-fn swap(
+fn replace_version(
     mutation: Mutation,
     mut fleet: Vec<Engine>,
     events: &[(usize, bool)],
 ) -> (usize, Vec<Engine>) {
-    let pace = LoadLimiter::new(2, Duration::from_secs(1));
-    let mut planner = Planner::with_mutation(pace, mutation);
-    let mut fewest = fleet.len();
+    let limiter = LoadLimiter::new(2, Duration::from_secs(1));
+    let mut planner = Planner::with_mutation(limiter, mutation);
+    let mut min_serving = fleet.len();
     for (second, (index, lost)) in events.iter().enumerate() {
         let now = Time::from_millis(1_000 * second as u64);
         let orders = planner.plan(&bundle(2), &fleet, now);
-        give(&mut fleet, orders);
+        assign(&mut fleet, orders);
         let loads = fleet.iter().filter(|e| matches!(e.pending, Some(Order::Load { .. })));
         assert!(loads.count() <= 2, "the weight store serves two loads at once");
         let index = index % fleet.len();
         finish(&mut fleet[index], *lost);
         // An engine told to drop a version may do so at any moment.
-        let surely = |engine: &&Engine| {
+        let serves = |engine: &&Engine| {
             let dropped = match &engine.pending {
                 Some(Order::Drop { version, .. }) => Some(version),
                 _ => None,
             };
             engine.loaded.iter().any(|held| Some(held) != dropped)
         };
-        fewest = fewest.min(fleet.iter().filter(surely).count());
+        min_serving = min_serving.min(fleet.iter().filter(serves).count());
     }
-    (fewest, fleet)
+    (min_serving, fleet)
 }
 
 fn run(mutation: Mutation, slots: usize) -> Result<(), String> {
@@ -89,9 +89,9 @@
     };
     let events = prop::collection::vec((0..10_usize, prop::bool::weighted(0.2)), 300);
     let result = TestRunner::new(config).run(&(2..10_usize, events), |(count, events)| {
-        let (fewest, fleet) = swap(mutation, engines(count, slots), &events);
+        let (min_serving, fleet) = replace_version(mutation, engines(count, slots), &events);
         let changing = if slots == 1 { (count / 4).max(1) } else { 0 };
-        prop_assert!(fewest >= count - changing, "{fewest} of {count} engines served");
+        prop_assert!(min_serving >= count - changing, "{min_serving} of {count} engines served");
         let done = fleet.iter().all(|engine| engine.loaded == [advisor(2)]);
         prop_assert!(done, "the change never ended: {fleet:?}");
         Ok(())
--- a/crates/core/tests/replication/net.rs
+++ b/crates/core/tests/replication/net.rs
@@ -25,17 +25,17 @@
 
 /// How messages travel.
 #[derive(Clone, Copy, Default)]
-pub struct Weather {
+pub struct NetworkConditions {
     /// Share of messages lost, and delivered twice.
     pub loss: f64,
-    pub doubled: f64,
+    pub duplicated: f64,
     /// Longest delay in milliseconds.
     pub delay: u64,
 }
 
 /// A way between two regions. What goes in one direction goes in order.
 #[derive(Clone, Debug, Default)]
-pub struct Narrow {
+pub struct RegionLink {
     /// The nodes behind it.
     pub far: BTreeSet<VmId>,
     /// Bytes a second.
@@ -46,9 +46,9 @@
     pub free: BTreeMap<bool, u64>,
 }
 
-impl Narrow {
+impl RegionLink {
     /// Returns when a message of `bytes` arrives, if it goes this way.
-    fn carry(&mut self, now: u64, from: VmId, to: VmId, bytes: u64) -> Option<u64> {
+    fn arrival(&mut self, now: u64, from: VmId, to: VmId, bytes: u64) -> Option<u64> {
         let there = self.far.contains(&to);
         if there == self.far.contains(&from) {
             return None;
@@ -61,13 +61,13 @@
 
 pub struct Net {
     pub nodes: Vec<Node>,
-    pub weather: Weather,
+    pub conditions: NetworkConditions,
     pub cuts: BTreeSet<(VmId, VmId)>,
     /// The way to some nodes that all traffic with them shares, if there is one.
-    pub narrow: Option<Narrow>,
+    pub region_link: Option<RegionLink>,
     /// Bytes that were sent to each node and not cut off.
-    pub carried: BTreeMap<VmId, u64>,
-    pub broken: Option<String>,
+    pub sent_bytes: BTreeMap<VmId, u64>,
+    pub violation: Option<String>,
     pub settings: Settings,
     /// Longest time of a sync in milliseconds.
     pub sync_millis: u64,
@@ -77,7 +77,7 @@
     pub snapshot_bytes: usize,
     /// True time in microseconds.
     pub now: u64,
-    flying: BTreeMap<(u64, u64), (VmId, VmId, wire::Batch)>,
+    in_transit: BTreeMap<(u64, u64), (VmId, VmId, wire::Batch)>,
     /// Messages and pulses that were sent.
     pub sent_messages: usize,
     pub pulses: bool,
@@ -95,17 +95,17 @@
         let members = Members::from_voters((1..=voters).map(VmId).collect());
         let mut net = Net {
             nodes: Vec::new(),
-            weather: Weather { loss: 0.0, doubled: 0.0, delay: 5 },
+            conditions: NetworkConditions { loss: 0.0, duplicated: 0.0, delay: 5 },
             cuts: BTreeSet::new(),
-            narrow: None,
-            carried: BTreeMap::new(),
-            broken: None,
+            region_link: None,
+            sent_bytes: BTreeMap::new(),
+            violation: None,
             settings,
             sync_millis: 2,
             slow: BTreeMap::new(),
             snapshot_bytes: SNAPSHOT_BYTES,
             now: 0,
-            flying: BTreeMap::new(),
+            in_transit: BTreeMap::new(),
             sent_messages: 0,
             pulses: true,
             sent: 0,
@@ -144,11 +144,11 @@
         if node.replica.is_some() {
             return;
         }
-        node.seen = node.durable.clone();
-        let mut restored = node.seen.restored.clone();
+        node.cached = node.durable.clone();
+        let mut restored = node.cached.restored.clone();
         let after = restored.snapshot.index.0;
-        node.seen.entries.retain(|entry| entry.index > after);
-        restored.entries = node.seen.entries.iter().map(EntryMeta::from_entry).collect();
+        node.cached.entries.retain(|entry| entry.index > after);
+        restored.entries = node.cached.entries.iter().map(EntryMeta::from_entry).collect();
         node.applied = restored.snapshot.index;
         let now = node.time(now);
         node.links = Links::new(seed >> 16);
@@ -206,7 +206,7 @@
         let Some((position, members)) = replica.snapshot_meta(index) else { return };
         let state = self.state_at(index);
         let node = self.node(id);
-        for disk in [&mut node.seen, &mut node.durable] {
+        for disk in [&mut node.cached, &mut node.durable] {
             disk.compact(position, members.clone(), &state);
         }
         self.step(id, Input::Snapshotted(index));
@@ -215,13 +215,13 @@
     /// Runs for some milliseconds of true time, or until a rule is broken.
     pub fn run(&mut self, millis: u64) {
         let end = self.now + millis * 1_000;
-        while self.broken.is_none() && self.advance(end) {}
+        while self.violation.is_none() && self.advance(end) {}
         self.now = self.now.max(end);
     }
 
     /// Mends everything and runs until all live replicas agree, or for a long while.
-    pub fn settle(&mut self) {
-        self.weather = Weather { loss: 0.0, doubled: 0.0, delay: 5 };
+    pub fn converge(&mut self) {
+        self.conditions = NetworkConditions { loss: 0.0, duplicated: 0.0, delay: 5 };
         self.cuts.clear();
         (1..=self.nodes.len() as u32).for_each(|id| self.restart(VmId(id)));
         for _ in 0..40 {
@@ -235,7 +235,7 @@
             }
         }
         let states: Vec<_> = self.nodes.iter().filter_map(Node::status).collect();
-        self.broken.get_or_insert(format!("no agreement after the repair: {states:?}"));
+        self.violation.get_or_insert(format!("no agreement after the repair: {states:?}"));
     }
 
     fn agree(&self) -> bool {
@@ -251,7 +251,7 @@
 
     /// Does what is due next, at most at `end`.
     fn advance(&mut self, end: u64) -> bool {
-        let message = self.flying.first_key_value().map(|(&(at, _), _)| at);
+        let message = self.in_transit.first_key_value().map(|(&(at, _), _)| at);
         let sync = self.nodes.iter().filter_map(|n| Some((n.sync_due?, n.id))).min();
         let tick = self.nodes.iter().filter_map(|n| Some((n.deadline()?, n.id))).min();
         let pulse = self.nodes.iter().filter_map(|n| Some((n.pulse_due()?, n.id))).min();
@@ -273,7 +273,7 @@
     }
 
     fn deliver(&mut self) {
-        let Some((_, (from, to, batch))) = self.flying.pop_first() else { return };
+        let Some((_, (from, to, batch))) = self.in_transit.pop_first() else { return };
         let now = self.now;
         let node = self.node(to);
         if node.replica.is_none() || self.cuts.contains(&(from, to)) {
@@ -319,21 +319,21 @@
         let mut effects = Vec::new();
         replica.step(time, &node.links, input, &mut effects);
         for effect in effects {
-            if let Err(rule) = self.carry_out(id, effect) {
-                self.broken.get_or_insert(rule);
+            if let Err(rule) = self.apply_effect(id, effect) {
+                self.violation.get_or_insert(rule);
             }
         }
         if let Err(rule) = self.check(id) {
-            self.broken.get_or_insert(rule);
+            self.violation.get_or_insert(rule);
         }
     }
 
-    fn carry_out(&mut self, id: VmId, effect: Effect) -> Result<(), String> {
+    fn apply_effect(&mut self, id: VmId, effect: Effect) -> Result<(), String> {
         match effect {
             Effect::Persist { sequence, write } => self.write(id, sequence, write),
             Effect::Send { to, message } => self.send(id, to, message),
             Effect::SendEntries { to, mut message, first, last } => {
-                let entries = self.node(id).seen.range(first, last);
+                let entries = self.node(id).cached.range(first, last);
                 if let Some(Body::Append(append)) = &mut message.body {
                     append.entries = entries;
                 }
@@ -342,7 +342,7 @@
             Effect::SendChunk { to, mut message } => {
                 if let Some(Body::Chunk(chunk)) = &mut message.body {
                     let limit = self.settings.chunk_bytes;
-                    let state = &self.node(id).seen.state;
+                    let state = &self.node(id).cached.state;
                     let start = (chunk.offset as usize).min(state.len());
                     let end = (start + limit).min(state.len());
                     chunk.data = Bytes::copy_from_slice(&state[start..end]);
@@ -378,7 +378,7 @@
             Write::Snapshot { .. } => std::mem::take(&mut node.incoming),
             _ => Vec::new(),
         };
-        node.seen.apply(&write, &state);
+        node.cached.apply(&write, &state);
         node.unsynced.push((sequence, write, state));
         node.sync_due.get_or_insert(due);
     }
@@ -389,26 +389,27 @@
     }
 
     fn send_batch(&mut self, from: VmId, to: VmId, batch: &wire::Batch) {
-        let copies = 1 + usize::from(self.rng.random_bool(self.weather.doubled));
+        let copies = 1 + usize::from(self.rng.random_bool(self.conditions.duplicated));
         for _ in 0..copies {
-            let lost = self.rng.random_bool(self.weather.loss);
-            let delay = self.rng.random_range(500..=500 + self.weather.delay * 1_000);
+            let lost = self.rng.random_bool(self.conditions.loss);
+            let delay = self.rng.random_range(500..=500 + self.conditions.delay * 1_000);
             if lost || self.cuts.contains(&(from, to)) {
                 continue;
             }
             self.sent += 1;
             let (now, bytes) = (self.now, batch.encoded_len() as u64);
-            *self.carried.entry(to).or_default() += bytes;
-            let narrow = self.narrow.as_mut().and_then(|way| way.carry(now, from, to, bytes));
-            let at = narrow.unwrap_or(now + delay);
-            self.flying.insert((at, self.sent), (from, to, batch.clone()));
+            *self.sent_bytes.entry(to).or_default() += bytes;
+            let region_link =
+                self.region_link.as_mut().and_then(|way| way.arrival(now, from, to, bytes));
+            let at = region_link.unwrap_or(now + delay);
+            self.in_transit.insert((at, self.sent), (from, to, batch.clone()));
         }
     }
 
     /// Committed entries are the same everywhere and for ever.
     fn commit(&mut self, id: VmId, index: LogIndex) -> Result<(), String> {
         let applied = self.node(id).applied;
-        for entry in self.node(id).seen.range(applied.next(), index) {
+        for entry in self.node(id).cached.range(applied.next(), index) {
             let place = entry.index as usize - 2;
             let found = (Term(entry.term), entry.data);
             match self.committed.get(place) {
@@ -427,7 +428,7 @@
     /// A snapshot holds exactly what was committed up to its index.
     fn check_snapshot(&mut self, id: VmId) -> Result<(), String> {
         let node = self.node(id);
-        let (index, state) = (node.seen.restored.snapshot.index, node.seen.state.clone());
+        let (index, state) = (node.cached.restored.snapshot.index, node.cached.state.clone());
         node.applied = index;
         match state.is_empty() || state == self.state_at(index) {
             true => Ok(()),
--- a/crates/core/tests/replication/node.rs
+++ b/crates/core/tests/replication/node.rs
@@ -27,7 +27,7 @@
     /// What a crash keeps.
     pub durable: Disk,
     /// What the process sees.
-    pub seen: Disk,
+    pub cached: Disk,
     pub unsynced: Vec<(Sequence, Write, Vec<u8>)>,
     pub incoming: Vec<u8>,
     pub applied: LogIndex,
@@ -43,7 +43,7 @@
             pulse: Time::MAX,
             rate,
             offset: 0.0,
-            seen: disk.clone(),
+            cached: disk.clone(),
             durable: disk,
             unsynced: Vec::new(),
             incoming: Vec::new(),
--- a/crates/core/tests/replication_followers.rs
+++ b/crates/core/tests/replication_followers.rs
@@ -11,7 +11,7 @@
 use bytes::Bytes;
 use gypsumglade_core::prelude::*;
 use gypsumglade_core::replication::{Input, LogIndex, Replica, Settings};
-use net::{Narrow, Net, Weather};
+use net::{Net, NetworkConditions, RegionLink};
 
 /// Bytes a second of the way between regions: 60 Mbit/s.
 const RATE: u64 = 7_500_000;
@@ -21,18 +21,18 @@
 const ENTRY: usize = 600;
 
 /// Time of each sync of a slow disk, in milliseconds.
-const SLOW_MILLIS: u64 = 300;
+const SLOW_SYNC_MILLIS: u64 = 300;
 
 /// What ails a follower.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Ill {
+enum FollowerFault {
     CutOff,
     /// Its disk takes 300 ms a sync.
     Slow,
     /// It lacks entries that the leader still has.
     Behind,
     /// It lacks more, and is sent the whole state.
-    Anew,
+    NeedsSnapshot,
 }
 
 /// What was measured while some followers were ill.
@@ -41,7 +41,7 @@
     /// Longest time from a proposal to its commit, in milliseconds.
     worst: u64,
     /// Bytes that each ill node was sent.
-    carried: Vec<u64>,
+    sent_bytes: Vec<u64>,
 }
 
 /// As stores set them.
@@ -70,69 +70,74 @@
 
 /// Half of the other members are far, and the ill ones are among these. One near member is cut off
 /// while a far one is well, so that each commit needs it.
-fn measure(members: u32, ill: Ill, count: usize, lacking: usize) -> Measured {
+fn measure(members: u32, fault: FollowerFault, count: usize, missing_bytes: usize) -> Measured {
     let mut net = Net::new(3, settings(), members, 0);
-    net.weather = Weather { loss: 0.0, doubled: 0.0, delay: 1 };
+    net.conditions = NetworkConditions { loss: 0.0, duplicated: 0.0, delay: 1 };
     net.run(3_000);
     let leader = net.leader().expect("a leader");
     let others: Vec<VmId> =
         net.nodes.iter().map(|node| node.id).filter(|id| *id != leader).collect();
     let far = others[others.len() / 2..].to_vec();
-    net.narrow = Some(Narrow {
+    net.region_link = Some(RegionLink {
         far: far.iter().copied().collect(),
         rate: RATE,
         delay: DELAY,
-        ..Narrow::default()
+        ..RegionLink::default()
     });
     net.run(1_000);
-    let sick: Vec<VmId> = far.iter().rev().copied().take(count).collect();
-    match ill {
-        Ill::Slow => net.slow.extend(sick.iter().map(|id| (*id, SLOW_MILLIS))),
-        Ill::CutOff => sick.iter().for_each(|id| net.cut_off(*id)),
-        Ill::Behind | Ill::Anew => {
-            sick.iter().for_each(|id| net.cut_off(*id));
-            for _ in 0..lacking / ENTRY / 50 {
+    let faulty: Vec<VmId> = far.iter().rev().copied().take(count).collect();
+    match fault {
+        FollowerFault::Slow => net.slow.extend(faulty.iter().map(|id| (*id, SLOW_SYNC_MILLIS))),
+        FollowerFault::CutOff => faulty.iter().for_each(|id| net.cut_off(*id)),
+        FollowerFault::Behind | FollowerFault::NeedsSnapshot => {
+            faulty.iter().for_each(|id| net.cut_off(*id));
+            for _ in 0..missing_bytes / ENTRY / 50 {
                 propose(&mut net, leader, 50);
                 net.run(20);
             }
             net.run(1_000);
-            if ill == Ill::Anew {
-                net.snapshot_bytes = lacking;
+            if fault == FollowerFault::NeedsSnapshot {
+                net.snapshot_bytes = missing_bytes;
                 net.snapshot(leader);
             }
             net.cuts.clear();
         }
     }
-    if sick.len() < far.len() {
+    if faulty.len() < far.len() {
         net.cut_off(others[0]);
     }
-    net.carried.clear();
+    net.sent_bytes.clear();
     let mut worst = 0;
     for _ in 0..200 {
         let index = propose(&mut net, leader, 2);
         let start = net.now;
         while commit(&net, leader) < index {
             net.run(1);
-            assert!(net.now < start + 5_000_000, "never committed: {:?}", net.broken);
+            assert!(net.now < start + 5_000_000, "never committed: {:?}", net.violation);
         }
         worst = worst.max((net.now - start) / 1_000);
         net.run(7);
     }
     assert_eq!(net.leader(), Some(leader), "the leader was deposed");
-    assert_eq!(net.broken, None);
-    let carried = sick.iter().map(|id| net.carried.get(id).copied().unwrap_or(0)).collect();
-    Measured { worst, carried }
+    assert_eq!(net.violation, None);
+    let sent_bytes = faulty.iter().map(|id| net.sent_bytes.get(id).copied().unwrap_or(0)).collect();
+    Measured { worst, sent_bytes }
 }
 
 /// Guards against commits that wait behind what one follower lacks.
 #[test]
-fn commit_beside_ill_followers() {
+fn commit_with_faulty_followers() {
     for members in [5, 11] {
-        let healthy = measure(members, Ill::CutOff, 0, 0).worst;
-        for ill in [Ill::CutOff, Ill::Slow, Ill::Behind, Ill::Anew] {
+        let healthy = measure(members, FollowerFault::CutOff, 0, 0).worst;
+        for fault in [
+            FollowerFault::CutOff,
+            FollowerFault::Slow,
+            FollowerFault::Behind,
+            FollowerFault::NeedsSnapshot,
+        ] {
             for count in [1, 2] {
-                let worst = measure(members, ill, count, 3_000_000).worst;
-                assert!(worst <= healthy + 60, "{members} members, {count} {ill:?}: {worst} ms");
+                let worst = measure(members, fault, count, 3_000_000).worst;
+                assert!(worst <= healthy + 60, "{members} members, {count} {fault:?}: {worst} ms");
             }
         }
     }
@@ -140,13 +145,13 @@
 
 /// Guards against a link between regions that is full of what a follower was sent before.
 #[test]
-fn lacking_sent_once() {
-    let lacking = 3_000_000;
+fn missing_entries_sent_once() {
+    let missing_bytes = 3_000_000;
     let new = 200 * 2 * ENTRY as u64;
-    let most = (lacking as u64 + new) * 5 / 4;
-    for ill in [Ill::Behind, Ill::Anew] {
-        let carried = measure(5, ill, 1, lacking).carried[0];
-        assert!(carried <= most, "{ill:?}: {carried} bytes for {most}");
-        assert!(carried >= lacking as u64, "{ill:?}: {carried} bytes");
+    let most = (missing_bytes as u64 + new) * 5 / 4;
+    for fault in [FollowerFault::Behind, FollowerFault::NeedsSnapshot] {
+        let sent_bytes = measure(5, fault, 1, missing_bytes).sent_bytes[0];
+        assert!(sent_bytes <= most, "{fault:?}: {sent_bytes} bytes for {most}");
+        assert!(sent_bytes >= missing_bytes as u64, "{fault:?}: {sent_bytes} bytes");
     }
 }
--- a/crates/core/tests/replication_repair.rs
+++ b/crates/core/tests/replication_repair.rs
@@ -13,7 +13,7 @@
 }
 
 /// Stores 1 and 2 in the south, 3 in the north, each in a domain of its own.
-fn three() -> Vec<StoreInfo> {
+fn three_stores() -> Vec<StoreInfo> {
     vec![candidate(1, "a", "south"), candidate(2, "b", "south"), candidate(3, "c", "north")]
 }
 
@@ -27,12 +27,12 @@
 
 #[test]
 fn next_change_none_when_whole() {
-    assert_eq!(next_change(&voters(&[1, 2, 3]), &view(1, three())), None);
+    assert_eq!(next_change(&voters(&[1, 2, 3]), &view(1, three_stores())), None);
 }
 
 #[test]
-fn next_change_silent_without_spare() {
-    let alive = three().into_iter().filter(|store| store.vm != VmId(3)).collect();
+fn next_change_unreachable_without_spare() {
+    let alive = three_stores().into_iter().filter(|store| store.vm != VmId(3)).collect();
     let found = next_change(&voters(&[1, 2, 3]), &view(1, alive));
     assert_eq!(found, None, "a silent member may come back with its disk");
 }
@@ -41,7 +41,7 @@
 /// no quorum any more; as long as it counts, the next loss stops the group.
 #[test]
 fn next_change_wiped() {
-    let mut alive = three();
+    let mut alive = three_stores();
     alive[2].vm = VmId(9);
     let wiped = ClusterView { replaced: vec![VmId(3)], ..view(1, alive) };
     let mut members = voters(&[1, 2, 3]);
@@ -63,7 +63,7 @@
 /// only when the newcomer votes.
 #[test]
 fn next_change_replaced_elsewhere() {
-    let mut alive = three();
+    let mut alive = three_stores();
     alive[2].vm = VmId(9);
     let view = view(1, alive);
     let mut members = voters(&[1, 2, 3]);
@@ -83,7 +83,7 @@
 
 #[test]
 fn next_change_retiring() {
-    let mut alive = three();
+    let mut alive = three_stores();
     alive[1].retiring = true;
     alive.push(candidate(4, "b", "south"));
     let view = view(1, alive);
@@ -97,13 +97,13 @@
 #[test]
 fn next_change_lost_learner() {
     let members = voters(&[1, 2, 3]).with(MemberChange::AddLearner(VmId(8)));
-    let found = next_change(&members, &view(1, three()));
+    let found = next_change(&members, &view(1, three_stores()));
     assert_eq!(found, Some(MemberChange::Remove(VmId(8))));
 }
 
 #[test]
 fn next_change_prefers_empty_domain() {
-    let mut alive = three();
+    let mut alive = three_stores();
     alive.retain(|store| store.vm != VmId(3));
     alive.push(candidate(5, "a", "south"));
     alive.push(candidate(6, "c", "north"));
@@ -113,7 +113,7 @@
 
 #[test]
 fn next_change_spare_is_left_out() {
-    let mut alive = three();
+    let mut alive = three_stores();
     alive.push(candidate(4, "a", "south"));
     assert_eq!(next_change(&voters(&[1, 2, 3]), &view(1, alive)), None);
 }
@@ -121,18 +121,18 @@
 /// A leader in the region with one voter of three sends every commit over the paid link and back.
 /// Under a burst that link filled up, heartbeats came late, and leaders were deposed in turn.
 #[test]
-fn should_hand_over_from_minority_region() {
+fn should_transfer_leadership_from_minority_region() {
     let members = voters(&[1, 2, 3]);
-    assert!(should_transfer_leadership(&members, &view(3, three())));
-    assert!(!should_transfer_leadership(&members, &view(1, three())));
+    assert!(should_transfer_leadership(&members, &view(3, three_stores())));
+    assert!(!should_transfer_leadership(&members, &view(1, three_stores())));
 }
 
 /// A southern store loses its disk, and the northern one is elected. Filled from there, the newcomer
 /// gets its state over the narrow link; if the next disk is lost before it votes, the group has no
 /// majority for good.
 #[test]
-fn should_hand_over_before_newcomer_is_filled() {
-    let mut alive = three();
+fn should_transfer_leadership_before_replacement_catches_up() {
+    let mut alive = three_stores();
     alive[1].vm = VmId(9);
     let members = voters(&[1, 3]);
     assert!(should_transfer_leadership(&members, &view(3, alive.clone())));
@@ -140,20 +140,20 @@
 }
 
 #[test]
-fn should_hand_over_nobody_there() {
+fn should_transfer_leadership_without_candidate() {
     let alive = vec![candidate(3, "c", "north")];
     assert!(!should_transfer_leadership(&voters(&[1, 2, 3]), &view(3, alive)));
 }
 
 #[test]
-fn should_hand_over_retiring() {
-    let mut alive = three();
+fn should_transfer_leadership_retiring() {
+    let mut alive = three_stores();
     alive[0].retiring = true;
     assert!(should_transfer_leadership(&voters(&[1, 2, 3]), &view(1, alive)));
 }
 
 /// Six failure domains in two regions: eleven stores, six of them in the south.
-fn eleven() -> Vec<StoreInfo> {
+fn eleven_stores() -> Vec<StoreInfo> {
     let south = (0..6).map(|n| candidate(20 + n, ["a", "b", "c"][n as usize % 3], "south"));
     let north = (0..5).map(|n| candidate(10 + n, ["d", "e", "f"][n as usize % 3], "north"));
     south.chain(north).collect()
@@ -165,11 +165,11 @@
     for _ in 0..100 {
         if should_transfer_leadership(&members, &view) {
             let voters = view.alive.iter().filter(|store| members.is_voter(store.vm));
-            let heirs = voters.filter(|store| !store.retiring).map(|store| store.vm);
-            let heir = heirs.filter(|vm| *vm != view.leader).find(|vm| {
+            let successors = voters.filter(|store| !store.retiring).map(|store| store.vm);
+            let successor = successors.filter(|vm| *vm != view.leader).find(|vm| {
                 !should_transfer_leadership(&members, &ClusterView { leader: *vm, ..view.clone() })
             });
-            view.leader = heir.expect("somebody is to lead");
+            view.leader = successor.expect("somebody is to lead");
             continue;
         }
         let change = next_change(&members, &view).or_else(|| next_swap(&members, &view));
@@ -187,7 +187,7 @@
 /// each commit waited for the narrow link between them.
 #[test]
 fn next_change_majority_in_home_region() {
-    let alive = eleven();
+    let alive = eleven_stores();
     let view = ClusterView { target_voters: 5, ..view(20, alive.clone()) };
     let members = repaired(voters(&[10, 20, 21]), view);
     assert_eq!(members.voters.len(), 5);
@@ -200,7 +200,7 @@
 /// A group that was placed wrongly has as many voters as it should, so no repair would ever mend it.
 #[test]
 fn next_swap_wrong_region() {
-    let alive = eleven();
+    let alive = eleven_stores();
     let members = voters(&[10, 11, 12, 20, 21]);
     let view = ClusterView { target_voters: 5, ..view(20, alive.clone()) };
     assert_eq!(next_change(&members, &view), None);
@@ -213,7 +213,8 @@
 /// With a voter silent a swap would be the second thing under way.
 #[test]
 fn next_swap_not_whole() {
-    let alive: Vec<StoreInfo> = eleven().into_iter().filter(|store| store.vm != VmId(12)).collect();
+    let alive: Vec<StoreInfo> =
+        eleven_stores().into_iter().filter(|store| store.vm != VmId(12)).collect();
     let view = ClusterView { target_voters: 5, ..view(20, alive) };
     assert_eq!(next_swap(&voters(&[10, 11, 12, 20, 21]), &view), None);
 }
--- a/crates/core/tests/replication_safeguards.rs
+++ b/crates/core/tests/replication_safeguards.rs
@@ -64,7 +64,7 @@
     run_until(&mut net, |net| net.nodes[rest[0].0 as usize - 1].role() != Some(Role::Follower));
     net.cut(rest[1], leader);
     net.run(700);
-    net.broken
+    net.violation
 }
 
 #[test]
@@ -76,8 +76,8 @@
 fn safeguard_lease_wait_off() {
     let mut settings = settings();
     settings.safeguards.lease_wait = false;
-    let broken = vote_under_lease(settings).expect("no rule was broken");
-    assert!(broken.contains("held a lease"), "{broken}");
+    let violation = vote_under_lease(settings).expect("no rule was broken");
+    assert!(violation.contains("held a lease"), "{violation}");
 }
 
 /// The leader's clock runs slow by 5 % and the others' fast, and the leader is cut off. Without the
@@ -98,8 +98,8 @@
         net.run(500);
         net.cut_off(leader);
         net.run(1_500);
-        if net.broken.is_some() {
-            return net.broken;
+        if net.violation.is_some() {
+            return net.violation;
         }
     }
     None
@@ -112,8 +112,8 @@
 
 #[test]
 fn safeguard_drift_off() {
-    let broken = cut_off_slow_leader(0.0).expect("no rule was broken");
-    assert!(broken.contains("held a lease"), "{broken}");
+    let violation = cut_off_slow_leader(0.0).expect("no rule was broken");
+    assert!(violation.contains("held a lease"), "{violation}");
 }
 
 /// Entries of term 2 reach one follower, and their leader dies. Another replica leads term 3,
@@ -130,16 +130,16 @@
     net.crash(first);
     net.crash(second);
     run_until(&mut net, |net| leader_of(net, &[third, fourth, fifth]).is_some());
-    let rival = leader_of(&net, &[third, fourth, fifth]).expect("just found");
-    net.cut_off(rival);
+    let new_leader = leader_of(&net, &[third, fourth, fifth]).expect("just found");
+    net.cut_off(new_leader);
     net.run(20);
-    net.crash(rival);
+    net.crash(new_leader);
     net.cuts.clear();
-    let base = last(&net, others(&net, &[first, second, rival])[0]);
+    let base = last(&net, others(&net, &[first, second, new_leader])[0]);
     net.restart(first);
     net.restart(second);
     run_until(&mut net, |net| leader_of(net, &[first, second]).is_some());
-    let [helper, idle] = others(&net, &[first, second, rival])[..] else { unreachable!() };
+    let [helper, idle] = others(&net, &[first, second, new_leader])[..] else { unreachable!() };
     net.cut_off(idle);
     run_until(&mut net, |net| last(net, helper) > base);
     let before = net.committed.len();
@@ -151,10 +151,10 @@
     }
     net.run(20);
     net.cuts.clear();
-    net.restart(rival);
+    net.restart(new_leader);
     net.run(10_000);
-    net.settle();
-    net.broken
+    net.converge();
+    net.violation
 }
 
 #[test]
@@ -166,8 +166,8 @@
 fn safeguard_own_term_off() {
     let mut settings = settings();
     settings.safeguards.own_term = false;
-    let broken = overwrite_older_term(settings).expect("no rule was broken");
-    assert!(broken.contains("committed another entry"), "{broken}");
+    let violation = overwrite_older_term(settings).expect("no rule was broken");
+    assert!(violation.contains("committed another entry"), "{violation}");
 }
 
 /// A follower is cut off for ten seconds and comes back. Callers see a leader deposed for
@@ -181,7 +181,7 @@
     let before = term(&mut net);
     net.cuts.clear();
     net.run(3_000);
-    net.broken.is_none() && net.leader() == Some(leader) && term(&mut net) == before
+    net.violation.is_none() && net.leader() == Some(leader) && term(&mut net) == before
 }
 
 #[test]
@@ -212,7 +212,7 @@
     let before = net.committed.len();
     net.propose(leader);
     net.run(3_000);
-    net.broken.is_none() && net.committed.len() > before
+    net.violation.is_none() && net.committed.len() > before
 }
 
 #[test]
@@ -233,7 +233,7 @@
     let (mut net, leader) = started(settings(), 3, 0);
     let before = net.sent_messages;
     net.run(60_000);
-    assert_eq!(net.broken, None);
+    assert_eq!(net.violation, None);
     assert_eq!(net.sent_messages, before);
     let status = net.node(leader).status().expect("alive");
     assert!(status.lease && status.role == Role::Leader, "{status:?}");
@@ -258,12 +258,12 @@
     net.run(10_000);
     net.crash(leader);
     net.run(5_000);
-    assert_eq!(net.broken, None);
+    assert_eq!(net.violation, None);
     assert!(net.leader().is_some_and(|next| next != leader));
 }
 
 #[test]
-fn change_second_loss_after_repair() {
+fn change_members_second_loss_after_repair() {
     // A VM is lost for good and replaced. Right after the repair a second one is lost. Callers
     // keep what was acknowledged, and the group goes on with the replacement's vote.
     let (mut net, leader) = started(settings(), 3, 1);
@@ -283,7 +283,7 @@
     let before = net.committed.len();
     net.propose(leader);
     net.run(1_000);
-    assert_eq!(net.broken, None);
+    assert_eq!(net.violation, None);
     assert!(net.committed.len() > before);
 }
 
@@ -301,15 +301,15 @@
         }
         net.snapshot(leader);
     }
-    net.weather.loss = 0.3;
+    net.conditions.loss = 0.3;
     net.restart(late);
     net.run(20_000);
-    assert_eq!(net.broken, None);
+    assert_eq!(net.violation, None);
     assert!(last(&net, late).0 > 600);
 }
 
 #[test]
-fn snapshot_follower_little_behind() {
+fn snapshot_follower_slightly_behind() {
     // A follower lacks the last entry when the leader drops its log. It is sent that entry, and
     // no snapshot over what may be a slow link.
     let (mut net, leader) = started(settings(), 3, 0);
@@ -322,7 +322,7 @@
     net.snapshot(leader);
     net.cuts.clear();
     net.run(500);
-    assert_eq!(net.broken, None);
+    assert_eq!(net.violation, None);
     assert_eq!(last(&net, late), last(&net, leader));
     let status = net.node(late).status().expect("alive");
     assert_eq!(status.snapshot.index, LogIndex(1));
@@ -336,6 +336,6 @@
     net.propose(leader);
     net.step(leader, Input::Transfer);
     net.run(100);
-    assert_eq!(net.broken, None);
+    assert_eq!(net.violation, None);
     assert!(net.leader().is_some_and(|next| next != leader));
 }
--- a/crates/core/tests/replication_safety.rs
+++ b/crates/core/tests/replication_safety.rs
@@ -8,7 +8,7 @@
 
 use gypsumglade_core::prelude::*;
 use gypsumglade_core::replication::{Input, MemberChange, Settings};
-use net::{Net, Weather};
+use net::{Net, NetworkConditions};
 use property::fixed;
 use proptest::prelude::*;
 use proptest::test_runner::{TestCaseError, TestRunner};
@@ -32,7 +32,7 @@
     Cut(VmId, VmId),
     CutOff(VmId),
     Heal,
-    Storm(f64, f64, u64),
+    Degrade(f64, f64, u64),
     SlowSync(u64),
     Snapshot(VmId),
     Transfer,
@@ -59,7 +59,7 @@
         2 => (vm(), vm()).prop_map(|(from, to)| Op::Cut(from, to)),
         1 => vm().prop_map(Op::CutOff),
         2 => Just(Op::Heal),
-        1 => (0.0..0.4f64, 0.0..0.3f64, 1u64..400).prop_map(|(l, d, t)| Op::Storm(l, d, t)),
+        1 => (0.0..0.4f64, 0.0..0.3f64, 1u64..400).prop_map(|(l, d, t)| Op::Degrade(l, d, t)),
         1 => (0u64..500).prop_map(Op::SlowSync),
         2 => vm().prop_map(Op::Snapshot),
         1 => Just(Op::Transfer),
@@ -83,7 +83,9 @@
         Op::Cut(from, to) => net.cut(from, to),
         Op::CutOff(vm) => net.cut_off(vm),
         Op::Heal => net.cuts.clear(),
-        Op::Storm(loss, doubled, delay) => net.weather = Weather { loss, doubled, delay },
+        Op::Degrade(loss, duplicated, delay) => {
+            net.conditions = NetworkConditions { loss, duplicated, delay }
+        }
         Op::SlowSync(millis) => net.sync_millis = millis,
         Op::Snapshot(vm) => net.snapshot(vm),
         Op::Transfer => drop(leader.map(|vm| net.step(vm, Input::Transfer))),
@@ -118,8 +120,8 @@
     for op in ops {
         apply(&mut net, op);
     }
-    net.settle();
-    match net.broken {
+    net.converge();
+    match net.violation {
         Some(rule) => Err(TestCaseError::fail(rule)),
         None => Ok(()),
     }
@@ -145,7 +147,7 @@
     ["committed another entry", "both led term", "held a lease at", "which was stale"];
 
 /// Switches one safeguard off and expects the rules above to be broken.
-fn expect_broken(change: impl Fn(&mut Settings)) {
+fn expect_violation(change: impl Fn(&mut Settings)) {
     let mut settings = settings();
     change(&mut settings);
     let strategy = (any::<u64>(), prop::collection::vec(op(), 1..60));
@@ -158,19 +160,19 @@
 #[test]
 fn safeguard_quorum_off() {
     // With a quorum of one, both sides of a partition commit, and one side's entries are lost.
-    expect_broken(|settings| settings.safeguards.quorum = false);
+    expect_violation(|settings| settings.safeguards.quorum = false);
 }
 
 #[test]
 fn safeguard_sync_off() {
     // A replica answers and crashes before its disk has the entry: the leader counted it, a later
     // leader is elected without it, and an acknowledged entry is replaced.
-    expect_broken(|settings| settings.safeguards.sync = false);
+    expect_violation(|settings| settings.safeguards.sync = false);
 }
 
 #[test]
 fn safeguard_epochs_off() {
     // A follower follows a newer leader, and its VM's pulses still reach the old one. Counted for
     // this group, they keep up a lease that the follower no longer grants.
-    expect_broken(|settings| settings.safeguards.epochs = false);
+    expect_violation(|settings| settings.safeguards.epochs = false);
 }
