--- a/crates/core/tests/control_delta.rs
+++ b/crates/core/tests/control_delta.rs
@@ -1,4 +1,4 @@
-//! Deltas between contents, and their size for a bundle of the target size.
+//! Deltas between bundle contents, and their size for a large bundle.
 
 use std::fmt::Write as _;
 
@@ -33,7 +33,8 @@
     assert_eq!(apply(b"short", &change), None);
 }
 
-/// A bundle of the letter's target: 4,500 organisations and 7 models.
+/// Returns a bundle with 4,500 organisations and 7 models; organisation `changed` has another
+/// share.
 fn large(version: &str, changed: usize) -> String {
     let mut text = format!("version: \"{version}\"\nmodels:\n");
     for model in 0..7 {
@@ -61,7 +62,7 @@
 #[test]
 fn diff_of_one_organisation_is_small() {
     let (base, target) = (large("2026.12.1", usize::MAX), large("2026.12.2", 3_000));
-    Bundle::parse(target.as_bytes()).expect("the large bundle is sound");
+    Bundle::parse(target.as_bytes()).expect("the large bundle is valid");
     let bytes = diff(base.as_bytes(), target.as_bytes()).encoded_len();
     println!("content {} bytes, delta {bytes} bytes", target.len());
     assert!(bytes < 100, "the delta has {bytes} bytes");
--- a/crates/core/tests/control_endpoints.rs
+++ b/crates/core/tests/control_endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoints in the control group's log.
+//! Endpoint registration in the control group's log, and the changes that entries are sent.
 
 use gypsumglade_core::control::Control;
 use gypsumglade_core::wire::control::command::Body;
@@ -47,12 +47,11 @@
 
     assert!(!control.endpoints().is_update(&record("one", 5, 2)));
     register(&mut control, record("one", 5, 2));
-    assert_eq!(control.endpoints().change(), 1, "entries are not told what they know");
+    assert_eq!(control.endpoints().change(), 1, "a renewal is not a change");
 }
 
-/// An endpoint says that it drains, and an entry stops sending to it. A report from before, held up
-/// on the way, then arrives. Taken for news, it would bring new calls to an endpoint that is about
-/// to end.
+/// Guards against a delayed report that undoes draining and sends new calls to an endpoint that is
+/// about to stop.
 #[test]
 fn register_late_report_keeps_draining() {
     let mut control = Control::new();
@@ -62,7 +61,7 @@
     register(&mut control, record("one", 5, 4));
 
     let found = control.endpoints().get("one").expect("present");
-    assert!(found.leaving, "draining holds for the rest of a start");
+    assert!(found.leaving, "draining lasts until the endpoint restarts");
 }
 
 #[test]
@@ -75,8 +74,8 @@
     assert_eq!((found.incarnation, found.leaving), (6, false));
 }
 
-/// An endpoint crashes and its address goes to another. A report of the first one was held back by
-/// a partition and arrives now. It must not take the address away from the endpoint that runs there.
+/// A delayed report of a crashed endpoint must not take its address from the endpoint that runs
+/// there now.
 #[test]
 fn register_late_report_of_replaced_endpoint() {
     let mut control = Control::new();
@@ -89,7 +88,7 @@
     assert_eq!(names(&control), ["new"]);
 }
 
-/// An endpoint said goodbye; its last report overtook the goodbye's way round and comes after it.
+/// A report that arrives after the endpoint deregistered must not register it again.
 #[test]
 fn deregister_then_late_report() {
     let mut control = Control::new();
@@ -99,7 +98,7 @@
 
     assert!(names(&control).is_empty());
     register(&mut control, record("one", 6, 1));
-    assert_eq!(names(&control), ["one"], "a later start is welcome");
+    assert_eq!(names(&control), ["one"], "a later incarnation can register");
 }
 
 #[test]
@@ -121,9 +120,8 @@
     assert!(control.endpoints().changes_since(changes.change).endpoints.is_empty());
 }
 
-/// A replica that was restored from a snapshot must decide like those that applied every command:
-/// otherwise their numbers of changes differ, and an entry that asks another leader is told that
-/// nothing changed.
+/// A replica restored from a snapshot must decide like one that applied every command. If their
+/// change numbers differed, an entry that asks a new leader could miss changes.
 #[test]
 fn restore_keeps_departed_and_retiring() {
     let mut control = Control::new();
@@ -132,7 +130,7 @@
     deregister(&mut control, "one", 5);
     control.apply(&Command { body: Some(Body::Retire(Retire { vm: 7 })) });
 
-    let mut restored = Control::restore(&control.snapshot()).expect("readable");
+    let mut restored = Control::restore(&control.snapshot()).expect("the snapshot is valid");
     register(&mut restored, record("one", 5, 2));
 
     assert_eq!(names(&restored), ["three"]);
@@ -140,15 +138,14 @@
     assert!(restored.is_retiring(gypsumglade_core::ids::VmId(7)));
 }
 
-/// Names of the endpoints that are told of, and of those told as gone.
+/// Returns the names of endpoints reported as changed and as gone since change `seen`.
 fn reported(control: &Control, seen: u64) -> (Vec<String>, Vec<String>) {
     let changes = control.endpoints().changes_since(seen);
     (changes.endpoints.into_iter().map(|record| record.name).collect(), changes.gone)
 }
 
-/// Endpoints are replaced one after another, and every entry VM asks after each change. What it is
-/// told must be what changed, or a deployment's own messages fill the links between its failure
-/// domains.
+/// Guards against sending all endpoints to every entry VM after each change, which would load the
+/// links between failure domains.
 #[test]
 fn changes_since_lists_only_changes() {
     let mut control = Control::new();
@@ -164,8 +161,8 @@
     assert_eq!(reported(&control, control.endpoints().change()), (Vec::new(), Vec::new()));
 }
 
-/// An address is taken over by another endpoint. The former one must not go on getting calls at an
-/// entry VM that is told only of changes.
+/// An endpoint that lost its address to another one must be reported as gone, or entry VMs would
+/// keep sending calls to it.
 #[test]
 fn changes_since_lists_evicted() {
     let mut control = Control::new();
@@ -186,15 +183,15 @@
     assert_eq!(reported(&control, 0).0, ["a", "bb"]);
 }
 
-/// A leader was restored from a snapshot, which does not say what the changes before it touched. An
-/// asker that lacks some of them must be told all, or it would keep endpoints that are gone.
+/// A snapshot doesn't record earlier changes, so a caller that lacks some of them must get the full
+/// list, or it would keep endpoints that are gone.
 #[test]
 fn changes_since_lists_all_after_restore() {
     let mut control = Control::new();
     register(&mut control, record("a", 5, 1));
     let seen = control.endpoints().change();
     register(&mut control, record("bb", 6, 1));
-    let restored = Control::restore(&control.snapshot()).expect("own snapshot");
+    let restored = Control::restore(&control.snapshot()).expect("the snapshot is valid");
 
     let changes = restored.endpoints().changes_since(seen);
     assert!(!changes.delta);
--- a/crates/core/tests/control_placement.rs
+++ b/crates/core/tests/control_placement.rs
@@ -1,4 +1,4 @@
-//! Placement: VMs lost for good are replaced, one change of a group at a time.
+//! Placement: permanently lost VMs are replaced, with one change of a group at a time.
 
 #[path = "support/property.rs"]
 mod property;
@@ -22,16 +22,16 @@
 
 #[derive(Clone, Debug)]
 enum Action {
-    /// The VM goes away, is given up, or comes back.
+    /// A VM becomes unreachable, is declared lost, or comes back.
     Availability { vm: usize, availability: Availability },
-    /// The planner looks at the world; its steps may be applied later.
+    /// The planner plans steps from the current state; they may be applied later.
     Plan,
-    /// One of the steps planned so far reaches the log.
+    /// One of the planned steps is applied.
     Apply { step: usize },
-    /// The group's log makes the last change of placement and reports it.
+    /// A group completes its last placement change and reports it.
     Report { group: usize },
-    /// The learner catches up. That it has not fallen behind again is checked by the group's
-    /// own leader when it makes the change.
+    /// The learner catches up. The group's own leader checks this again at promotion, which is not
+    /// simulated here.
     CatchUp { group: usize },
 }
 
@@ -49,7 +49,7 @@
     ]
 }
 
-/// One group's own replicated log, as far as placement sees it.
+/// State of a group's replicated log, as reported to placement.
 #[derive(Clone, Copy, Default)]
 struct Log {
     change: u64,
@@ -82,7 +82,7 @@
     fn run(&mut self, action: &Action) -> Result<(), TestCaseError> {
         match *action {
             Action::Availability { vm, availability } => {
-                // A VM given up for lost is replaced and never comes back under its number.
+                // A lost VM is replaced and never comes back under the same id.
                 if self.stores[vm].availability != Availability::Lost {
                     self.stores[vm].availability = availability;
                 }
@@ -165,7 +165,7 @@
     Ok(())
 }
 
-/// Cases of a property when the environment names no other count.
+/// Number of cases unless the environment sets another.
 const CASES: u32 = 1_000;
 
 fn run(mutation: Mutation, plan: PlanMutation, cases: u32) -> Result<(), String> {
@@ -181,8 +181,8 @@
 
 #[test]
 fn plan_replaces_one_replica_at_a_time() {
-    // VMs go, come back or are given up at any moment, a second one right after a repair. Steps
-    // reach the log late, twice or not at all, and planned on old news.
+    // VMs become unreachable, come back or are lost at any time. Steps are applied late, twice or
+    // not at all, and may be based on outdated reports.
     assert_eq!(run(Mutation::None, PlanMutation::None, cases(CASES)), Ok(()));
 }
 
@@ -211,25 +211,25 @@
     assert!(run(Mutation::IgnoreChange, PlanMutation::None, 5_000).is_err());
 }
 
-/// Runs planner and logs until nothing is left to do.
+/// Runs 100 rounds of planning and applying, enough for every repair to finish.
 fn run_to_completion(simulation: &mut Simulation) {
     for _ in 0..100 {
         simulation.planned.clear();
         simulation.plan();
         for step in std::mem::take(&mut simulation.planned) {
-            simulation.apply(&step).expect("the step keeps the rules");
+            simulation.apply(&step).expect("the step is valid");
         }
         for group in 0..GROUPS as usize {
-            simulation.run(&Action::Report { group }).expect("a report");
-            simulation.run(&Action::CatchUp { group }).expect("a learner catches up");
+            simulation.run(&Action::Report { group }).expect("the report is applied");
+            simulation.run(&Action::CatchUp { group }).expect("the learner catches up");
         }
     }
 }
 
 #[test]
 fn plan_second_loss_right_after_repair() {
-    // A VM is lost for good and replaced. Right after the repair a second VM of the same groups
-    // goes. Every group must end with three voters that are up, in three domains.
+    // A second VM of the same groups is lost right after the first was replaced. Every group must
+    // end with three voters that are up, in three domains.
     let mut simulation = Simulation::new(Mutation::None, PlanSettings::default());
     for _ in 0..2 {
         let vm = simulation.control.groups()[0].replicas[0].vm as usize;
@@ -246,8 +246,8 @@
 
 #[test]
 fn plan_waits_when_no_domain_is_free() {
-    // A whole domain is lost. Its replicas are not moved into the two that remain, where one
-    // more loss would take a majority.
+    // Replicas of a lost domain must not move into the two remaining ones, where one more loss
+    // could take a majority.
     let mut simulation = Simulation::new(Mutation::None, PlanSettings::default());
     let before = simulation.control.groups().to_vec();
     for store in simulation.stores.iter_mut().filter(|store| store.domain == DomainId(2)) {
--- a/crates/core/tests/control_revisions.rs
+++ b/crates/core/tests/control_revisions.rs
@@ -1,4 +1,4 @@
-//! Revisions of the control group: compare-and-set, resends, conflicts and roll backs.
+//! Revisions of the control group: compare-and-set, retries, conflicts and roll backs.
 
 #[path = "support/property.rs"]
 mod property;
@@ -70,8 +70,8 @@
 
 #[test]
 fn accept_resent_order_gets_first_answer() {
-    // The answer to an order is lost, another order gets in, then the first is sent again. A
-    // second acceptance would bring old content back in force.
+    // An order is retried after a lost answer, when another order was already accepted. Accepting
+    // it twice would put old content back in force.
     let mut control = Control::new();
     let first = apply(&mut control, accept("a", 0, 1, 0));
     assert_eq!(revision(&apply(&mut control, accept("b", 1, 2, 0))), Some(2));
@@ -88,11 +88,11 @@
 
 #[test]
 fn accept_same_version_names_both_digests() {
-    // Two operators race under one version number; the loser must learn who won and with what.
+    // Two operators use the same version; the second must learn which content was accepted.
     let mut control = Control::new();
     apply(&mut control, accept("a", 0, 1, 0));
     let AnswerBody::Conflict(conflict) = apply(&mut control, accept("b", 0, 1, 7)) else {
-        panic!("the version is taken");
+        panic!("expected a conflict: the version is already used");
     };
     assert_eq!(conflict.accepted, Digest::of(&bundle(1, 0)).to_wire());
     assert_eq!(conflict.offered, Digest::of(&bundle(1, 7)).to_wire());
@@ -148,12 +148,12 @@
 
 #[test]
 fn accept_evicted_version_is_refused() {
-    // Someone keeps an old signed bundle until the group has forgotten its version, and sends
-    // it again: old content would be in force without anyone signing that.
+    // Guards against replay of an old signed bundle after its version was evicted from the group's
+    // records.
     let answer = evicted_version_answer(Mutation::None);
     assert_eq!(fault(&answer), Some(Fault::VersionTooOld));
     let answer = evicted_version_answer(Mutation::NoVersionFloor);
-    assert!(revision(&answer).is_some(), "the test must notice the missing floor");
+    assert!(revision(&answer).is_some(), "without the version floor the replay is accepted");
 }
 
 #[test]
@@ -164,8 +164,8 @@
     let mut order = accept("a", 0, 1, 0);
     let unsigned = control.check(&command(CommandBody::Accept(order.clone())), &keys);
     assert_eq!(unsigned.err().map(body).as_ref().and_then(fault), Some(Fault::NotSigned));
-    let mut signed = SignedBundle::new(bundle(1, 0)).expect("a sound bundle");
-    signed.sign(&pair).expect("a sound bundle");
+    let mut signed = SignedBundle::new(bundle(1, 0)).expect("a valid bundle");
+    signed.sign(&pair).expect("a valid bundle");
     order.signatures = signed.signatures.iter().map(|signature| signature.to_wire()).collect();
     assert_eq!(control.check(&command(CommandBody::Accept(order.clone())), &keys), Ok(()));
     apply(&mut control, order);
@@ -174,7 +174,7 @@
 
 #[test]
 fn check_roll_back_signature_holds_for_one_base() {
-    // A signed roll back is kept and sent again later, when another revision is in force.
+    // Guards against replay of a signed roll back when another revision is in force.
     let pair = KeyPair::from_seed([1; 32]);
     let keys = OperatorKeys { keys: vec![pair.public()], threshold: 1 };
     let mut control = Control::new();
@@ -198,7 +198,8 @@
     assert_eq!(replayed.as_ref().and_then(fault), Some(Fault::NotSigned));
 }
 
-/// Orders of racing operators; few ids, bases, versions and texts, so that they often clash.
+/// Order of one of several operators, with few ids, bases, versions and texts so that they
+/// conflict.
 #[derive(Clone, Debug)]
 enum Order {
     Accept { id: u8, back: u64, version: u64, text: u8, damaged: bool },
@@ -217,7 +218,7 @@
     ]
 }
 
-/// Runs the orders and checks each answer against what was seen before.
+/// Runs the orders and checks each answer against the earlier ones.
 fn run_orders(mutation: Mutation, orders: &[Order]) -> Result<(), TestCaseError> {
     let mut control = Control::with_mutation(mutation);
     let mut revisions: Vec<(u64, Digest)> = Vec::new();
@@ -240,27 +241,27 @@
                 (id, base, roll_back(&mut control, &id.to_string(), base, target))
             }
             Order::Restart => {
-                let restored = Control::restore(&control.snapshot()).expect("own snapshot");
+                let restored = Control::restore(&control.snapshot()).expect("a valid snapshot");
                 prop_assert_eq!(restored.snapshot(), control.snapshot());
                 continue;
             }
         };
         let after = control.history().number().0;
-        prop_assert!(after >= before, "revision fell from {before} to {after}");
+        prop_assert!(after >= before, "revision went down from {before} to {after}");
         let Some(current) = control.current() else { continue };
         prop_assert_eq!(Digest::of(&current.content), current.digest);
         let Some(number) = revision(&answer) else { continue };
         if let Some(first) = completed_orders.insert(id, number) {
-            prop_assert_eq!(first, number, "order {} was carried out twice", id);
+            prop_assert_eq!(first, number, "order {} was executed twice", id);
         }
         if after == before {
             continue;
         }
-        prop_assert_eq!(base, before, "an order for another base was taken");
+        prop_assert_eq!(base, before, "an order for another base was accepted");
         revisions.push((number, current.digest));
         if let Order::Accept { version, .. } = order {
             let taken = versions.insert(*version, current.digest);
-            prop_assert!(taken.is_none(), "version {version} was taken twice");
+            prop_assert!(taken.is_none(), "version {version} was accepted twice");
         }
     }
     for (number, digest) in revisions {
@@ -270,7 +271,7 @@
     Ok(())
 }
 
-/// Cases of a property when the environment names no other count.
+/// Number of cases unless the environment sets another.
 const CASES: u32 = 1_000;
 
 fn run(mutation: Mutation, cases: u32) -> Result<(), String> {
@@ -281,7 +282,7 @@
 }
 
 fn assert_caught(mutation: Mutation) {
-    assert!(run(mutation, 5_000).is_err(), "{mutation:?} went unnoticed");
+    assert!(run(mutation, 5_000).is_err(), "{mutation:?} was not detected");
 }
 
 #[test]
--- a/crates/core/tests/lease_in_force.rs
+++ b/crates/core/tests/lease_in_force.rs
@@ -1,4 +1,4 @@
-//! The configuration lease: once a revision is reported in force, nobody acts on an older one.
+//! Configuration lease: once a revision is reported in force, no VM acts on an older one.
 
 #[path = "support/property.rs"]
 mod property;
@@ -16,18 +16,18 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, TestCaseError, TestRunner};
 
-/// Clock drift in the property: larger than in practice, so that cases that depend on it are
-/// found soon.
+/// Clock drift in the property, larger than in practice so that failures that depend on it are
+/// found quickly.
 const DRIFT_PPM: i64 = 100_000;
 const NODES: usize = 4;
 
-/// What may happen next. Messages stay on the wire, so they come late, twice, crossed or never.
+/// One event of a generated run. Messages may arrive late, twice, out of order or never.
 #[derive(Clone, Debug)]
 enum Action {
     Advance {
         millis: u64,
     },
-    /// Node asks an ancestor; ancestor 0 is the control leader.
+    /// A node sends a request to an ancestor; ancestor 0 is the control leader.
     Ask {
         node: usize,
         ancestor: usize,
@@ -35,7 +35,7 @@
     Deliver {
         index: usize,
     },
-    /// Asks and gets its reply at once.
+    /// A node sends a request and receives the reply at once.
     Exchange {
         node: usize,
         ancestor: usize,
@@ -70,7 +70,7 @@
     grants: ConfigGrants,
 }
 
-/// A leader, relays and VMs behind them, each with its own clock.
+/// A control leader and nodes that relay leases to the nodes after them, each with its own clock.
 struct Simulation {
     settings: LeaseSettings,
     rates: Vec<i64>,
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Delivers one of the newest messages and keeps it, so that it may come again.
+    /// Delivers one of the newest messages and keeps it, so that it may be delivered again.
     fn deliver(&mut self, index: usize) {
         let index = self.wire.len() - 1 - index % self.wire.len();
         match self.wire[index].clone() {
@@ -159,7 +159,7 @@
                 let now = self.clock(to + 1);
                 let lease = &mut self.nodes[to].lease;
                 if let ReplyAction::Apply(update) = lease.handle_reply(reply, now) {
-                    let number = update.revision.expect("served with a revision").number;
+                    let number = update.revision.expect("an update carries a revision").number;
                     lease.apply(RevisionNumber(number), now);
                 }
             }
@@ -199,7 +199,7 @@
     }
 }
 
-/// Cases of a property when the environment names no other count.
+/// Number of cases unless the environment sets another.
 const CASES: u32 = 4_000;
 
 fn run(mutation: Mutation, cases: u32) -> Result<(), String> {
@@ -217,19 +217,18 @@
     result.map_err(|error| error.to_string())
 }
 
-/// Cases within which a switched-off safeguard must be noticed.
+/// Number of cases within which a disabled safeguard must be detected.
 const MUTATION_CASES: u32 = 60_000;
 
 fn assert_caught(mutation: Mutation) {
     let result = run(mutation, MUTATION_CASES);
-    assert!(result.is_err(), "{mutation:?} went unnoticed");
+    assert!(result.is_err(), "{mutation:?} was not detected");
 }
 
 #[test]
 fn in_force_holds_under_loss_delay_drift_and_restarts() {
-    // A VM cut off silently keeps its lease and acts on the old bundle while an operator is told
-    // that the new one is in force. Requests and replies come late, twice, crossed or never;
-    // VMs and leaders are replaced at any point; clocks drift by the bound, each its own way.
+    // Guards against a VM that acts on an old bundle after the new one was reported in force, under
+    // message loss, reordering, restarts, leader changes and clock drift up to the bound.
     assert_eq!(run(Mutation::None, cases(CASES)), Ok(()));
 }
 
@@ -268,7 +267,7 @@
     assert_caught(Mutation::CountFromReply);
 }
 
-/// A relay restarts while a VM behind it holds a lease under the older revision.
+/// Runs a restart of a relay while a VM behind it holds a lease under the older revision.
 fn restarted_relay(mutation: Mutation) -> Simulation {
     let mut simulation = Simulation::new(mutation, vec![0; NODES + 1]);
     let exchange = |simulation: &mut Simulation, node: usize, ancestor: usize| {
@@ -286,9 +285,8 @@
 
 #[test]
 fn in_force_waits_for_vms_behind_a_restarted_relay() {
-    // A relay restarts, fetches the new revision and confirms it. It no longer knows that a VM
-    // behind it, now cut off, still holds a lease under the old revision, so its word must not
-    // cover what its earlier life granted.
+    // A restarted relay confirms the new revision without knowing that a VM behind it still holds a
+    // lease under the old one. Its confirmation must not cover grants of its earlier incarnation.
     let mut simulation = restarted_relay(Mutation::None);
     let now = simulation.clock(2);
     assert_eq!(simulation.nodes[1].lease.working_revision(now), Some(RevisionNumber(1)));
@@ -302,9 +300,9 @@
 
 #[test]
 fn in_force_without_incarnation_check_is_caught() {
-    // The random property meets this order of events too seldom, so it is scripted.
+    // Scripted, since the random property rarely generates this order of events.
     let mut simulation = restarted_relay(Mutation::IgnoreIncarnation);
-    assert!(simulation.check().is_err(), "vm1 acts on an old revision unnoticed");
+    assert!(simulation.check().is_err(), "vm1 acts on an old revision undetected");
 }
 
 #[test]
--- a/crates/core/tests/lease_relay.rs
+++ b/crates/core/tests/lease_relay.rs
@@ -1,4 +1,4 @@
-//! Relays with real bundles: deltas, contents that don't fit, and signatures that don't hold.
+//! Relays with real bundles: deltas, mismatched contents and invalid signatures.
 
 use std::time::Duration;
 
@@ -57,7 +57,7 @@
 fn confirm(leader: &mut Leader, relay: &mut Relay) {
     for _ in 0..2 {
         let reply = leader.answer(relay);
-        relay.handle_reply(reply, &keys(&operator()), NOW).expect("verifies");
+        relay.handle_reply(reply, &keys(&operator()), NOW).expect("the reply verifies");
     }
 }
 
@@ -70,16 +70,18 @@
     relay.hint(RevisionNumber(2), NOW);
     let reply = leader.answer(&mut relay);
     let Some(Body::Update(update)) = &reply.body else { panic!("revision 2 is newer") };
-    assert!(update.delta.is_some() && update.revision.as_ref().expect("told").content.is_empty());
-    let bundle = relay.handle_reply(reply, &keys(&operator()), NOW).expect("verifies");
+    assert!(
+        update.delta.is_some() && update.revision.as_ref().expect("a revision").content.is_empty()
+    );
+    let bundle = relay.handle_reply(reply, &keys(&operator()), NOW).expect("the reply verifies");
     assert_eq!(bundle.map(|bundle| bundle.version), Some("2".into()));
     assert_eq!(relay.lease().working_revision(NOW), Some(RevisionNumber(2)));
 }
 
 #[test]
 fn reply_with_mismatched_delta_is_followed_by_full_content() {
-    // A delta is made from another base than the one held, or is damaged. Its digest gives it
-    // away, and the next request asks for the whole content.
+    // A delta for another base, or a damaged one, fails the digest check, and the next request gets
+    // the whole content.
     let (mut leader, mut relay) = (Leader::new(), relay(1));
     leader.history.push(revision(1));
     confirm(&mut leader, &mut relay);
@@ -97,8 +99,7 @@
 
 #[test]
 fn reply_not_signed_by_own_operators_gives_no_lease() {
-    // A control leader with other operator keys in its settings spreads a bundle that nobody
-    // signed off here. This VM must not act on it, and takes no work.
+    // A bundle that isn't signed by this VM's own operators must not give it a lease.
     let (mut leader, mut relay) = (Leader::new(), relay(1));
     leader.history.push(revision(1));
     let reply = leader.answer(&mut relay);
@@ -110,7 +111,7 @@
 
 #[test]
 fn serve_without_own_lease_is_unavailable() {
-    // A relay that is cut off from its own granter has nothing to give.
+    // A relay without a lease of its own can't grant one.
     let (mut leader, mut relay, mut child) = (Leader::new(), relay(1), relay(2));
     leader.history.push(revision(1));
     confirm(&mut leader, &mut relay);
@@ -121,13 +122,13 @@
     assert!(matches!(reply.body, Some(Body::Unavailable(_))));
 }
 
-/// Callers are refused though the control group has a leader again: every process was killed, and a
-/// VM that found no leader at its first request waits a whole interval before the next one.
+/// Guards against a VM that refuses callers for a whole interval because the control group had no
+/// leader at its first request.
 #[test]
 fn next_request_sooner_without_lease() {
     let interval = LeaseSettings::default().interval();
     let mut relay = relay(2);
-    relay.next_request(NOW).expect("the first is due");
+    relay.next_request(NOW).expect("the first request is due");
     assert!(relay.next_request(NOW + interval / 2).is_some());
 }
 
@@ -143,9 +144,8 @@
     assert!(relay.next_request(NOW + interval * 3 / 2).is_some());
 }
 
-/// A VM takes callers' requests under a bundle that was replaced, for as long as a lease lasts. The VM
-/// that it asks for its lease is cut off from all stores and passes on what is left of its own, while
-/// the VM itself could reach every store.
+/// Guards against a VM that stays on a replaced bundle because its parent is cut off from the
+/// control group, though the VM itself can reach it.
 #[test]
 fn reply_of_cut_off_relay_fails_over() {
     let settings =
@@ -167,24 +167,25 @@
             && let Some(request) = parent.next_request(now)
         {
             let reply = serve(&history, &mut grants, settings.length(), &request, now);
-            parent.handle_reply(reply, &keys(&operator()), now).expect("verifies");
+            parent.handle_reply(reply, &keys(&operator()), now).expect("the reply verifies");
         }
-        // As entry VMs choose whom to ask: the parent, then the control leader.
+        // Alternates like an entry VM: first the parent, after a failure the control leader.
         let asks_leader = child.lease().failures() % 2 == 1;
         if let Some(request) = child.next_request(now) {
             let reply = match asks_leader {
                 true => serve(&history, &mut grants, settings.length(), &request, now),
                 false => parent.serve(&request, now),
             };
-            child.handle_reply(reply, &keys(&operator()), now).expect("verifies");
+            child.handle_reply(reply, &keys(&operator()), now).expect("the reply verifies");
         }
         applied_at = (child.lease().applied() == RevisionNumber(2)).then_some(now);
     }
     let took = now.since(cut);
-    assert!(took <= Duration::from_millis(2_000), "learnt after {took:?}");
+    assert!(took <= Duration::from_millis(2_000), "the new revision was applied after {took:?}");
 }
 
-/// A VM whose parent is well doesn't go to the leader, or the leader's cost grows with the VMs.
+/// Guards against load on the leader that grows with the number of VMs: a VM with a healthy parent
+/// must not count failures, which would make it ask the leader.
 #[test]
 fn reply_of_healthy_relay_keeps_parent() {
     let settings =
@@ -200,7 +201,7 @@
                 Some(above) => path[above].serve(&request, now),
                 None => serve(&history, &mut grants, settings.length(), &request, now),
             };
-            path[place].handle_reply(reply, &keys(&operator()), now).expect("verifies");
+            path[place].handle_reply(reply, &keys(&operator()), now).expect("the reply verifies");
             let steady = step > 200;
             assert!(!steady || path[place].lease().failures() == 0, "VM {place} at {step}");
         }
--- a/crates/core/tests/membership_harness/mod.rs
+++ b/crates/core/tests/membership_harness/mod.rs
@@ -1,4 +1,4 @@
-//! Many membership cores in one process: a queue of datagrams on a virtual clock.
+//! Simulation of many membership cores in one process, with a datagram queue and a virtual clock.
 
 #![allow(dead_code)]
 
@@ -14,9 +14,9 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Bytes of the IP and UDP headers and of the tag that the driver adds to a datagram.
+/// Bytes added to each datagram: the IP and UDP headers and the driver's tag.
 pub const OVERHEAD: u64 = 28 + 32;
-/// Spreads VMs over the domains of the letter's target; the region is the domain modulo four.
+/// Spreads VMs evenly over eleven failure domains.
 pub fn eleven_domains(vm: VmId) -> u16 {
     (vm.0 % 11) as u16
 }
@@ -26,14 +26,14 @@
     at: Time,
     number: u64,
     to: VmId,
-    /// A datagram with its sender, or nothing for a tick.
+    /// A datagram with its sender, or `None` for a tick.
     datagram: Option<(VmId, Bytes)>,
 }
 
-/// Whether a datagram from one VM to another is dropped.
+/// Returns whether datagrams from the first VM to the second are dropped.
 pub type Cut = fn(VmId, VmId) -> bool;
 
-/// Cores, the datagrams between them, and what was observed.
+/// Simulated network of membership cores, with counters.
 pub struct Net {
     pub now: Time,
     pub nodes: BTreeMap<VmId, Membership>,
@@ -41,7 +41,7 @@
     pub cut: Option<Cut>,
     pub bytes: u64,
     pub largest: usize,
-    /// Deaths of VMs that are up, as declared or heard of by any VM.
+    /// Number of times a VM recorded a running VM as dead while no link was cut.
     pub false_deaths: u64,
     queue: BinaryHeap<Reverse<Event>>,
     events: u64,
@@ -86,7 +86,7 @@
         net
     }
 
-    /// Starts a VM, or restarts it without memory.
+    /// Starts a VM, or restarts it with empty state.
     pub fn start(&mut self, vm: VmId, incarnation: u32) {
         let domain = (self.domain)(vm);
         let settings = Settings {
@@ -114,8 +114,7 @@
         self.run_until(end, |_| false);
     }
 
-    /// Runs until `done` holds or the time is over; returns whether it held. The condition is
-    /// looked at every 100 ms.
+    /// Runs until `done` holds or `end` is reached, checking every 100 ms; returns whether it held.
     pub fn run_until(&mut self, end: Time, done: impl Fn(&Net) -> bool) -> bool {
         while !done(self) {
             if self.now >= end {
@@ -130,7 +129,7 @@
         true
     }
 
-    /// Gives one VM an input outside the queue.
+    /// Passes an input to a VM directly, not through the queue.
     pub fn input(&mut self, vm: VmId, input: Input) {
         let Some(node) = self.nodes.get_mut(&vm) else { return };
         let effects = node.step(self.now, input);
@@ -149,7 +148,7 @@
                 let from = address(from);
                 self.input(event.to, Input::Datagram { from, bytes });
             }
-            // A tick that another input made needless is passed over.
+            // Skips a tick that an earlier input has postponed.
             None if self.nodes.get(&event.to).is_some_and(|node| node.next_tick() <= self.now) => {
                 self.input(event.to, Input::Tick);
             }
@@ -188,7 +187,7 @@
         self.queue.push(Reverse(Event { at, number: self.events, to, datagram }));
     }
 
-    /// Returns true when every VM that runs holds exactly those that run for up.
+    /// Returns whether every running VM considers exactly the running VMs up.
     pub fn agreed(&self) -> bool {
         let all = self.nodes.len() - 1;
         self.nodes.iter().all(|(vm, node)| {
@@ -200,7 +199,7 @@
         })
     }
 
-    /// Returns how many VMs hold `vm` for this liveness.
+    /// Returns the number of VMs that record this liveness for `vm`.
     pub fn holding(&self, vm: VmId, liveness: Liveness) -> usize {
         let nodes = self.nodes.values();
         nodes.filter(|node| node.member(vm).is_some_and(|known| known.liveness == liveness)).count()
--- a/crates/core/tests/membership_merge.rs
+++ b/crates/core/tests/membership_merge.rs
@@ -1,4 +1,4 @@
-//! News of a VM leads to the same belief in whatever order it arrives.
+//! Rumours about a VM merge to the same state in any order.
 
 use bytes::Bytes;
 use gypsumglade_core::membership::{Input, Liveness, Membership, Mutation, Settings, Times};
@@ -25,7 +25,7 @@
         .prop_map(|(incarnation, liveness, version)| rumour(incarnation, liveness, version))
 }
 
-/// Tells a new VM that vm2 is alive and then this news; returns what it believes.
+/// Returns a new VM's state of vm2 after a first rumour that vm2 is alive and then `rumours`.
 fn merged_state(mutation: Mutation, rumours: &[Rumour]) -> (Liveness, u32, Bytes) {
     let settings = Settings {
         vm: VmId(1),
@@ -45,7 +45,7 @@
         let bytes = datagram.encode_to_vec().into();
         node.step(Time::ZERO, Input::Datagram { from: ([10, 0, 0, 3], 257).into(), bytes });
     }
-    let member = node.member(VmId(2)).expect("it was told of");
+    let member = node.member(VmId(2)).expect("vm2 is known");
     (member.liveness, member.incarnation, member.digest.clone())
 }
 
@@ -69,8 +69,8 @@
 
 #[test]
 fn merge_in_any_order() {
-    // Datagrams overtake each other and come twice. VMs that got the same news in another order
-    // must not go on to believe different things.
+    // Datagrams are reordered and duplicated. VMs that receive the same rumours in a different
+    // order must converge to the same state.
     assert_eq!(run(Mutation::None), Ok(()));
 }
 
--- a/crates/core/tests/membership_protocol.rs
+++ b/crates/core/tests/membership_protocol.rs
@@ -1,4 +1,4 @@
-//! Membership: joining, deaths, objections, partitions and departures.
+//! Membership protocol: joins, failures, refutation, partitions and departures.
 
 #[path = "membership_harness/mod.rs"]
 mod harness;
@@ -16,7 +16,7 @@
     Duration::from_secs(seconds)
 }
 
-/// Returns true if all agree within the time.
+/// Returns whether all VMs agree within `limit` seconds.
 fn agrees(net: &mut Net, limit: u64) -> bool {
     let end = net.now + seconds(limit);
     net.run_until(end, Net::agreed)
@@ -24,7 +24,7 @@
 
 fn joined(size: u32, loss: f64, mutation: Mutation) -> Net {
     let mut net = Net::new(size, loss, SEED, mutation);
-    assert!(agrees(&mut net, 60), "{size} VMs don't find each other");
+    assert!(agrees(&mut net, 60), "{size} VMs did not find each other within 60 s");
     net
 }
 
@@ -58,8 +58,8 @@
 
 #[test]
 fn heavy_loss_without_refutation_is_caught() {
-    // One probe in five gets lost on each way. VMs that are up are suspected often; with no
-    // right to object they would all be taken for dead in turn.
+    // With 20 % loss in each direction, running VMs are often suspected. Without refutation they
+    // would be declared dead.
     assert_eq!(deaths_under_heavy_loss(Mutation::None), 0);
     assert!(deaths_under_heavy_loss(Mutation::NoRefute) > 0);
 }
@@ -79,13 +79,13 @@
 
 #[test]
 fn failed_link_without_indirect_probes_is_caught() {
-    // Two failure domains lose each other while every other path works. VMs that can be reached
-    // through a third domain are up, and must not be suspected.
+    // The link between two failure domains fails. VMs that can be reached through a third domain
+    // must not be suspected.
     assert_eq!(suspicions_over_failed_link(Mutation::None), 0);
     assert!(suspicions_over_failed_link(Mutation::NoIndirect) > 0);
 }
 
-/// Two large domains and one of two VMs.
+/// Assigns VMs to two large domains and a small one, every tenth VM to the small one.
 fn small_third_domain(vm: VmId) -> u16 {
     if vm.0.is_multiple_of(10) { 0 } else { 1 + (vm.0 % 2) as u16 }
 }
@@ -97,9 +97,9 @@
 
 #[test]
 fn probes_through_any_domain_are_caught() {
-    // Two large domains lose each other, and only the VMs of a small third one reach both.
-    // Relays drawn from all VMs alike sit behind the same failed link and repeat the asker's
-    // mistake; one relay from each domain finds the way.
+    // The link between two large domains fails, and only a small third domain reaches both. Relays
+    // picked from all VMs are mostly behind the same failed link; one relay per domain gets
+    // through.
     let suspicions = |mutation| {
         let mut net = Net::with_domains(20, 0.0, SEED, mutation, small_third_domain);
         assert!(agrees(&mut net, 60));
@@ -111,7 +111,7 @@
     assert!(suspicions(Mutation::AnyDomain) > 0);
 }
 
-/// Odd domains and even ones lose each other.
+/// Partitions the network into odd and even domains.
 fn partitioned_halves(from: VmId, to: VmId) -> bool {
     from.0 % 11 % 2 != to.0 % 11 % 2
 }
@@ -121,23 +121,23 @@
     net.cut = Some(partitioned_halves);
     net.run(seconds(120));
     let unreachable = net.nodes[&VmId(1)].members().filter(|other| !other.is_up()).count();
-    assert_eq!(unreachable, 27, "vm1 holds the other side for dead");
+    assert_eq!(unreachable, 27, "vm1 considers the other side down");
     net.cut = None;
     agrees(&mut net, 120)
 }
 
 #[test]
 fn partition_heals_by_contacting_the_dead() {
-    // Two halves lose each other for minutes, until each holds the other for dead. Nobody probes
-    // the dead, so without seldom contacts the halves would stay apart after the network heals.
+    // After a long partition each half considers the other dead. Dead VMs aren't probed, so without
+    // occasional contacts the halves would stay apart after the network recovers.
     assert!(recovers_from_partition(Mutation::None));
     assert!(!recovers_from_partition(Mutation::NoContactDead));
 }
 
 #[test]
 fn restart_with_lower_incarnation_rejoins() {
-    // A VM dies, is replaced under the same number and starts from incarnation zero. Others hold
-    // a higher incarnation of it for dead; it must learn that and step past it.
+    // A VM restarts from incarnation zero while others consider a higher incarnation dead. It must
+    // learn of that incarnation and exceed it.
     let mut net = joined(20, 0.0, Mutation::None);
     net.kill(VmId(7));
     assert!(agrees(&mut net, 30));
@@ -183,8 +183,8 @@
 
 #[test]
 fn join_without_pulls_is_caught() {
-    // A VM joins a settled deployment, where nobody gossips about the others any more. Without
-    // pulling pages it would know only the VMs that happened to probe it.
+    // In a stable deployment no rumours about existing VMs spread. Without pulling member pages, a
+    // new VM would know only the VMs that probe it.
     assert!(late_join_agrees(Mutation::None));
     assert!(!late_join_agrees(Mutation::NoPull));
 }
@@ -215,8 +215,7 @@
 
 #[test]
 fn older_incarnation_is_ignored() {
-    // A datagram that tells of a death arrives after the VM objected to it. Taken as news, late
-    // datagrams would bring old deaths back.
+    // A delayed rumour of a death that the VM has already refuted must be ignored.
     assert_eq!(liveness_after_late_rumour(Mutation::None), Some(Liveness::Alive));
     assert_eq!(liveness_after_late_rumour(Mutation::IgnoreIncarnation), Some(Liveness::Dead));
 }
--- a/crates/core/tests/orders_fencing.rs
+++ b/crates/core/tests/orders_fencing.rs
@@ -1,4 +1,4 @@
-//! The order lease: no two holders act at once, and late orders of an old one change nothing.
+//! Order lease: no two holders act at once, and late orders of an earlier holder have no effect.
 
 #[path = "support/property.rs"]
 mod property;
@@ -26,11 +26,11 @@
     Answer {
         index: usize,
     },
-    /// The holder gives an order to the endpoint.
+    /// The holder sends an order to the endpoint.
     Order {
         holder: usize,
     },
-    /// An order in flight arrives, or, later than its flight, is given up.
+    /// An order in flight arrives, or is dropped if its delivery timeout has passed.
     Arrive {
         index: usize,
     },
@@ -48,7 +48,7 @@
     ]
 }
 
-/// An order under way to the endpoint.
+/// An order in flight to the endpoint.
 struct SentOrder {
     fence: FencingToken,
     sent: u64,
@@ -124,7 +124,7 @@
             let learnt = self.clock(holder + 1);
             self.holders[holder] = Some(OrderHolder::new(self.settings, number, learnt));
         }
-        let length = self.grants.renew(&lease, &taker, now).expect("it holds the lease");
+        let length = self.grants.renew(&lease, &taker, now).expect("the VM holds the lease");
         if let Some(holder) = &mut self.holders[holder] {
             holder.renewed(requested, length);
         }
@@ -134,7 +134,7 @@
         let now = self.clock(index + 1);
         let Some(holder) = &mut self.holders[index] else { return Ok(()) };
         let Some(fence) = holder.next_token(self.checks_fencing, now) else { return Ok(()) };
-        prop_assert!(fence > self.issued, "two holders give orders at once");
+        prop_assert!(fence > self.issued, "two holders issue orders at once");
         self.issued = fence;
         self.in_flight.push(SentOrder { fence, sent: self.micros });
         Ok(())
@@ -147,16 +147,16 @@
         if over || (self.checks_fencing && sent_order.fence < self.executed) {
             return Ok(());
         }
-        // Within one lease the sender gives an engine one order at a time, so only orders of
-        // different leases can cross.
+        // Within one lease an engine has one order at a time, so only orders of different leases
+        // can overtake each other.
         let (lease, before) = (sent_order.fence.0 >> 32, self.executed.0 >> 32);
-        prop_assert!(lease >= before, "an order of an earlier holder was obeyed late");
+        prop_assert!(lease >= before, "a late order of an earlier holder was executed");
         self.executed = self.executed.max(sent_order.fence);
         Ok(())
     }
 }
 
-/// Cases of a property when the environment names no other count.
+/// Number of cases unless the environment sets another.
 const CASES: u32 = 4_000;
 
 fn run(mutation: Mutation, checks_fencing: bool, cases: u32) -> Result<(), String> {
@@ -172,13 +172,13 @@
 
 #[test]
 fn next_token_with_endpoints_that_check() {
-    // The holder is cut off and paused while another VM takes over; then its orders arrive.
+    // Guards against late orders of a holder that was cut off or paused while another took over.
     assert_eq!(run(Mutation::None, true, cases(CASES)), Ok(()));
 }
 
 #[test]
 fn next_token_with_endpoints_that_ignore_fencing() {
-    // As above, but the endpoint obeys any order: only the wait keeps an old one away.
+    // The endpoint executes any order, so only the wait before a takeover protects it.
     assert_eq!(run(Mutation::None, false, cases(CASES)), Ok(()));
 }
 
--- a/crates/core/tests/orders_plan.rs
+++ b/crates/core/tests/orders_plan.rs
@@ -1,4 +1,4 @@
-//! Planned orders: a change of version or model without a gap in service.
+//! Planned orders: changes of a model or its version without interruption of service.
 
 use gypsumglade_core::bundle::Bundle;
 use gypsumglade_core::orders::{Engine, LoadLimiter, ModelVersion, Mutation, Order, Planner};
@@ -11,7 +11,7 @@
         "version: \"{version}\"\nmodels:\n  - {{name: advisor, version: \"{version}\", \
          input_micros: 1, output_micros: 1, context_tokens: 1000, endpoints: [\"adv-*\"]}}\n"
     );
-    Bundle::parse(yaml.as_bytes()).expect("a sound bundle")
+    Bundle::parse(yaml.as_bytes()).expect("a valid bundle")
 }
 
 fn advisor(version: u32) -> ModelVersion {
@@ -29,7 +29,7 @@
     (0..count).map(engine).collect()
 }
 
-/// The engine carries its order out, or loses it.
+/// Lets the engine execute its pending order, or lose it.
 fn finish(engine: &mut Engine, lost: bool) {
     match engine.pending.take() {
         Some(Order::Load { version, .. }) if !lost => engine.loaded.push(version),
@@ -48,8 +48,8 @@
     }
 }
 
-/// Changes version 1 to 2 while engines finish or lose their orders in this order; returns the
-/// fewest engines that served the model at any time, and the engines at the end.
+/// Replaces version 1 by 2 while engines finish or lose orders as `events` say. Returns the
+/// smallest number of engines that served the model at any time, and the engines at the end.
 fn replace_version(
     mutation: Mutation,
     mut fleet: Vec<Engine>,
@@ -63,10 +63,10 @@
         let orders = planner.plan(&bundle(2), &fleet, now);
         assign(&mut fleet, orders);
         let loads = fleet.iter().filter(|e| matches!(e.pending, Some(Order::Load { .. })));
-        assert!(loads.count() <= 2, "the weight store serves two loads at once");
+        assert!(loads.count() <= 2, "more than two loads run at once");
         let index = index % fleet.len();
         finish(&mut fleet[index], *lost);
-        // An engine told to drop a version may do so at any moment.
+        // A version with a pending drop doesn't count: it may be gone at any moment.
         let serves = |engine: &&Engine| {
             let dropped = match &engine.pending {
                 Some(Order::Drop { version, .. }) => Some(version),
@@ -93,7 +93,7 @@
         let changing = if slots == 1 { (count / 4).max(1) } else { 0 };
         prop_assert!(min_serving >= count - changing, "{min_serving} of {count} engines served");
         let done = fleet.iter().all(|engine| engine.loaded == [advisor(2)]);
-        prop_assert!(done, "the change never ended: {fleet:?}");
+        prop_assert!(done, "the change did not finish: {fleet:?}");
         Ok(())
     });
     result.map_err(|error| error.to_string())
@@ -101,14 +101,15 @@
 
 #[test]
 fn plan_swaps_version_with_room_for_both() {
-    // A new bundle replaces a version while callers use it. Orders get lost and engines are
-    // slow; with room for both versions no engine may be without one at any time.
+    // With room for both versions, no engine may be without one at any time, even if orders are
+    // lost.
     assert_eq!(run(Mutation::None, 2), Ok(()));
 }
 
 #[test]
 fn plan_swaps_version_without_room_for_both() {
-    // Engines hold one version only. At most a quarter of them, or one, may be changing.
+    // With room for one version, at most a quarter of the engines (at least one) may change at
+    // once.
     assert_eq!(run(Mutation::None, 1), Ok(()));
 }
 
@@ -127,7 +128,7 @@
 #[test]
 fn plan_drops_a_retired_model() {
     let mut planner = Planner::new(LoadLimiter::new(1, Duration::ZERO));
-    let retired = Bundle::parse(b"version: \"2\"\n").expect("a sound bundle");
+    let retired = Bundle::parse(b"version: \"2\"\n").expect("a valid bundle");
     let drop = Order::Drop { endpoint: "adv-0".into(), version: advisor(1) };
     assert_eq!(planner.plan(&retired, &engines(1, 1), Time::ZERO), [drop]);
 }
--- a/crates/core/tests/replication/net.rs
+++ b/crates/core/tests/replication/net.rs
@@ -1,6 +1,6 @@
-//! A few replicas on clocks, disks and links that a test controls.
+//! Simulated replicas whose clocks, disks and links a test controls.
 //!
-//! Every rule that must hold is checked after each step; what breaks one is kept in `broken`.
+//! The invariants are checked after each step; the first violation is kept in [`Net::violation`].
 
 mod node;
 
@@ -20,34 +20,35 @@
 use rand_chacha::ChaCha8Rng;
 
 pub const GROUP: GroupId = GroupId(7);
-/// Bytes of a snapshot: several chunks, so that installs can be cut short.
+/// Default size of a snapshot in bytes: several chunks, so that an install can be interrupted.
 const SNAPSHOT_BYTES: usize = 50;
 
-/// How messages travel.
+/// Message loss, duplication and delay.
 #[derive(Clone, Copy, Default)]
 pub struct NetworkConditions {
-    /// Share of messages lost, and delivered twice.
+    /// Share of messages lost, from 0 to 1.
     pub loss: f64,
+    /// Share of messages delivered twice, from 0 to 1.
     pub duplicated: f64,
     /// Longest delay in milliseconds.
     pub delay: u64,
 }
 
-/// A way between two regions. What goes in one direction goes in order.
+/// A link between two regions with limited bandwidth, in order in each direction.
 #[derive(Clone, Debug, Default)]
 pub struct RegionLink {
-    /// The nodes behind it.
+    /// Nodes in the other region.
     pub far: BTreeSet<VmId>,
-    /// Bytes a second.
+    /// Bandwidth in bytes per second.
     pub rate: u64,
-    /// Microseconds one way.
+    /// One-way delay in microseconds.
     pub delay: u64,
-    /// When each direction is free again.
+    /// True time at which each direction is free again; `true` is towards the far nodes.
     pub free: BTreeMap<bool, u64>,
 }
 
 impl RegionLink {
-    /// Returns when a message of `bytes` arrives, if it goes this way.
+    /// Returns when a message of `bytes` arrives, or `None` if it doesn't use this link.
     fn arrival(&mut self, now: u64, from: VmId, to: VmId, bytes: u64) -> Option<u64> {
         let there = self.far.contains(&to);
         if there == self.far.contains(&from) {
@@ -63,28 +64,28 @@
     pub nodes: Vec<Node>,
     pub conditions: NetworkConditions,
     pub cuts: BTreeSet<(VmId, VmId)>,
-    /// The way to some nodes that all traffic with them shares, if there is one.
+    /// Link shared by all traffic between two regions, if there are two.
     pub region_link: Option<RegionLink>,
-    /// Bytes that were sent to each node and not cut off.
+    /// Bytes sent to each node, without lost and cut-off messages.
     pub sent_bytes: BTreeMap<VmId, u64>,
     pub violation: Option<String>,
     pub settings: Settings,
-    /// Longest time of a sync in milliseconds.
+    /// Longest duration of a sync in milliseconds.
     pub sync_millis: u64,
-    /// Nodes whose syncs each take this many milliseconds.
+    /// Nodes with a fixed sync duration in milliseconds.
     pub slow: BTreeMap<VmId, u64>,
-    /// Bytes of a snapshot.
+    /// Size of a snapshot in bytes.
     pub snapshot_bytes: usize,
     /// True time in microseconds.
     pub now: u64,
     in_transit: BTreeMap<(u64, u64), (VmId, VmId, wire::Batch)>,
-    /// Messages and pulses that were sent.
+    /// Number of messages sent, without pulses.
     pub sent_messages: usize,
     pub pulses: bool,
     sent: u64,
     rng: ChaCha8Rng,
     leaders: BTreeMap<Term, VmId>,
-    /// What was committed anywhere, from index two on.
+    /// Entries committed on any node, starting at index 2.
     pub committed: Vec<(Term, Bytes)>,
     reads: BTreeMap<u64, u64>,
     pub reads_answered: usize,
@@ -157,7 +158,7 @@
         let _ = self.check_snapshot(id);
     }
 
-    /// Ends a process. Its disk keeps what was synced, and any part of what was being written.
+    /// Ends a process. Its disk keeps all synced writes and a random prefix of the unsynced ones.
     pub fn crash(&mut self, id: VmId) {
         let kept = self.rng.random::<f64>();
         let node = self.node(id);
@@ -198,7 +199,7 @@
         }
     }
 
-    /// Takes a snapshot of what the node has applied.
+    /// Takes a snapshot of the node's applied state.
     pub fn snapshot(&mut self, id: VmId) {
         let node = self.node(id);
         let index = node.applied;
@@ -212,14 +213,14 @@
         self.step(id, Input::Snapshotted(index));
     }
 
-    /// Runs for some milliseconds of true time, or until a rule is broken.
+    /// Runs for `millis` of true time, or until an invariant is violated.
     pub fn run(&mut self, millis: u64) {
         let end = self.now + millis * 1_000;
         while self.violation.is_none() && self.advance(end) {}
         self.now = self.now.max(end);
     }
 
-    /// Mends everything and runs until all live replicas agree, or for a long while.
+    /// Ends all failures and runs until all members agree; records a violation if they don't.
     pub fn converge(&mut self) {
         self.conditions = NetworkConditions { loss: 0.0, duplicated: 0.0, delay: 5 };
         self.cuts.clear();
@@ -235,7 +236,7 @@
             }
         }
         let states: Vec<_> = self.nodes.iter().filter_map(Node::status).collect();
-        self.violation.get_or_insert(format!("no agreement after the repair: {states:?}"));
+        self.violation.get_or_insert(format!("replicas did not converge: {states:?}"));
     }
 
     fn agree(&self) -> bool {
@@ -249,7 +250,7 @@
         all && status.members.all().all(agrees)
     }
 
-    /// Does what is due next, at most at `end`.
+    /// Processes the next event due by `end`; returns false if there is none.
     fn advance(&mut self, end: u64) -> bool {
         let message = self.in_transit.first_key_value().map(|(&(at, _), _)| at);
         let sync = self.nodes.iter().filter_map(|n| Some((n.sync_due?, n.id))).min();
@@ -406,7 +407,7 @@
         }
     }
 
-    /// Committed entries are the same everywhere and for ever.
+    /// Checks that a committed entry is the same on all nodes and never changes.
     fn commit(&mut self, id: VmId, index: LogIndex) -> Result<(), String> {
         let applied = self.node(id).applied;
         for entry in self.node(id).cached.range(applied.next(), index) {
@@ -425,7 +426,7 @@
         Ok(())
     }
 
-    /// A snapshot holds exactly what was committed up to its index.
+    /// Checks that a snapshot holds exactly the entries committed up to its index.
     fn check_snapshot(&mut self, id: VmId) -> Result<(), String> {
         let node = self.node(id);
         let (index, state) = (node.cached.restored.snapshot.index, node.cached.state.clone());
@@ -441,7 +442,7 @@
         let node = self.node(id);
         let Some(replica) = &node.replica else { return Ok(()) };
         if replica.role() == Role::Leader {
-            let term = node.status().expect("alive").term;
+            let term = node.status().expect("the replica runs").term;
             let leader = *self.leaders.entry(term).or_insert(id);
             if leader != id {
                 return Err(format!("{leader} and {id} both led term {}", term.0));
@@ -457,7 +458,7 @@
         Ok(())
     }
 
-    /// Returns the state machine's state: a digest of all commands, repeated to some length.
+    /// Returns the state at `index`: a digest of all commands, repeated to the snapshot size.
     fn state_at(&self, index: LogIndex) -> Vec<u8> {
         let mut digest = 0u64;
         for (term, data) in self.committed.iter().take(index.0.saturating_sub(1) as usize) {
@@ -469,7 +470,7 @@
     }
 }
 
-/// Returns all VMs of `count` but this one.
+/// Returns the ids from 1 to `count` except `id`.
 fn others(id: VmId, count: usize) -> impl Iterator<Item = VmId> {
     (1..=count as u32).map(VmId).filter(move |&other| other != id)
 }
--- a/crates/core/tests/replication/node.rs
+++ b/crates/core/tests/replication/node.rs
@@ -1,4 +1,4 @@
-//! One replica with its disk and its clock.
+//! A simulated replica with its disk and clock.
 
 use gypsumglade_core::prelude::*;
 use gypsumglade_core::replication::{
@@ -6,7 +6,7 @@
 };
 use gypsumglade_core::wire::replication as wire;
 
-/// What a VM's disk holds: `Restored` with the entries' data.
+/// Contents of a VM's disk: the restored metadata, the entries and the snapshot's state.
 #[derive(Clone, Default)]
 pub struct Disk {
     pub restored: Restored,
@@ -18,15 +18,15 @@
     pub id: VmId,
     pub replica: Option<Replica>,
     pub links: Links,
-    /// When the next pulses go out, on this clock.
+    /// Time of the next pulses on this node's clock.
     pub pulse: Time,
-    /// Share by which this clock runs fast.
+    /// Clock drift as a share: 0.05 runs 5 % fast.
     pub rate: f64,
-    /// Microseconds that this clock shows beyond its rate.
+    /// Constant offset of the clock in microseconds.
     pub offset: f64,
-    /// What a crash keeps.
+    /// Synced contents, which survive a crash.
     pub durable: Disk,
-    /// What the process sees.
+    /// Contents as the process reads them, unsynced writes included.
     pub cached: Disk,
     pub unsynced: Vec<(Sequence, Write, Vec<u8>)>,
     pub incoming: Vec<u8>,
@@ -73,7 +73,7 @@
         ((time.0 as f64 - self.offset) / (1.0 + self.rate)) as u64 + 1
     }
 
-    /// Returns when the replica wants a tick, in true time.
+    /// Returns the true time of the replica's next tick.
     pub fn deadline(&self) -> Option<u64> {
         let deadline = self.replica.as_ref()?.deadline();
         Some(self.true_time(deadline))
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Notes a snapshot. Entries before it stay, for the replica may keep some.
+    /// Records a snapshot. Earlier entries stay, since the replica may still send some of them.
     pub fn compact(&mut self, position: Position, members: Members, state: &[u8]) {
         self.restored.snapshot = position;
         self.restored.members = members;
--- a/crates/core/tests/replication_followers.rs
+++ b/crates/core/tests/replication_followers.rs
@@ -1,6 +1,6 @@
-//! Followers that are cut off, slow or far behind must not delay the commits of the others.
+//! Unreachable, slow or lagging followers must not delay commits on the other replicas.
 //!
-//! Five of the members vote; some are behind the way between two regions that all traffic shares.
+//! Half of the followers are in another region, behind one link that all their traffic shares.
 
 #[path = "replication/net.rs"]
 #[allow(dead_code)]
@@ -13,38 +13,38 @@
 use gypsumglade_core::replication::{Input, LogIndex, Replica, Settings};
 use net::{Net, NetworkConditions, RegionLink};
 
-/// Bytes a second of the way between regions: 60 Mbit/s.
+/// Bandwidth of the link between regions in bytes per second (60 Mbit/s).
 const RATE: u64 = 7_500_000;
-/// Microseconds of it one way.
+/// One-way delay of that link in microseconds.
 const DELAY: u64 = 8_000;
-/// Bytes of an entry of the turn group.
+/// Size of a log entry in bytes, as in the turn group.
 const ENTRY: usize = 600;
 
-/// Time of each sync of a slow disk, in milliseconds.
+/// Duration of each sync of a slow disk in milliseconds.
 const SLOW_SYNC_MILLIS: u64 = 300;
 
-/// What ails a follower.
+/// Fault of a follower during a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum FollowerFault {
     CutOff,
-    /// Its disk takes 300 ms a sync.
+    /// Each disk sync takes [`SLOW_SYNC_MILLIS`].
     Slow,
-    /// It lacks entries that the leader still has.
+    /// It lacks entries that the leader still has in its log.
     Behind,
-    /// It lacks more, and is sent the whole state.
+    /// It lacks entries that the leader has compacted, so it is sent a snapshot.
     NeedsSnapshot,
 }
 
-/// What was measured while some followers were ill.
+/// Results of a run with faulty followers.
 #[derive(Clone, Debug)]
 struct Measured {
-    /// Longest time from a proposal to its commit, in milliseconds.
+    /// Longest time from a proposal to its commit in milliseconds.
     worst: u64,
-    /// Bytes that each ill node was sent.
+    /// Bytes sent to each faulty node.
     sent_bytes: Vec<u64>,
 }
 
-/// As stores set them.
+/// Returns the replication settings that stores use.
 fn settings() -> Settings {
     Settings {
         lease: Duration::from_millis(600),
@@ -60,7 +60,7 @@
     replica.map_or(LogIndex(0), Replica::commit)
 }
 
-/// Proposes entries, and returns the last one's index.
+/// Proposes `count` entries and returns the index of the last one.
 fn propose(net: &mut Net, id: VmId, count: usize) -> LogIndex {
     let commands = vec![Bytes::from(vec![7; ENTRY]); count];
     net.step(id, Input::Propose { commands });
@@ -68,8 +68,10 @@
     replica.map_or(LogIndex(0), |replica| replica.last().index)
 }
 
-/// Half of the other members are far, and the ill ones are among these. One near member is cut off
-/// while a far one is well, so that each commit needs it.
+/// Measures commits while `count` followers in the other region are faulty.
+///
+/// If a follower there is healthy, one in the leader's region is cut off, so that each commit
+/// needs an acknowledgement over the link.
 fn measure(members: u32, fault: FollowerFault, count: usize, missing_bytes: usize) -> Measured {
     let mut net = Net::new(3, settings(), members, 0);
     net.conditions = NetworkConditions { loss: 0.0, duplicated: 0.0, delay: 1 };
@@ -113,18 +115,18 @@
         let start = net.now;
         while commit(&net, leader) < index {
             net.run(1);
-            assert!(net.now < start + 5_000_000, "never committed: {:?}", net.violation);
+            assert!(net.now < start + 5_000_000, "no commit in 5 s: {:?}", net.violation);
         }
         worst = worst.max((net.now - start) / 1_000);
         net.run(7);
     }
-    assert_eq!(net.leader(), Some(leader), "the leader was deposed");
+    assert_eq!(net.leader(), Some(leader), "the leader changed");
     assert_eq!(net.violation, None);
     let sent_bytes = faulty.iter().map(|id| net.sent_bytes.get(id).copied().unwrap_or(0)).collect();
     Measured { worst, sent_bytes }
 }
 
-/// Guards against commits that wait behind what one follower lacks.
+/// Guards against commits that wait until a faulty follower has caught up.
 #[test]
 fn commit_with_faulty_followers() {
     for members in [5, 11] {
@@ -143,7 +145,7 @@
     }
 }
 
-/// Guards against a link between regions that is full of what a follower was sent before.
+/// Guards against resending entries or snapshots that are still on their way to a follower.
 #[test]
 fn missing_entries_sent_once() {
     let missing_bytes = 3_000_000;
@@ -151,7 +153,7 @@
     let most = (missing_bytes as u64 + new) * 5 / 4;
     for fault in [FollowerFault::Behind, FollowerFault::NeedsSnapshot] {
         let sent_bytes = measure(5, fault, 1, missing_bytes).sent_bytes[0];
-        assert!(sent_bytes <= most, "{fault:?}: {sent_bytes} bytes for {most}");
-        assert!(sent_bytes >= missing_bytes as u64, "{fault:?}: {sent_bytes} bytes");
+        assert!(sent_bytes <= most, "{fault:?}: {sent_bytes} bytes sent, at most {most} expected");
+        assert!(sent_bytes >= missing_bytes as u64, "{fault:?}: only {sent_bytes} bytes sent");
     }
 }
--- a/crates/core/tests/replication_repair.rs
+++ b/crates/core/tests/replication_repair.rs
@@ -1,4 +1,4 @@
-//! Which membership change repairs a group next.
+//! Choice of the next membership change that repairs a group, and of its leader.
 
 use gypsumglade_core::prelude::*;
 use gypsumglade_core::replication::repair::{
@@ -12,7 +12,7 @@
     StoreInfo { vm: VmId(vm), domain: domain.into(), region: region.into(), retiring: false }
 }
 
-/// Stores 1 and 2 in the south, 3 in the north, each in a domain of its own.
+/// Returns stores 1 and 2 in the south and store 3 in the north, each in its own failure domain.
 fn three_stores() -> Vec<StoreInfo> {
     vec![candidate(1, "a", "south"), candidate(2, "b", "south"), candidate(3, "c", "north")]
 }
@@ -34,11 +34,11 @@
 fn next_change_unreachable_without_spare() {
     let alive = three_stores().into_iter().filter(|store| store.vm != VmId(3)).collect();
     let found = next_change(&voters(&[1, 2, 3]), &view(1, alive));
-    assert_eq!(found, None, "a silent member may come back with its disk");
+    assert_eq!(found, None, "an unreachable member may come back with its disk");
 }
 
-/// A store's disk is wiped and its process is back under another identity. The former one can help
-/// no quorum any more; as long as it counts, the next loss stops the group.
+/// A store's disk is wiped and its process restarts under a new id. While the old id still counts
+/// as a voter, one more loss stops the group.
 #[test]
 fn next_change_wiped() {
     let mut alive = three_stores();
@@ -49,7 +49,7 @@
     while let Some(change) = next_change(&members, &wiped) {
         members = members.with(change);
         steps.push(change);
-        assert!(steps.len() < 10, "repair goes in circles: {steps:?}");
+        assert!(steps.len() < 10, "repair does not terminate: {steps:?}");
     }
     let expected = [
         MemberChange::Remove(VmId(3)),
@@ -59,8 +59,8 @@
     assert_eq!(steps, expected);
 }
 
-/// A store is replaced at another address. Nothing proves that the former one is gone, so it leaves
-/// only when the newcomer votes.
+/// A store is replaced at another address. The old store may still run, so it is removed only after
+/// its replacement votes.
 #[test]
 fn next_change_replaced_elsewhere() {
     let mut alive = three_stores();
@@ -71,7 +71,7 @@
     while let Some(change) = next_change(&members, &view) {
         members = members.with(change);
         steps.push(change);
-        assert!(steps.len() < 10, "repair goes in circles: {steps:?}");
+        assert!(steps.len() < 10, "repair does not terminate: {steps:?}");
     }
     let expected = [
         MemberChange::AddLearner(VmId(9)),
@@ -118,8 +118,8 @@
     assert_eq!(next_change(&voters(&[1, 2, 3]), &view(1, alive)), None);
 }
 
-/// A leader in the region with one voter of three sends every commit over the paid link and back.
-/// Under a burst that link filled up, heartbeats came late, and leaders were deposed in turn.
+/// With the leader in the region of the minority, every commit crosses the link between regions,
+/// and bursts there delay heartbeats until the leader is replaced.
 #[test]
 fn should_transfer_leadership_from_minority_region() {
     let members = voters(&[1, 2, 3]);
@@ -127,9 +127,8 @@
     assert!(!should_transfer_leadership(&members, &view(1, three_stores())));
 }
 
-/// A southern store loses its disk, and the northern one is elected. Filled from there, the newcomer
-/// gets its state over the narrow link; if the next disk is lost before it votes, the group has no
-/// majority for good.
+/// A replacement in the south would get its state from the northern leader over the slow link. If
+/// another disk is lost before the replacement votes, the group loses its majority.
 #[test]
 fn should_transfer_leadership_before_replacement_catches_up() {
     let mut alive = three_stores();
@@ -152,15 +151,14 @@
     assert!(should_transfer_leadership(&voters(&[1, 2, 3]), &view(1, alive)));
 }
 
-/// Six failure domains in two regions: eleven stores, six of them in the south.
+/// Returns eleven stores in six failure domains and two regions, six of them in the south.
 fn eleven_stores() -> Vec<StoreInfo> {
     let south = (0..6).map(|n| candidate(20 + n, ["a", "b", "c"][n as usize % 3], "south"));
     let north = (0..5).map(|n| candidate(10 + n, ["d", "e", "f"][n as usize % 3], "north"));
     south.chain(north).collect()
 }
 
-/// Repairs a group until nothing is left to be done, and returns its members. The leader hands its
-/// leadership to the voter of the best region where it should.
+/// Applies changes and leadership transfers until none is due, and returns the members.
 fn repaired(mut members: Members, mut view: ClusterView) -> Members {
     for _ in 0..100 {
         if should_transfer_leadership(&members, &view) {
@@ -169,22 +167,22 @@
             let successor = successors.filter(|vm| *vm != view.leader).find(|vm| {
                 !should_transfer_leadership(&members, &ClusterView { leader: *vm, ..view.clone() })
             });
-            view.leader = successor.expect("somebody is to lead");
+            view.leader = successor.expect("a voter can take over leadership");
             continue;
         }
         let change = next_change(&members, &view).or_else(|| next_swap(&members, &view));
         let Some(change) = change else { return members };
         members = members.with(change);
     }
-    panic!("repair goes in circles: {members:?}");
+    panic!("repair does not terminate: {members:?}");
 }
 
 fn count(members: &Members, alive: &[StoreInfo], is: impl Fn(&StoreInfo) -> bool) -> usize {
     alive.iter().filter(|store| members.is_voter(store.vm) && is(store)).count()
 }
 
-/// Three voters of five stood in the region with fewer stores while the leader moved to the other one:
-/// each commit waited for the narrow link between them.
+/// Guards against a majority of voters outside the leader's region, where every commit waits for
+/// the link between regions.
 #[test]
 fn next_change_majority_in_home_region() {
     let alive = eleven_stores();
@@ -197,7 +195,7 @@
     }
 }
 
-/// A group that was placed wrongly has as many voters as it should, so no repair would ever mend it.
+/// A badly placed group has enough voters, so `next_change` alone never moves them.
 #[test]
 fn next_swap_wrong_region() {
     let alive = eleven_stores();
@@ -205,12 +203,12 @@
     let view = ClusterView { target_voters: 5, ..view(20, alive.clone()) };
     assert_eq!(next_change(&members, &view), None);
     let first = next_swap(&members, &view);
-    assert_eq!(first, Some(MemberChange::AddLearner(VmId(22))), "before another goes");
+    assert_eq!(first, Some(MemberChange::AddLearner(VmId(22))), "adds before it removes");
     let members = repaired(members, view);
     assert_eq!(count(&members, &alive, |store| store.region == "south"), 3, "{members:?}");
 }
 
-/// With a voter silent a swap would be the second thing under way.
+/// A swap must not start while a voter is unreachable and the group needs repair.
 #[test]
 fn next_swap_not_whole() {
     let alive: Vec<StoreInfo> =
@@ -219,7 +217,8 @@
     assert_eq!(next_swap(&voters(&[10, 11, 12, 20, 21]), &view), None);
 }
 
-/// Most voters in one failure domain would stop the group with it, though that spares the link.
+/// A majority in one failure domain would avoid the link between regions, but the group would stop
+/// when that domain fails.
 #[test]
 fn next_change_minority_in_each_domain() {
     let mut alive: Vec<StoreInfo> = (0..6).map(|n| candidate(20 + n, "a", "south")).collect();
@@ -237,7 +236,7 @@
         ..Config::default()
     })]
 
-    /// Voters that go back and forth have a state sent each time, over the link between regions.
+    /// Guards against endless swaps, each of which sends the state over the link between regions.
     #[test]
     fn next_swap_ends(
         places in proptest::collection::vec((0_usize..6, any::<bool>()), 1..14),
@@ -247,13 +246,13 @@
         const DOMAINS: [&str; 6] = ["a", "b", "c", "d", "e", "f"];
         let alive: Vec<StoreInfo> = places.iter().enumerate().map(|(number, (domain, retiring))| {
             let region = if *domain < 3 { "south" } else { "north" };
-            let vm = u32::try_from(number).expect("few") + 1;
-            // A few of them only.
+            let vm = u32::try_from(number).expect("a u32") + 1;
+            // At most every fourth store retires.
             let retiring = *retiring && number % 4 == 3;
             StoreInfo { retiring, ..candidate(vm, DOMAINS[*domain], region) }
         }).collect();
         let mut first: Vec<u32> =
-            founders.iter().map(|at| u32::try_from(at % alive.len()).expect("few") + 1).collect();
+            founders.iter().map(|at| u32::try_from(at % alive.len()).expect("a u32") + 1).collect();
         first.dedup();
         let wanted = 2 * tolerate + 1;
         let view = ClusterView { target_voters: wanted, ..view(first[0], alive.clone()) };
--- a/crates/core/tests/replication_safeguards.rs
+++ b/crates/core/tests/replication_safeguards.rs
@@ -1,4 +1,4 @@
-//! One failure for each safeguard: harmless with it, and noticed without it.
+//! One failure for each safeguard: harmless with it and detected without it.
 
 #[path = "replication/net.rs"]
 #[allow(dead_code)]
@@ -8,7 +8,7 @@
 use gypsumglade_core::replication::{Input, LogIndex, MemberChange, Role, Settings};
 use net::Net;
 
-/// Small batches, so that entries arrive in several.
+/// Returns settings with small batches, so that entries arrive in several messages.
 fn settings() -> Settings {
     Settings { batch_bytes: 24, chunk_bytes: 20, keep_entries: 3, ..Settings::default() }
 }
@@ -20,7 +20,7 @@
     (net, leader)
 }
 
-/// Returns the nodes but for `known`.
+/// Returns all nodes except `known`.
 fn others(net: &Net, known: &[VmId]) -> Vec<VmId> {
     net.nodes.iter().map(|node| node.id).filter(|id| !known.contains(id)).collect()
 }
@@ -34,7 +34,7 @@
     }
 }
 
-/// Runs until the condition holds, a millisecond at a time.
+/// Runs in steps of one millisecond until the condition holds; panics if it never does.
 fn run_until(net: &mut Net, condition: impl Fn(&Net) -> bool) {
     for _ in 0..30_000 {
         if condition(net) {
@@ -42,7 +42,7 @@
         }
         net.run(1);
     }
-    panic!("the condition never held");
+    panic!("the condition was not met in time");
 }
 
 fn last(net: &Net, id: VmId) -> LogIndex {
@@ -54,9 +54,9 @@
     among.iter().copied().find(|id| net.nodes[id.0 as usize - 1].role() == Some(Role::Leader))
 }
 
-/// A follower that the leader can't reach campaigns, and the third replica, which heard the
-/// leader just now, is asked for its vote. Then the leader is cut off. With the vote given at
-/// once, the new leader commits while the old one still answers reads under its lease.
+/// A follower that the leader can't reach asks the third replica for its vote, and then the leader
+/// is cut off. If the vote is granted before the lease expires, the new leader commits while the
+/// old one still answers reads.
 fn vote_under_lease(settings: Settings) -> Option<String> {
     let (mut net, leader) = started(settings, 3, 0);
     let rest = others(&net, &[leader]);
@@ -76,12 +76,12 @@
 fn safeguard_lease_wait_off() {
     let mut settings = settings();
     settings.safeguards.lease_wait = false;
-    let violation = vote_under_lease(settings).expect("no rule was broken");
+    let violation = vote_under_lease(settings).expect("the missing safeguard is detected");
     assert!(violation.contains("held a lease"), "{violation}");
 }
 
-/// The leader's clock runs slow by 5 % and the others' fast, and the leader is cut off. Without the
-/// longer wait the others elect a leader, which commits, before the old one's lease is out.
+/// The clock of a cut-off leader runs 5 % slow and the others' 5 % fast. If the wait doesn't allow
+/// for drift, a new leader commits before the old one's lease expires.
 fn cut_off_slow_leader(drift: f64) -> Option<String> {
     for seed in 0..300 {
         let settings = Settings { drift, ..settings() };
@@ -90,7 +90,7 @@
         net.run(4_000);
         let leader = net.leader().expect("a leader");
         for node in &mut net.nodes {
-            // Sets the rate without a jump of the clock.
+            // Changes the rate without a jump of the clock.
             let now = node.time(net.now);
             node.rate = if node.id == leader { -0.05 } else { 0.05 };
             node.offset = now.0 as f64 - node.time(net.now).0 as f64;
@@ -112,14 +112,13 @@
 
 #[test]
 fn safeguard_drift_off() {
-    let violation = cut_off_slow_leader(0.0).expect("no rule was broken");
+    let violation = cut_off_slow_leader(0.0).expect("the missing safeguard is detected");
     assert!(violation.contains("held a lease"), "{violation}");
 }
 
-/// Entries of term 2 reach one follower, and their leader dies. Another replica leads term 3,
-/// appends, and dies with its entry on its own disk only. The first comes back, leads term 4 and
-/// copies its old entries to a quorum, but none of its own term. It dies; the leader of term 3
-/// comes back, is elected by its higher last term, and overwrites what a quorum held.
+/// A leader replicates entries of an older term to a quorum, but none of its own term, and crashes.
+/// A replica whose last entry has a higher term is elected and overwrites them; had they counted as
+/// committed, acknowledged entries would be lost (Raft paper, section 5.4.2).
 fn overwrite_older_term(settings: Settings) -> Option<String> {
     let (mut net, first) = started(settings, 5, 0);
     let rest = others(&net, &[first]);
@@ -130,7 +129,7 @@
     net.crash(first);
     net.crash(second);
     run_until(&mut net, |net| leader_of(net, &[third, fourth, fifth]).is_some());
-    let new_leader = leader_of(&net, &[third, fourth, fifth]).expect("just found");
+    let new_leader = leader_of(&net, &[third, fourth, fifth]).expect("a leader was elected");
     net.cut_off(new_leader);
     net.run(20);
     net.crash(new_leader);
@@ -143,7 +142,7 @@
     net.cut_off(idle);
     run_until(&mut net, |net| last(net, helper) > base);
     let before = net.committed.len();
-    // The first batch is being answered; the second one would bring an entry of term 4.
+    // Stops after the first batch: the second one would carry an entry of the current term.
     run_until(&mut net, |net| net.committed.len() > before || last(net, helper).0 > base.0 + 3);
     for lost in [first, second] {
         net.crash(lost);
@@ -166,12 +165,12 @@
 fn safeguard_own_term_off() {
     let mut settings = settings();
     settings.safeguards.own_term = false;
-    let violation = overwrite_older_term(settings).expect("no rule was broken");
+    let violation = overwrite_older_term(settings).expect("the missing safeguard is detected");
     assert!(violation.contains("committed another entry"), "{violation}");
 }
 
-/// A follower is cut off for ten seconds and comes back. Callers see a leader deposed for
-/// nothing if it raised its term meanwhile. Returns whether the leader was kept.
+/// Returns whether the leader stays when a follower reconnects after ten seconds. A follower that
+/// raised its term meanwhile would force a needless election.
 fn rejoin(settings: Settings) -> bool {
     let (mut net, leader) = started(settings, 3, 0);
     let rest = others(&net, &[leader]);
@@ -196,9 +195,9 @@
     assert!(!rejoin(settings));
 }
 
-/// One of three VMs is lost, and its replacement is promoted before it has the log: it can't be
-/// reached yet. The quorum is now three of four, and only two can answer: the group stops.
-/// Returns whether it goes on.
+/// Returns whether the group still commits after one of three VMs is lost and an unreachable
+/// replacement is to be promoted. Promoted without the log, it raises the quorum to three of four
+/// while only two can answer.
 fn promote_empty(settings: Settings) -> bool {
     let (mut net, leader) = started(settings, 3, 1);
     let rest = others(&net, &[leader]);
@@ -229,31 +228,31 @@
 
 #[test]
 fn tick_idle_group() {
-    // An idle group costs nothing: VM pulses keep up its lease, and it sends no message at all.
+    // An idle group sends no messages of its own: the pulses between VMs renew its lease.
     let (mut net, leader) = started(settings(), 3, 0);
     let before = net.sent_messages;
     net.run(60_000);
     assert_eq!(net.violation, None);
     assert_eq!(net.sent_messages, before);
-    let status = net.node(leader).status().expect("alive");
+    let status = net.node(leader).status().expect("the replica runs");
     assert!(status.lease && status.role == Role::Leader, "{status:?}");
 }
 
 #[test]
 fn tick_without_pulses() {
-    // An embedder that sends no pulses has heartbeats of the group itself.
+    // Without pulses between VMs, the group sends its own heartbeats.
     let mut net = Net::new(1, settings(), 3, 0);
     net.pulses = false;
     net.run(4_000);
     let leader = net.leader().expect("a leader");
     net.run(10_000);
-    let status = net.node(leader).status().expect("alive");
+    let status = net.node(leader).status().expect("the replica runs");
     assert!(status.lease && status.role == Role::Leader, "{status:?}");
 }
 
 #[test]
 fn tick_idle_leader_lost() {
-    // The leader of an idle group dies. Its pulses stop, and another replica leads.
+    // When the leader of an idle group crashes, its pulses stop and another replica is elected.
     let (mut net, leader) = started(settings(), 3, 0);
     net.run(10_000);
     net.crash(leader);
@@ -264,8 +263,8 @@
 
 #[test]
 fn change_members_second_loss_after_repair() {
-    // A VM is lost for good and replaced. Right after the repair a second one is lost. Callers
-    // keep what was acknowledged, and the group goes on with the replacement's vote.
+    // A second VM is lost right after the first one was replaced. Acknowledged entries are kept,
+    // and the group still commits with the replacement's vote.
     let (mut net, leader) = started(settings(), 3, 1);
     let rest = others(&net, &[leader]);
     let (first_lost, second_lost, spare) = (rest[0], rest[1], VmId(4));
@@ -289,8 +288,8 @@
 
 #[test]
 fn restart_after_hundreds_of_changes() {
-    // A process is down while hundreds of entries pass and the log is compacted twice. It comes
-    // back, installs a snapshot piece by piece over a link that loses a third, and catches up.
+    // A process that missed hundreds of entries and two compactions installs a snapshot in chunks
+    // over a link that loses a third of the messages, and catches up.
     let (mut net, leader) = started(settings(), 3, 0);
     let late = others(&net, &[leader])[0];
     net.crash(late);
@@ -310,8 +309,8 @@
 
 #[test]
 fn snapshot_follower_slightly_behind() {
-    // A follower lacks the last entry when the leader drops its log. It is sent that entry, and
-    // no snapshot over what may be a slow link.
+    // A follower that lacks only the last entry when the leader compacts its log is sent that entry
+    // instead of a snapshot.
     let (mut net, leader) = started(settings(), 3, 0);
     let late = others(&net, &[leader])[0];
     (0..10).for_each(|_| net.propose(leader));
@@ -324,14 +323,14 @@
     net.run(500);
     assert_eq!(net.violation, None);
     assert_eq!(last(&net, late), last(&net, leader));
-    let status = net.node(late).status().expect("alive");
+    let status = net.node(late).status().expect("the replica runs");
     assert_eq!(status.snapshot.index, LogIndex(1));
 }
 
 #[test]
 fn transfer_planned_stop() {
-    // A planned stop hands over before the process ends: another replica leads within a few
-    // messages, not after an election timeout.
+    // A planned stop transfers leadership within a few messages instead of after an election
+    // timeout.
     let (mut net, leader) = started(settings(), 3, 0);
     net.propose(leader);
     net.step(leader, Input::Transfer);
--- a/crates/core/tests/replication_safety.rs
+++ b/crates/core/tests/replication_safety.rs
@@ -1,5 +1,5 @@
-//! Rules of the replicated log under lost, doubled, late and reordered messages, crashes,
-//! partitions and clocks that drift.
+//! Invariants of the replicated log under lost, duplicated, late and reordered messages, crashes,
+//! partitions and clock drift.
 
 #[path = "replication/net.rs"]
 mod net;
@@ -13,13 +13,13 @@
 use proptest::prelude::*;
 use proptest::test_runner::{TestCaseError, TestRunner};
 
-/// Cases without the variable below.
+/// Number of cases unless the environment sets another.
 const CASES: u32 = 1_000;
 const VOTERS: u32 = 3;
 const SPARES: u32 = 2;
 const NODES: u32 = VOTERS + SPARES;
 
-/// Something that happens to the replicas.
+/// One event of a generated run.
 #[derive(Clone, Debug)]
 enum Op {
     Run(u64),
@@ -96,7 +96,7 @@
     }
 }
 
-/// Small limits, so that batches, windows and chunks fill up.
+/// Returns settings with small limits, so that batches, windows and chunks fill up.
 fn settings() -> Settings {
     Settings {
         drift: 0.05,
@@ -129,8 +129,8 @@
 
 #[test]
 fn step_any_failures() {
-    // Callers see one history: nothing acknowledged is lost or changed, and no read is stale.
-    // Anything may fail in any order; once all is mended, the replicas agree again.
+    // Under any sequence of failures no acknowledged entry is lost or changed and no read is stale;
+    // once the failures end, the replicas converge.
     let strategy = (any::<u64>(), prop::collection::vec(op(), 1..60));
     let settings = settings();
     let result = runner(CASES).run(&strategy, |(seed, ops)| check(&settings, seed, &ops));
@@ -139,40 +139,40 @@
     }
 }
 
-/// Cases in which a missing safeguard must show itself.
+/// Number of cases within which a disabled safeguard must be detected.
 const MUTATION_CASES: u32 = 5_000;
 
-/// Parts of the messages about broken safety, as against a group that only stands still.
+/// Parts of the messages that report a safety violation rather than a group that makes no progress.
 const SAFETY: [&str; 4] =
     ["committed another entry", "both led term", "held a lease at", "which was stale"];
 
-/// Switches one safeguard off and expects the rules above to be broken.
+/// Disables one safeguard and expects one of the [`SAFETY`] violations.
 fn expect_violation(change: impl Fn(&mut Settings)) {
     let mut settings = settings();
     change(&mut settings);
     let strategy = (any::<u64>(), prop::collection::vec(op(), 1..60));
     let config = ProptestConfig { max_shrink_iters: 0, ..fixed(4, MUTATION_CASES) };
     let result = TestRunner::new(config).run(&strategy, |(seed, ops)| check(&settings, seed, &ops));
-    let error = result.expect_err("no rule was broken").to_string();
-    assert!(SAFETY.iter().any(|rule| error.contains(rule)), "another rule was broken: {error}");
+    let error = result.expect_err("no invariant was violated").to_string();
+    assert!(SAFETY.iter().any(|rule| error.contains(rule)), "not a safety violation: {error}");
 }
 
 #[test]
 fn safeguard_quorum_off() {
-    // With a quorum of one, both sides of a partition commit, and one side's entries are lost.
+    // With a quorum of one, both sides of a partition commit and the entries of one side are lost.
     expect_violation(|settings| settings.safeguards.quorum = false);
 }
 
 #[test]
 fn safeguard_sync_off() {
-    // A replica answers and crashes before its disk has the entry: the leader counted it, a later
-    // leader is elected without it, and an acknowledged entry is replaced.
+    // A replica that acknowledges an entry before syncing it loses the entry in a crash, and a
+    // later leader may replace an entry that was already committed.
     expect_violation(|settings| settings.safeguards.sync = false);
 }
 
 #[test]
 fn safeguard_epochs_off() {
-    // A follower follows a newer leader, and its VM's pulses still reach the old one. Counted for
-    // this group, they keep up a lease that the follower no longer grants.
+    // A follower of a newer leader still sends VM pulses to the old one. Without epochs these would
+    // renew a lease that the follower no longer grants.
     expect_violation(|settings| settings.safeguards.epochs = false);
 }
--- a/crates/core/tests/replication_status.rs
+++ b/crates/core/tests/replication_status.rs
@@ -1,4 +1,4 @@
-//! What a leader tells of its followers.
+//! Replication lag of followers in a leader's status.
 
 #[path = "replication/net.rs"]
 #[allow(dead_code)]
@@ -14,12 +14,12 @@
     let leader = net.leader().expect("a leader");
     let now = net.now;
     let node = net.node(leader);
-    let status = node.replica.as_ref().expect("it runs").status(node.time(now), &node.links);
+    let status =
+        node.replica.as_ref().expect("the replica runs").status(node.time(now), &node.links);
     status.followers.into_iter().find(|lag| lag.vm == of).expect("a follower")
 }
 
-/// Guards against a follower that nobody knows to be behind: its leader's commits go on without it
-/// until the next store is lost.
+/// Guards against a lagging follower that goes unnoticed until the next store is lost.
 #[test]
 fn status_follower_cut_off() {
     let mut net = Net::new(1, Settings::default(), 3, 0);
@@ -48,5 +48,5 @@
     net.run(4_000);
     let leader = net.leader().expect("a leader");
     let follower = net.nodes.iter().find(|node| node.id != leader).expect("a follower");
-    assert!(follower.status().expect("it runs").followers.is_empty());
+    assert!(follower.status().expect("the replica runs").followers.is_empty());
 }
