--- a/crates/core/tests/membership_merge.rs
+++ b/crates/core/tests/membership_merge.rs
@@ -1,4 +1,4 @@
-//! News of a VM leads to the same belief in whatever order it arrives.
+//! Rumours about a VM merge to the same state in any order.
 
 use bytes::Bytes;
 use gypsumglade_core::membership::{Input, Liveness, Membership, Mutation, Settings, Times};
@@ -25,8 +25,8 @@
         .prop_map(|(incarnation, liveness, version)| rumour(incarnation, liveness, version))
 }
 
-/// Tells a new VM that vm2 is alive and then this news; returns what it believes.
-fn belief(mutation: Mutation, news: &[Rumour]) -> (Liveness, u32, Bytes) {
+/// Returns a new VM's state of vm2 after a first rumour that vm2 is alive and then `rumours`.
+fn merged_state(mutation: Mutation, rumours: &[Rumour]) -> (Liveness, u32, Bytes) {
     let settings = Settings {
         vm: VmId(1),
         address: ([10, 0, 0, 1], 257).into(),
@@ -40,12 +40,12 @@
     };
     let mut node = Membership::new(settings, Time::ZERO);
     let first = rumour(0, Liveness::Alive, 0);
-    for rumour in std::iter::once(&first).chain(news) {
+    for rumour in std::iter::once(&first).chain(rumours) {
         let datagram = Datagram { from: 3, body: None, rumours: vec![rumour.clone()] };
         let bytes = datagram.encode_to_vec().into();
         node.step(Time::ZERO, Input::Datagram { from: ([10, 0, 0, 3], 257).into(), bytes });
     }
-    let member = node.member(VmId(2)).expect("it was told of");
+    let member = node.member(VmId(2)).expect("vm2 is known");
     (member.liveness, member.incarnation, member.digest.clone())
 }
 
@@ -57,23 +57,24 @@
         max_shrink_iters: 0,
         ..Config::default()
     };
-    let news = prop::collection::vec(any_rumour(), 1..8);
-    let orders = news.prop_flat_map(|news| (Just(news.clone()), Just(news).prop_shuffle()));
-    let result = TestRunner::new(config).run(&orders, |(news, shuffled)| {
-        prop_assert_eq!(belief(mutation, &news), belief(mutation, &shuffled));
+    let rumours = prop::collection::vec(any_rumour(), 1..8);
+    let orders =
+        rumours.prop_flat_map(|rumours| (Just(rumours.clone()), Just(rumours).prop_shuffle()));
+    let result = TestRunner::new(config).run(&orders, |(rumours, shuffled)| {
+        prop_assert_eq!(merged_state(mutation, &rumours), merged_state(mutation, &shuffled));
         Ok(())
     });
     result.map_err(|error| error.to_string())
 }
 
 #[test]
-fn learn_in_any_order() {
-    // Datagrams overtake each other and come twice. VMs that got the same news in another order
-    // must not go on to believe different things.
+fn merge_in_any_order() {
+    // Datagrams are reordered and duplicated. VMs that receive the same rumours in a different
+    // order must converge to the same state.
     assert_eq!(run(Mutation::None), Ok(()));
 }
 
 #[test]
-fn learn_without_incarnations_is_caught() {
+fn merge_without_incarnations_is_caught() {
     assert!(run(Mutation::IgnoreIncarnation).is_err());
 }
--- a/crates/core/tests/membership_protocol.rs
+++ b/crates/core/tests/membership_protocol.rs
@@ -1,4 +1,4 @@
-//! Membership: joining, deaths, objections, partitions and departures.
+//! Membership protocol: joins, failures, refutation, partitions and departures.
 
 #[path = "membership_harness/mod.rs"]
 mod harness;
@@ -16,7 +16,7 @@
     Duration::from_secs(seconds)
 }
 
-/// Returns true if all agree within the time.
+/// Returns whether all VMs agree within `limit` seconds.
 fn agrees(net: &mut Net, limit: u64) -> bool {
     let end = net.now + seconds(limit);
     net.run_until(end, Net::agreed)
@@ -24,7 +24,7 @@
 
 fn joined(size: u32, loss: f64, mutation: Mutation) -> Net {
     let mut net = Net::new(size, loss, SEED, mutation);
-    assert!(agrees(&mut net, 60), "{size} VMs don't find each other");
+    assert!(agrees(&mut net, 60), "{size} VMs did not find each other within 60 s");
     net
 }
 
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn kill_is_noticed_by_all() {
+fn kill_is_detected_by_all() {
     let mut net = joined(50, 0.05, Mutation::None);
     net.run(seconds(5));
     net.kill(VmId(40));
@@ -57,9 +57,9 @@
 }
 
 #[test]
-fn heavy_loss_without_objections_is_caught() {
-    // One probe in five gets lost on each way. VMs that are up are suspected often; with no
-    // right to object they would all be taken for dead in turn.
+fn heavy_loss_without_refutation_is_caught() {
+    // With 20 % loss in each direction, running VMs are often suspected. Without refutation they
+    // would be declared dead.
     assert_eq!(deaths_under_heavy_loss(Mutation::None), 0);
     assert!(deaths_under_heavy_loss(Mutation::NoRefute) > 0);
 }
@@ -79,31 +79,31 @@
 
 #[test]
 fn failed_link_without_indirect_probes_is_caught() {
-    // Two failure domains lose each other while every other path works. VMs that can be reached
-    // through a third domain are up, and must not be suspected.
+    // The link between two failure domains fails. VMs that can be reached through a third domain
+    // must not be suspected.
     assert_eq!(suspicions_over_failed_link(Mutation::None), 0);
     assert!(suspicions_over_failed_link(Mutation::NoIndirect) > 0);
 }
 
-/// Two large domains and one of two VMs.
+/// Assigns VMs to two large domains and a small one, every tenth VM to the small one.
 fn small_third_domain(vm: VmId) -> u16 {
     if vm.0.is_multiple_of(10) { 0 } else { 1 + (vm.0 % 2) as u16 }
 }
 
-fn large_domains_parted(from: VmId, to: VmId) -> bool {
+fn large_domains_partitioned(from: VmId, to: VmId) -> bool {
     let (from, to) = (small_third_domain(from), small_third_domain(to));
     from != to && from != 0 && to != 0
 }
 
 #[test]
 fn probes_through_any_domain_are_caught() {
-    // Two large domains lose each other, and only the VMs of a small third one reach both.
-    // Relays drawn from all VMs alike sit behind the same failed link and repeat the asker's
-    // mistake; one relay from each domain finds the way.
+    // The link between two large domains fails, and only a small third domain reaches both. Relays
+    // picked from all VMs are mostly behind the same failed link; one relay per domain gets
+    // through.
     let suspicions = |mutation| {
         let mut net = Net::with_domains(20, 0.0, SEED, mutation, small_third_domain);
         assert!(agrees(&mut net, 60));
-        net.cut = Some(large_domains_parted);
+        net.cut = Some(large_domains_partitioned);
         net.run(seconds(60));
         net.suspicions()
     };
@@ -111,33 +111,33 @@
     assert!(suspicions(Mutation::AnyDomain) > 0);
 }
 
-/// Odd domains and even ones lose each other.
-fn halves(from: VmId, to: VmId) -> bool {
+/// Partitions the network into odd and even domains.
+fn partitioned_halves(from: VmId, to: VmId) -> bool {
     from.0 % 11 % 2 != to.0 % 11 % 2
 }
 
-fn heals(mutation: Mutation) -> bool {
+fn recovers_from_partition(mutation: Mutation) -> bool {
     let mut net = joined(50, 0.0, mutation);
-    net.cut = Some(halves);
+    net.cut = Some(partitioned_halves);
     net.run(seconds(120));
-    let parted = net.nodes[&VmId(1)].members().filter(|other| !other.is_up()).count();
-    assert_eq!(parted, 27, "vm1 holds the other side for dead");
+    let unreachable = net.nodes[&VmId(1)].members().filter(|other| !other.is_up()).count();
+    assert_eq!(unreachable, 27, "vm1 considers the other side down");
     net.cut = None;
     agrees(&mut net, 120)
 }
 
 #[test]
 fn partition_heals_by_contacting_the_dead() {
-    // Two halves lose each other for minutes, until each holds the other for dead. Nobody probes
-    // the dead, so without seldom contacts the halves would stay apart after the network heals.
-    assert!(heals(Mutation::None));
-    assert!(!heals(Mutation::NoContactDead));
+    // After a long partition each half considers the other dead. Dead VMs aren't probed, so without
+    // occasional contacts the halves would stay apart after the network recovers.
+    assert!(recovers_from_partition(Mutation::None));
+    assert!(!recovers_from_partition(Mutation::NoContactDead));
 }
 
 #[test]
-fn restart_with_lower_incarnation_is_taken_back() {
-    // A VM dies, is replaced under the same number and starts from incarnation zero. Others hold
-    // a higher incarnation of it for dead; it must learn that and step past it.
+fn restart_with_lower_incarnation_rejoins() {
+    // A VM restarts from incarnation zero while others consider a higher incarnation dead. It must
+    // learn of that incarnation and exceed it.
     let mut net = joined(20, 0.0, Mutation::None);
     net.kill(VmId(7));
     assert!(agrees(&mut net, 30));
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn leave_is_told_without_suspicion() {
+fn leave_spreads_without_suspicion() {
     let mut net = joined(20, 0.0, Mutation::None);
     let before = net.suspicions();
     net.input(VmId(9), Input::Leave);
@@ -183,13 +183,13 @@
 
 #[test]
 fn join_without_pulls_is_caught() {
-    // A VM joins a settled deployment, where nobody gossips about the others any more. Without
-    // pulling pages it would know only the VMs that happened to probe it.
+    // In a stable deployment no rumours about existing VMs spread. Without pulling member pages, a
+    // new VM would know only the VMs that probe it.
     assert!(late_join_agrees(Mutation::None));
     assert!(!late_join_agrees(Mutation::NoPull));
 }
 
-fn tell(node: &mut Membership, incarnation: u32, liveness: Liveness) {
+fn deliver_rumour(node: &mut Membership, incarnation: u32, liveness: Liveness) {
     let profile =
         Profile { address: Bytes::from_static(&[10, 0, 0, 2, 1, 1]), ..Profile::default() };
     let rumour = Rumour {
@@ -204,19 +204,18 @@
     node.step(Time::from_millis(2_000), Input::Datagram { from: harness::address(VmId(3)), bytes });
 }
 
-fn liveness_after_late_news(mutation: Mutation) -> Option<Liveness> {
+fn liveness_after_late_rumour(mutation: Mutation) -> Option<Liveness> {
     let mut net = Net::new(1, 0.0, SEED, mutation);
     let node = net.nodes.get_mut(&VmId(1)).expect("started");
-    tell(node, 1, Liveness::Alive);
-    tell(node, 2, Liveness::Alive);
-    tell(node, 1, Liveness::Dead);
+    deliver_rumour(node, 1, Liveness::Alive);
+    deliver_rumour(node, 2, Liveness::Alive);
+    deliver_rumour(node, 1, Liveness::Dead);
     node.member(VmId(2)).map(|member| member.liveness)
 }
 
 #[test]
-fn older_incarnation_is_passed_over() {
-    // A datagram that tells of a death arrives after the VM objected to it. Taken as news, late
-    // datagrams would bring old deaths back.
-    assert_eq!(liveness_after_late_news(Mutation::None), Some(Liveness::Alive));
-    assert_eq!(liveness_after_late_news(Mutation::IgnoreIncarnation), Some(Liveness::Dead));
+fn older_incarnation_is_ignored() {
+    // A delayed rumour of a death that the VM has already refuted must be ignored.
+    assert_eq!(liveness_after_late_rumour(Mutation::None), Some(Liveness::Alive));
+    assert_eq!(liveness_after_late_rumour(Mutation::IgnoreIncarnation), Some(Liveness::Dead));
 }
--- a/crates/core/tests/orders_plan.rs
+++ b/crates/core/tests/orders_plan.rs
@@ -1,4 +1,4 @@
-//! Planned orders: a change of version or model without a gap in service.
+//! Planned orders: changes of a model or its version without interruption of service.
 
 use gypsumglade_core::bundle::Bundle;
 use gypsumglade_core::orders::{Engine, LoadLimiter, ModelVersion, Mutation, Order, Planner};
@@ -11,7 +11,7 @@
         "version: \"{version}\"\nmodels:\n  - {{name: advisor, version: \"{version}\", \
          input_micros: 1, output_micros: 1, context_tokens: 1000, endpoints: [\"adv-*\"]}}\n"
     );
-    Bundle::parse(yaml.as_bytes()).expect("a sound bundle")
+    Bundle::parse(yaml.as_bytes()).expect("a valid bundle")
 }
 
 fn advisor(version: u32) -> ModelVersion {
@@ -29,7 +29,7 @@
     (0..count).map(engine).collect()
 }
 
-/// The engine carries its order out, or loses it.
+/// Lets the engine execute its pending order, or lose it.
 fn finish(engine: &mut Engine, lost: bool) {
     match engine.pending.take() {
         Some(Order::Load { version, .. }) if !lost => engine.loaded.push(version),
@@ -40,7 +40,7 @@
     }
 }
 
-fn give(engines: &mut [Engine], orders: Vec<Order>) {
+fn assign(engines: &mut [Engine], orders: Vec<Order>) {
     for order in orders {
         let (Order::Load { endpoint, .. } | Order::Drop { endpoint, .. }) = &order;
         let engine = engines.iter_mut().find(|engine| engine.name == *endpoint);
@@ -48,35 +48,35 @@
     }
 }
 
-/// Changes version 1 to 2 while engines finish or lose their orders in this order; returns the
-/// fewest engines that served the model at any time, and the engines at the end.
-fn swap(
+/// Replaces version 1 by 2 while engines finish or lose orders as `events` say. Returns the
+/// smallest number of engines that served the model at any time, and the engines at the end.
+fn replace_version(
     mutation: Mutation,
     mut fleet: Vec<Engine>,
     events: &[(usize, bool)],
 ) -> (usize, Vec<Engine>) {
-    let pace = LoadLimiter::new(2, Duration::from_secs(1));
-    let mut planner = Planner::with_mutation(pace, mutation);
-    let mut fewest = fleet.len();
+    let limiter = LoadLimiter::new(2, Duration::from_secs(1));
+    let mut planner = Planner::with_mutation(limiter, mutation);
+    let mut min_serving = fleet.len();
     for (second, (index, lost)) in events.iter().enumerate() {
         let now = Time::from_millis(1_000 * second as u64);
         let orders = planner.plan(&bundle(2), &fleet, now);
-        give(&mut fleet, orders);
+        assign(&mut fleet, orders);
         let loads = fleet.iter().filter(|e| matches!(e.pending, Some(Order::Load { .. })));
-        assert!(loads.count() <= 2, "the weight store serves two loads at once");
+        assert!(loads.count() <= 2, "more than two loads run at once");
         let index = index % fleet.len();
         finish(&mut fleet[index], *lost);
-        // An engine told to drop a version may do so at any moment.
-        let surely = |engine: &&Engine| {
+        // A version with a pending drop doesn't count: it may be gone at any moment.
+        let serves = |engine: &&Engine| {
             let dropped = match &engine.pending {
                 Some(Order::Drop { version, .. }) => Some(version),
                 _ => None,
             };
             engine.loaded.iter().any(|held| Some(held) != dropped)
         };
-        fewest = fewest.min(fleet.iter().filter(surely).count());
+        min_serving = min_serving.min(fleet.iter().filter(serves).count());
     }
-    (fewest, fleet)
+    (min_serving, fleet)
 }
 
 fn run(mutation: Mutation, slots: usize) -> Result<(), String> {
@@ -89,11 +89,11 @@
     };
     let events = prop::collection::vec((0..10_usize, prop::bool::weighted(0.2)), 300);
     let result = TestRunner::new(config).run(&(2..10_usize, events), |(count, events)| {
-        let (fewest, fleet) = swap(mutation, engines(count, slots), &events);
+        let (min_serving, fleet) = replace_version(mutation, engines(count, slots), &events);
         let changing = if slots == 1 { (count / 4).max(1) } else { 0 };
-        prop_assert!(fewest >= count - changing, "{fewest} of {count} engines served");
+        prop_assert!(min_serving >= count - changing, "{min_serving} of {count} engines served");
         let done = fleet.iter().all(|engine| engine.loaded == [advisor(2)]);
-        prop_assert!(done, "the change never ended: {fleet:?}");
+        prop_assert!(done, "the change did not finish: {fleet:?}");
         Ok(())
     });
     result.map_err(|error| error.to_string())
@@ -101,14 +101,15 @@
 
 #[test]
 fn plan_swaps_version_with_room_for_both() {
-    // A new bundle replaces a version while callers use it. Orders get lost and engines are
-    // slow; with room for both versions no engine may be without one at any time.
+    // With room for both versions, no engine may be without one at any time, even if orders are
+    // lost.
     assert_eq!(run(Mutation::None, 2), Ok(()));
 }
 
 #[test]
 fn plan_swaps_version_without_room_for_both() {
-    // Engines hold one version only. At most a quarter of them, or one, may be changing.
+    // With room for one version, at most a quarter of the engines (at least one) may change at
+    // once.
     assert_eq!(run(Mutation::None, 1), Ok(()));
 }
 
@@ -127,7 +128,7 @@
 #[test]
 fn plan_drops_a_retired_model() {
     let mut planner = Planner::new(LoadLimiter::new(1, Duration::ZERO));
-    let retired = Bundle::parse(b"version: \"2\"\n").expect("a sound bundle");
+    let retired = Bundle::parse(b"version: \"2\"\n").expect("a valid bundle");
     let drop = Order::Drop { endpoint: "adv-0".into(), version: advisor(1) };
     assert_eq!(planner.plan(&retired, &engines(1, 1), Time::ZERO), [drop]);
 }
--- a/crates/core/tests/replication/net.rs
+++ b/crates/core/tests/replication/net.rs
@@ -1,6 +1,6 @@
-//! A few replicas on clocks, disks and links that a test controls.
+//! Simulated replicas whose clocks, disks and links a test controls.
 //!
-//! Every rule that must hold is checked after each step; what breaks one is kept in `broken`.
+//! The invariants are checked after each step; the first violation is kept in [`Net::violation`].
 
 mod node;
 
@@ -20,35 +20,36 @@
 use rand_chacha::ChaCha8Rng;
 
 pub const GROUP: GroupId = GroupId(7);
-/// Bytes of a snapshot: several chunks, so that installs can be cut short.
+/// Default size of a snapshot in bytes: several chunks, so that an install can be interrupted.
 const SNAPSHOT_BYTES: usize = 50;
 
-/// How messages travel.
+/// Message loss, duplication and delay.
 #[derive(Clone, Copy, Default)]
-pub struct Weather {
-    /// Share of messages lost, and delivered twice.
+pub struct NetworkConditions {
+    /// Share of messages lost, from 0 to 1.
     pub loss: f64,
-    pub doubled: f64,
+    /// Share of messages delivered twice, from 0 to 1.
+    pub duplicated: f64,
     /// Longest delay in milliseconds.
     pub delay: u64,
 }
 
-/// A way between two regions. What goes in one direction goes in order.
+/// A link between two regions with limited bandwidth, in order in each direction.
 #[derive(Clone, Debug, Default)]
-pub struct Narrow {
-    /// The nodes behind it.
+pub struct RegionLink {
+    /// Nodes in the other region.
     pub far: BTreeSet<VmId>,
-    /// Bytes a second.
+    /// Bandwidth in bytes per second.
     pub rate: u64,
-    /// Microseconds one way.
+    /// One-way delay in microseconds.
     pub delay: u64,
-    /// When each direction is free again.
+    /// True time at which each direction is free again; `true` is towards the far nodes.
     pub free: BTreeMap<bool, u64>,
 }
 
-impl Narrow {
-    /// Returns when a message of `bytes` arrives, if it goes this way.
-    fn carry(&mut self, now: u64, from: VmId, to: VmId, bytes: u64) -> Option<u64> {
+impl RegionLink {
+    /// Returns when a message of `bytes` arrives, or `None` if it doesn't use this link.
+    fn arrival(&mut self, now: u64, from: VmId, to: VmId, bytes: u64) -> Option<u64> {
         let there = self.far.contains(&to);
         if there == self.far.contains(&from) {
             return None;
@@ -61,30 +62,30 @@
 
 pub struct Net {
     pub nodes: Vec<Node>,
-    pub weather: Weather,
+    pub conditions: NetworkConditions,
     pub cuts: BTreeSet<(VmId, VmId)>,
-    /// The way to some nodes that all traffic with them shares, if there is one.
-    pub narrow: Option<Narrow>,
-    /// Bytes that were sent to each node and not cut off.
-    pub carried: BTreeMap<VmId, u64>,
-    pub broken: Option<String>,
+    /// Link shared by all traffic between two regions, if there are two.
+    pub region_link: Option<RegionLink>,
+    /// Bytes sent to each node, without lost and cut-off messages.
+    pub sent_bytes: BTreeMap<VmId, u64>,
+    pub violation: Option<String>,
     pub settings: Settings,
-    /// Longest time of a sync in milliseconds.
+    /// Longest duration of a sync in milliseconds.
     pub sync_millis: u64,
-    /// Nodes whose syncs each take this many milliseconds.
+    /// Nodes with a fixed sync duration in milliseconds.
     pub slow: BTreeMap<VmId, u64>,
-    /// Bytes of a snapshot.
+    /// Size of a snapshot in bytes.
     pub snapshot_bytes: usize,
     /// True time in microseconds.
     pub now: u64,
-    flying: BTreeMap<(u64, u64), (VmId, VmId, wire::Batch)>,
-    /// Messages and pulses that were sent.
+    in_transit: BTreeMap<(u64, u64), (VmId, VmId, wire::Batch)>,
+    /// Number of messages sent, without pulses.
     pub sent_messages: usize,
     pub pulses: bool,
     sent: u64,
     rng: ChaCha8Rng,
     leaders: BTreeMap<Term, VmId>,
-    /// What was committed anywhere, from index two on.
+    /// Entries committed on any node, starting at index 2.
     pub committed: Vec<(Term, Bytes)>,
     reads: BTreeMap<u64, u64>,
     pub reads_answered: usize,
@@ -95,17 +96,17 @@
         let members = Members::from_voters((1..=voters).map(VmId).collect());
         let mut net = Net {
             nodes: Vec::new(),
-            weather: Weather { loss: 0.0, doubled: 0.0, delay: 5 },
+            conditions: NetworkConditions { loss: 0.0, duplicated: 0.0, delay: 5 },
             cuts: BTreeSet::new(),
-            narrow: None,
-            carried: BTreeMap::new(),
-            broken: None,
+            region_link: None,
+            sent_bytes: BTreeMap::new(),
+            violation: None,
             settings,
             sync_millis: 2,
             slow: BTreeMap::new(),
             snapshot_bytes: SNAPSHOT_BYTES,
             now: 0,
-            flying: BTreeMap::new(),
+            in_transit: BTreeMap::new(),
             sent_messages: 0,
             pulses: true,
             sent: 0,
@@ -144,11 +145,11 @@
         if node.replica.is_some() {
             return;
         }
-        node.seen = node.durable.clone();
-        let mut restored = node.seen.restored.clone();
+        node.cached = node.durable.clone();
+        let mut restored = node.cached.restored.clone();
         let after = restored.snapshot.index.0;
-        node.seen.entries.retain(|entry| entry.index > after);
-        restored.entries = node.seen.entries.iter().map(EntryMeta::from_entry).collect();
+        node.cached.entries.retain(|entry| entry.index > after);
+        restored.entries = node.cached.entries.iter().map(EntryMeta::from_entry).collect();
         node.applied = restored.snapshot.index;
         let now = node.time(now);
         node.links = Links::new(seed >> 16);
@@ -157,7 +158,7 @@
         let _ = self.check_snapshot(id);
     }
 
-    /// Ends a process. Its disk keeps what was synced, and any part of what was being written.
+    /// Ends a process. Its disk keeps all synced writes and a random prefix of the unsynced ones.
     pub fn crash(&mut self, id: VmId) {
         let kept = self.rng.random::<f64>();
         let node = self.node(id);
@@ -198,7 +199,7 @@
         }
     }
 
-    /// Takes a snapshot of what the node has applied.
+    /// Takes a snapshot of the node's applied state.
     pub fn snapshot(&mut self, id: VmId) {
         let node = self.node(id);
         let index = node.applied;
@@ -206,22 +207,22 @@
         let Some((position, members)) = replica.snapshot_meta(index) else { return };
         let state = self.state_at(index);
         let node = self.node(id);
-        for disk in [&mut node.seen, &mut node.durable] {
+        for disk in [&mut node.cached, &mut node.durable] {
             disk.compact(position, members.clone(), &state);
         }
         self.step(id, Input::Snapshotted(index));
     }
 
-    /// Runs for some milliseconds of true time, or until a rule is broken.
+    /// Runs for `millis` of true time, or until an invariant is violated.
     pub fn run(&mut self, millis: u64) {
         let end = self.now + millis * 1_000;
-        while self.broken.is_none() && self.advance(end) {}
+        while self.violation.is_none() && self.advance(end) {}
         self.now = self.now.max(end);
     }
 
-    /// Mends everything and runs until all live replicas agree, or for a long while.
-    pub fn settle(&mut self) {
-        self.weather = Weather { loss: 0.0, doubled: 0.0, delay: 5 };
+    /// Ends all failures and runs until all members agree; records a violation if they don't.
+    pub fn converge(&mut self) {
+        self.conditions = NetworkConditions { loss: 0.0, duplicated: 0.0, delay: 5 };
         self.cuts.clear();
         (1..=self.nodes.len() as u32).for_each(|id| self.restart(VmId(id)));
         for _ in 0..40 {
@@ -235,7 +236,7 @@
             }
         }
         let states: Vec<_> = self.nodes.iter().filter_map(Node::status).collect();
-        self.broken.get_or_insert(format!("no agreement after the repair: {states:?}"));
+        self.violation.get_or_insert(format!("replicas did not converge: {states:?}"));
     }
 
     fn agree(&self) -> bool {
@@ -249,9 +250,9 @@
         all && status.members.all().all(agrees)
     }
 
-    /// Does what is due next, at most at `end`.
+    /// Processes the next event due by `end`; returns false if there is none.
     fn advance(&mut self, end: u64) -> bool {
-        let message = self.flying.first_key_value().map(|(&(at, _), _)| at);
+        let message = self.in_transit.first_key_value().map(|(&(at, _), _)| at);
         let sync = self.nodes.iter().filter_map(|n| Some((n.sync_due?, n.id))).min();
         let tick = self.nodes.iter().filter_map(|n| Some((n.deadline()?, n.id))).min();
         let pulse = self.nodes.iter().filter_map(|n| Some((n.pulse_due()?, n.id))).min();
@@ -273,7 +274,7 @@
     }
 
     fn deliver(&mut self) {
-        let Some((_, (from, to, batch))) = self.flying.pop_first() else { return };
+        let Some((_, (from, to, batch))) = self.in_transit.pop_first() else { return };
         let now = self.now;
         let node = self.node(to);
         if node.replica.is_none() || self.cuts.contains(&(from, to)) {
@@ -319,21 +320,21 @@
         let mut effects = Vec::new();
         replica.step(time, &node.links, input, &mut effects);
         for effect in effects {
-            if let Err(rule) = self.carry_out(id, effect) {
-                self.broken.get_or_insert(rule);
+            if let Err(rule) = self.apply_effect(id, effect) {
+                self.violation.get_or_insert(rule);
             }
         }
         if let Err(rule) = self.check(id) {
-            self.broken.get_or_insert(rule);
+            self.violation.get_or_insert(rule);
         }
     }
 
-    fn carry_out(&mut self, id: VmId, effect: Effect) -> Result<(), String> {
+    fn apply_effect(&mut self, id: VmId, effect: Effect) -> Result<(), String> {
         match effect {
             Effect::Persist { sequence, write } => self.write(id, sequence, write),
             Effect::Send { to, message } => self.send(id, to, message),
             Effect::SendEntries { to, mut message, first, last } => {
-                let entries = self.node(id).seen.range(first, last);
+                let entries = self.node(id).cached.range(first, last);
                 if let Some(Body::Append(append)) = &mut message.body {
                     append.entries = entries;
                 }
@@ -342,7 +343,7 @@
             Effect::SendChunk { to, mut message } => {
                 if let Some(Body::Chunk(chunk)) = &mut message.body {
                     let limit = self.settings.chunk_bytes;
-                    let state = &self.node(id).seen.state;
+                    let state = &self.node(id).cached.state;
                     let start = (chunk.offset as usize).min(state.len());
                     let end = (start + limit).min(state.len());
                     chunk.data = Bytes::copy_from_slice(&state[start..end]);
@@ -378,7 +379,7 @@
             Write::Snapshot { .. } => std::mem::take(&mut node.incoming),
             _ => Vec::new(),
         };
-        node.seen.apply(&write, &state);
+        node.cached.apply(&write, &state);
         node.unsynced.push((sequence, write, state));
         node.sync_due.get_or_insert(due);
     }
@@ -389,26 +390,27 @@
     }
 
     fn send_batch(&mut self, from: VmId, to: VmId, batch: &wire::Batch) {
-        let copies = 1 + usize::from(self.rng.random_bool(self.weather.doubled));
+        let copies = 1 + usize::from(self.rng.random_bool(self.conditions.duplicated));
         for _ in 0..copies {
-            let lost = self.rng.random_bool(self.weather.loss);
-            let delay = self.rng.random_range(500..=500 + self.weather.delay * 1_000);
+            let lost = self.rng.random_bool(self.conditions.loss);
+            let delay = self.rng.random_range(500..=500 + self.conditions.delay * 1_000);
             if lost || self.cuts.contains(&(from, to)) {
                 continue;
             }
             self.sent += 1;
             let (now, bytes) = (self.now, batch.encoded_len() as u64);
-            *self.carried.entry(to).or_default() += bytes;
-            let narrow = self.narrow.as_mut().and_then(|way| way.carry(now, from, to, bytes));
-            let at = narrow.unwrap_or(now + delay);
-            self.flying.insert((at, self.sent), (from, to, batch.clone()));
+            *self.sent_bytes.entry(to).or_default() += bytes;
+            let region_link =
+                self.region_link.as_mut().and_then(|way| way.arrival(now, from, to, bytes));
+            let at = region_link.unwrap_or(now + delay);
+            self.in_transit.insert((at, self.sent), (from, to, batch.clone()));
         }
     }
 
-    /// Committed entries are the same everywhere and for ever.
+    /// Checks that a committed entry is the same on all nodes and never changes.
     fn commit(&mut self, id: VmId, index: LogIndex) -> Result<(), String> {
         let applied = self.node(id).applied;
-        for entry in self.node(id).seen.range(applied.next(), index) {
+        for entry in self.node(id).cached.range(applied.next(), index) {
             let place = entry.index as usize - 2;
             let found = (Term(entry.term), entry.data);
             match self.committed.get(place) {
@@ -424,10 +426,10 @@
         Ok(())
     }
 
-    /// A snapshot holds exactly what was committed up to its index.
+    /// Checks that a snapshot holds exactly the entries committed up to its index.
     fn check_snapshot(&mut self, id: VmId) -> Result<(), String> {
         let node = self.node(id);
-        let (index, state) = (node.seen.restored.snapshot.index, node.seen.state.clone());
+        let (index, state) = (node.cached.restored.snapshot.index, node.cached.state.clone());
         node.applied = index;
         match state.is_empty() || state == self.state_at(index) {
             true => Ok(()),
@@ -440,7 +442,7 @@
         let node = self.node(id);
         let Some(replica) = &node.replica else { return Ok(()) };
         if replica.role() == Role::Leader {
-            let term = node.status().expect("alive").term;
+            let term = node.status().expect("the replica runs").term;
             let leader = *self.leaders.entry(term).or_insert(id);
             if leader != id {
                 return Err(format!("{leader} and {id} both led term {}", term.0));
@@ -456,7 +458,7 @@
         Ok(())
     }
 
-    /// Returns the state machine's state: a digest of all commands, repeated to some length.
+    /// Returns the state at `index`: a digest of all commands, repeated to the snapshot size.
     fn state_at(&self, index: LogIndex) -> Vec<u8> {
         let mut digest = 0u64;
         for (term, data) in self.committed.iter().take(index.0.saturating_sub(1) as usize) {
@@ -468,7 +470,7 @@
     }
 }
 
-/// Returns all VMs of `count` but this one.
+/// Returns the ids from 1 to `count` except `id`.
 fn others(id: VmId, count: usize) -> impl Iterator<Item = VmId> {
     (1..=count as u32).map(VmId).filter(move |&other| other != id)
 }
--- a/crates/core/tests/replication_repair.rs
+++ b/crates/core/tests/replication_repair.rs
@@ -1,4 +1,4 @@
-//! Which membership change repairs a group next.
+//! Choice of the next membership change that repairs a group, and of its leader.
 
 use gypsumglade_core::prelude::*;
 use gypsumglade_core::replication::repair::{
@@ -12,8 +12,8 @@
     StoreInfo { vm: VmId(vm), domain: domain.into(), region: region.into(), retiring: false }
 }
 
-/// Stores 1 and 2 in the south, 3 in the north, each in a domain of its own.
-fn three() -> Vec<StoreInfo> {
+/// Returns stores 1 and 2 in the south and store 3 in the north, each in its own failure domain.
+fn three_stores() -> Vec<StoreInfo> {
     vec![candidate(1, "a", "south"), candidate(2, "b", "south"), candidate(3, "c", "north")]
 }
 
@@ -27,21 +27,21 @@
 
 #[test]
 fn next_change_none_when_whole() {
-    assert_eq!(next_change(&voters(&[1, 2, 3]), &view(1, three())), None);
+    assert_eq!(next_change(&voters(&[1, 2, 3]), &view(1, three_stores())), None);
 }
 
 #[test]
-fn next_change_silent_without_spare() {
-    let alive = three().into_iter().filter(|store| store.vm != VmId(3)).collect();
+fn next_change_unreachable_without_spare() {
+    let alive = three_stores().into_iter().filter(|store| store.vm != VmId(3)).collect();
     let found = next_change(&voters(&[1, 2, 3]), &view(1, alive));
-    assert_eq!(found, None, "a silent member may come back with its disk");
+    assert_eq!(found, None, "an unreachable member may come back with its disk");
 }
 
-/// A store's disk is wiped and its process is back under another identity. The former one can help
-/// no quorum any more; as long as it counts, the next loss stops the group.
+/// A store's disk is wiped and its process restarts under a new id. While the old id still counts
+/// as a voter, one more loss stops the group.
 #[test]
 fn next_change_wiped() {
-    let mut alive = three();
+    let mut alive = three_stores();
     alive[2].vm = VmId(9);
     let wiped = ClusterView { replaced: vec![VmId(3)], ..view(1, alive) };
     let mut members = voters(&[1, 2, 3]);
@@ -49,7 +49,7 @@
     while let Some(change) = next_change(&members, &wiped) {
         members = members.with(change);
         steps.push(change);
-        assert!(steps.len() < 10, "repair goes in circles: {steps:?}");
+        assert!(steps.len() < 10, "repair does not terminate: {steps:?}");
     }
     let expected = [
         MemberChange::Remove(VmId(3)),
@@ -59,11 +59,11 @@
     assert_eq!(steps, expected);
 }
 
-/// A store is replaced at another address. Nothing proves that the former one is gone, so it leaves
-/// only when the newcomer votes.
+/// A store is replaced at another address. The old store may still run, so it is removed only after
+/// its replacement votes.
 #[test]
 fn next_change_replaced_elsewhere() {
-    let mut alive = three();
+    let mut alive = three_stores();
     alive[2].vm = VmId(9);
     let view = view(1, alive);
     let mut members = voters(&[1, 2, 3]);
@@ -71,7 +71,7 @@
     while let Some(change) = next_change(&members, &view) {
         members = members.with(change);
         steps.push(change);
-        assert!(steps.len() < 10, "repair goes in circles: {steps:?}");
+        assert!(steps.len() < 10, "repair does not terminate: {steps:?}");
     }
     let expected = [
         MemberChange::AddLearner(VmId(9)),
@@ -83,7 +83,7 @@
 
 #[test]
 fn next_change_retiring() {
-    let mut alive = three();
+    let mut alive = three_stores();
     alive[1].retiring = true;
     alive.push(candidate(4, "b", "south"));
     let view = view(1, alive);
@@ -97,13 +97,13 @@
 #[test]
 fn next_change_lost_learner() {
     let members = voters(&[1, 2, 3]).with(MemberChange::AddLearner(VmId(8)));
-    let found = next_change(&members, &view(1, three()));
+    let found = next_change(&members, &view(1, three_stores()));
     assert_eq!(found, Some(MemberChange::Remove(VmId(8))));
 }
 
 #[test]
 fn next_change_prefers_empty_domain() {
-    let mut alive = three();
+    let mut alive = three_stores();
     alive.retain(|store| store.vm != VmId(3));
     alive.push(candidate(5, "a", "south"));
     alive.push(candidate(6, "c", "north"));
@@ -113,26 +113,25 @@
 
 #[test]
 fn next_change_spare_is_left_out() {
-    let mut alive = three();
+    let mut alive = three_stores();
     alive.push(candidate(4, "a", "south"));
     assert_eq!(next_change(&voters(&[1, 2, 3]), &view(1, alive)), None);
 }
 
-/// A leader in the region with one voter of three sends every commit over the paid link and back.
-/// Under a burst that link filled up, heartbeats came late, and leaders were deposed in turn.
+/// With the leader in the region of the minority, every commit crosses the link between regions,
+/// and bursts there delay heartbeats until the leader is replaced.
 #[test]
-fn should_hand_over_from_minority_region() {
+fn should_transfer_leadership_from_minority_region() {
     let members = voters(&[1, 2, 3]);
-    assert!(should_transfer_leadership(&members, &view(3, three())));
-    assert!(!should_transfer_leadership(&members, &view(1, three())));
+    assert!(should_transfer_leadership(&members, &view(3, three_stores())));
+    assert!(!should_transfer_leadership(&members, &view(1, three_stores())));
 }
 
-/// A southern store loses its disk, and the northern one is elected. Filled from there, the newcomer
-/// gets its state over the narrow link; if the next disk is lost before it votes, the group has no
-/// majority for good.
+/// A replacement in the south would get its state from the northern leader over the slow link. If
+/// another disk is lost before the replacement votes, the group loses its majority.
 #[test]
-fn should_hand_over_before_newcomer_is_filled() {
-    let mut alive = three();
+fn should_transfer_leadership_before_replacement_catches_up() {
+    let mut alive = three_stores();
     alive[1].vm = VmId(9);
     let members = voters(&[1, 3]);
     assert!(should_transfer_leadership(&members, &view(3, alive.clone())));
@@ -140,54 +139,53 @@
 }
 
 #[test]
-fn should_hand_over_nobody_there() {
+fn should_transfer_leadership_without_candidate() {
     let alive = vec![candidate(3, "c", "north")];
     assert!(!should_transfer_leadership(&voters(&[1, 2, 3]), &view(3, alive)));
 }
 
 #[test]
-fn should_hand_over_retiring() {
-    let mut alive = three();
+fn should_transfer_leadership_retiring() {
+    let mut alive = three_stores();
     alive[0].retiring = true;
     assert!(should_transfer_leadership(&voters(&[1, 2, 3]), &view(1, alive)));
 }
 
-/// Six failure domains in two regions: eleven stores, six of them in the south.
-fn eleven() -> Vec<StoreInfo> {
+/// Returns eleven stores in six failure domains and two regions, six of them in the south.
+fn eleven_stores() -> Vec<StoreInfo> {
     let south = (0..6).map(|n| candidate(20 + n, ["a", "b", "c"][n as usize % 3], "south"));
     let north = (0..5).map(|n| candidate(10 + n, ["d", "e", "f"][n as usize % 3], "north"));
     south.chain(north).collect()
 }
 
-/// Repairs a group until nothing is left to be done, and returns its members. The leader hands its
-/// leadership to the voter of the best region where it should.
+/// Applies changes and leadership transfers until none is due, and returns the members.
 fn repaired(mut members: Members, mut view: ClusterView) -> Members {
     for _ in 0..100 {
         if should_transfer_leadership(&members, &view) {
             let voters = view.alive.iter().filter(|store| members.is_voter(store.vm));
-            let heirs = voters.filter(|store| !store.retiring).map(|store| store.vm);
-            let heir = heirs.filter(|vm| *vm != view.leader).find(|vm| {
+            let successors = voters.filter(|store| !store.retiring).map(|store| store.vm);
+            let successor = successors.filter(|vm| *vm != view.leader).find(|vm| {
                 !should_transfer_leadership(&members, &ClusterView { leader: *vm, ..view.clone() })
             });
-            view.leader = heir.expect("somebody is to lead");
+            view.leader = successor.expect("a voter can take over leadership");
             continue;
         }
         let change = next_change(&members, &view).or_else(|| next_swap(&members, &view));
         let Some(change) = change else { return members };
         members = members.with(change);
     }
-    panic!("repair goes in circles: {members:?}");
+    panic!("repair does not terminate: {members:?}");
 }
 
 fn count(members: &Members, alive: &[StoreInfo], is: impl Fn(&StoreInfo) -> bool) -> usize {
     alive.iter().filter(|store| members.is_voter(store.vm) && is(store)).count()
 }
 
-/// Three voters of five stood in the region with fewer stores while the leader moved to the other one:
-/// each commit waited for the narrow link between them.
+/// Guards against a majority of voters outside the leader's region, where every commit waits for
+/// the link between regions.
 #[test]
 fn next_change_majority_in_home_region() {
-    let alive = eleven();
+    let alive = eleven_stores();
     let view = ClusterView { target_voters: 5, ..view(20, alive.clone()) };
     let members = repaired(voters(&[10, 20, 21]), view);
     assert_eq!(members.voters.len(), 5);
@@ -197,28 +195,30 @@
     }
 }
 
-/// A group that was placed wrongly has as many voters as it should, so no repair would ever mend it.
+/// A badly placed group has enough voters, so `next_change` alone never moves them.
 #[test]
 fn next_swap_wrong_region() {
-    let alive = eleven();
+    let alive = eleven_stores();
     let members = voters(&[10, 11, 12, 20, 21]);
     let view = ClusterView { target_voters: 5, ..view(20, alive.clone()) };
     assert_eq!(next_change(&members, &view), None);
     let first = next_swap(&members, &view);
-    assert_eq!(first, Some(MemberChange::AddLearner(VmId(22))), "before another goes");
+    assert_eq!(first, Some(MemberChange::AddLearner(VmId(22))), "adds before it removes");
     let members = repaired(members, view);
     assert_eq!(count(&members, &alive, |store| store.region == "south"), 3, "{members:?}");
 }
 
-/// With a voter silent a swap would be the second thing under way.
+/// A swap must not start while a voter is unreachable and the group needs repair.
 #[test]
 fn next_swap_not_whole() {
-    let alive: Vec<StoreInfo> = eleven().into_iter().filter(|store| store.vm != VmId(12)).collect();
+    let alive: Vec<StoreInfo> =
+        eleven_stores().into_iter().filter(|store| store.vm != VmId(12)).collect();
     let view = ClusterView { target_voters: 5, ..view(20, alive) };
     assert_eq!(next_swap(&voters(&[10, 11, 12, 20, 21]), &view), None);
 }
 
-/// Most voters in one failure domain would stop the group with it, though that spares the link.
+/// A majority in one failure domain would avoid the link between regions, but the group would stop
+/// when that domain fails.
 #[test]
 fn next_change_minority_in_each_domain() {
     let mut alive: Vec<StoreInfo> = (0..6).map(|n| candidate(20 + n, "a", "south")).collect();
@@ -236,7 +236,7 @@
         ..Config::default()
     })]
 
-    /// Voters that go back and forth have a state sent each time, over the link between regions.
+    /// Guards against endless swaps, each of which sends the state over the link between regions.
     #[test]
     fn next_swap_ends(
         places in proptest::collection::vec((0_usize..6, any::<bool>()), 1..14),
@@ -246,13 +246,13 @@
         const DOMAINS: [&str; 6] = ["a", "b", "c", "d", "e", "f"];
         let alive: Vec<StoreInfo> = places.iter().enumerate().map(|(number, (domain, retiring))| {
             let region = if *domain < 3 { "south" } else { "north" };
-            let vm = u32::try_from(number).expect("few") + 1;
-            // A few of them only.
+            let vm = u32::try_from(number).expect("a u32") + 1;
+            // At most every fourth store retires.
             let retiring = *retiring && number % 4 == 3;
             StoreInfo { retiring, ..candidate(vm, DOMAINS[*domain], region) }
         }).collect();
         let mut first: Vec<u32> =
-            founders.iter().map(|at| u32::try_from(at % alive.len()).expect("few") + 1).collect();
+            founders.iter().map(|at| u32::try_from(at % alive.len()).expect("a u32") + 1).collect();
         first.dedup();
         let wanted = 2 * tolerate + 1;
         let view = ClusterView { target_voters: wanted, ..view(first[0], alive.clone()) };
--- a/crates/core/tests/replication_safety.rs
+++ b/crates/core/tests/replication_safety.rs
@@ -1,5 +1,5 @@
-//! Rules of the replicated log under lost, doubled, late and reordered messages, crashes,
-//! partitions and clocks that drift.
+//! Invariants of the replicated log under lost, duplicated, late and reordered messages, crashes,
+//! partitions and clock drift.
 
 #[path = "replication/net.rs"]
 mod net;
@@ -8,18 +8,18 @@
 
 use gypsumglade_core::prelude::*;
 use gypsumglade_core::replication::{Input, MemberChange, Settings};
-use net::{Net, Weather};
+use net::{Net, NetworkConditions};
 use property::fixed;
 use proptest::prelude::*;
 use proptest::test_runner::{TestCaseError, TestRunner};
 
-/// Cases without the variable below.
+/// Number of cases unless the environment sets another.
 const CASES: u32 = 1_000;
 const VOTERS: u32 = 3;
 const SPARES: u32 = 2;
 const NODES: u32 = VOTERS + SPARES;
 
-/// Something that happens to the replicas.
+/// One event of a generated run.
 #[derive(Clone, Debug)]
 enum Op {
     Run(u64),
@@ -32,7 +32,7 @@
     Cut(VmId, VmId),
     CutOff(VmId),
     Heal,
-    Storm(f64, f64, u64),
+    Degrade(f64, f64, u64),
     SlowSync(u64),
     Snapshot(VmId),
     Transfer,
@@ -59,7 +59,7 @@
         2 => (vm(), vm()).prop_map(|(from, to)| Op::Cut(from, to)),
         1 => vm().prop_map(Op::CutOff),
         2 => Just(Op::Heal),
-        1 => (0.0..0.4f64, 0.0..0.3f64, 1u64..400).prop_map(|(l, d, t)| Op::Storm(l, d, t)),
+        1 => (0.0..0.4f64, 0.0..0.3f64, 1u64..400).prop_map(|(l, d, t)| Op::Degrade(l, d, t)),
         1 => (0u64..500).prop_map(Op::SlowSync),
         2 => vm().prop_map(Op::Snapshot),
         1 => Just(Op::Transfer),
@@ -83,7 +83,9 @@
         Op::Cut(from, to) => net.cut(from, to),
         Op::CutOff(vm) => net.cut_off(vm),
         Op::Heal => net.cuts.clear(),
-        Op::Storm(loss, doubled, delay) => net.weather = Weather { loss, doubled, delay },
+        Op::Degrade(loss, duplicated, delay) => {
+            net.conditions = NetworkConditions { loss, duplicated, delay }
+        }
         Op::SlowSync(millis) => net.sync_millis = millis,
         Op::Snapshot(vm) => net.snapshot(vm),
         Op::Transfer => drop(leader.map(|vm| net.step(vm, Input::Transfer))),
@@ -94,7 +96,7 @@
     }
 }
 
-/// Small limits, so that batches, windows and chunks fill up.
+/// Returns settings with small limits, so that batches, windows and chunks fill up.
 fn settings() -> Settings {
     Settings {
         drift: 0.05,
@@ -118,8 +120,8 @@
     for op in ops {
         apply(&mut net, op);
     }
-    net.settle();
-    match net.broken {
+    net.converge();
+    match net.violation {
         Some(rule) => Err(TestCaseError::fail(rule)),
         None => Ok(()),
     }
@@ -127,8 +129,8 @@
 
 #[test]
 fn step_any_failures() {
-    // Callers see one history: nothing acknowledged is lost or changed, and no read is stale.
-    // Anything may fail in any order; once all is mended, the replicas agree again.
+    // Under any sequence of failures no acknowledged entry is lost or changed and no read is stale;
+    // once the failures end, the replicas converge.
     let strategy = (any::<u64>(), prop::collection::vec(op(), 1..60));
     let settings = settings();
     let result = runner(CASES).run(&strategy, |(seed, ops)| check(&settings, seed, &ops));
@@ -137,40 +139,40 @@
     }
 }
 
-/// Cases in which a missing safeguard must show itself.
+/// Number of cases within which a disabled safeguard must be detected.
 const MUTATION_CASES: u32 = 5_000;
 
-/// Parts of the messages about broken safety, as against a group that only stands still.
+/// Parts of the messages that report a safety violation rather than a group that makes no progress.
 const SAFETY: [&str; 4] =
     ["committed another entry", "both led term", "held a lease at", "which was stale"];
 
-/// Switches one safeguard off and expects the rules above to be broken.
-fn expect_broken(change: impl Fn(&mut Settings)) {
+/// Disables one safeguard and expects one of the [`SAFETY`] violations.
+fn expect_violation(change: impl Fn(&mut Settings)) {
     let mut settings = settings();
     change(&mut settings);
     let strategy = (any::<u64>(), prop::collection::vec(op(), 1..60));
     let config = ProptestConfig { max_shrink_iters: 0, ..fixed(4, MUTATION_CASES) };
     let result = TestRunner::new(config).run(&strategy, |(seed, ops)| check(&settings, seed, &ops));
-    let error = result.expect_err("no rule was broken").to_string();
-    assert!(SAFETY.iter().any(|rule| error.contains(rule)), "another rule was broken: {error}");
+    let error = result.expect_err("no invariant was violated").to_string();
+    assert!(SAFETY.iter().any(|rule| error.contains(rule)), "not a safety violation: {error}");
 }
 
 #[test]
 fn safeguard_quorum_off() {
-    // With a quorum of one, both sides of a partition commit, and one side's entries are lost.
-    expect_broken(|settings| settings.safeguards.quorum = false);
+    // With a quorum of one, both sides of a partition commit and the entries of one side are lost.
+    expect_violation(|settings| settings.safeguards.quorum = false);
 }
 
 #[test]
 fn safeguard_sync_off() {
-    // A replica answers and crashes before its disk has the entry: the leader counted it, a later
-    // leader is elected without it, and an acknowledged entry is replaced.
-    expect_broken(|settings| settings.safeguards.sync = false);
+    // A replica that acknowledges an entry before syncing it loses the entry in a crash, and a
+    // later leader may replace an entry that was already committed.
+    expect_violation(|settings| settings.safeguards.sync = false);
 }
 
 #[test]
 fn safeguard_epochs_off() {
-    // A follower follows a newer leader, and its VM's pulses still reach the old one. Counted for
-    // this group, they keep up a lease that the follower no longer grants.
-    expect_broken(|settings| settings.safeguards.epochs = false);
+    // A follower of a newer leader still sends VM pulses to the old one. Without epochs these would
+    // renew a lease that the follower no longer grants.
+    expect_violation(|settings| settings.safeguards.epochs = false);
 }
