--- a/crates/core/tests/border_bundle.rs
+++ b/crates/core/tests/border_bundle.rs
@@ -53,7 +53,7 @@
 }
 
 /// Gives an order as a leader does: checked first, then applied.
-fn give(control: &mut Control, command: &wire::Command) -> wire::Answer {
+fn submit(control: &mut Control, command: &wire::Command) -> wire::Answer {
     match control.check(command, &keys()) {
         Ok(()) => control.apply(command),
         Err(answer) => answer,
@@ -68,7 +68,7 @@
 }
 
 /// The example with a stretch of it replaced by other text.
-fn bent_example() -> impl Strategy<Value = Vec<u8>> {
+fn damaged_example() -> impl Strategy<Value = Vec<u8>> {
     (0..EXAMPLE.len(), 0..40_usize, "[ -~\n]{0,20}").prop_map(|(at, length, text)| {
         let end = (at + length).min(EXAMPLE.len());
         let mut yaml = EXAMPLE.as_bytes().to_vec();
@@ -86,23 +86,23 @@
     }
 
     #[test]
-    fn parse_survives_a_bent_bundle(yaml in bent_example()) {
+    fn parse_survives_a_damaged_bundle(yaml in damaged_example()) {
         if let Err(findings) = Bundle::parse(&yaml) {
             prop_assert!(!findings.is_empty());
         }
     }
 
     #[test]
-    fn check_refuses_bent_signatures(at in 0..64_usize, flip in 1..=255_u8, cut in 0..64_usize) {
-        let sound = signed(EXAMPLE, &[1, 2]);
-        let mut bent = sound.clone();
-        let mut bytes = bent.signatures[1].bytes.to_vec();
+    fn check_refuses_damaged_signatures(at in 0..64_usize, flip in 1..=255_u8, cut in 0..64_usize) {
+        let valid = signed(EXAMPLE, &[1, 2]);
+        let mut damaged = valid.clone();
+        let mut bytes = damaged.signatures[1].bytes.to_vec();
         bytes[at] ^= flip;
-        bent.signatures[1].bytes = bytes.into();
-        prop_assert_eq!(revision(&give(&mut Control::new(), &accept(&bent, 0, "a"))), None);
-        let mut short = sound;
-        short.signatures[1].bytes.truncate(cut);
-        prop_assert_eq!(revision(&give(&mut Control::new(), &accept(&short, 0, "a"))), None);
+        damaged.signatures[1].bytes = bytes.into();
+        prop_assert_eq!(revision(&submit(&mut Control::new(), &accept(&damaged, 0, "a"))), None);
+        let mut truncated = valid;
+        truncated.signatures[1].bytes.truncate(cut);
+        prop_assert_eq!(revision(&submit(&mut Control::new(), &accept(&truncated, 0, "a"))), None);
     }
 
     #[test]
@@ -111,9 +111,9 @@
     }
 
     #[test]
-    fn restore_survives_a_bent_snapshot(at in any::<prop::sample::Index>(), flip in 1..=255_u8) {
+    fn restore_survives_a_damaged_snapshot(at in any::<prop::sample::Index>(), flip in 1..=255_u8) {
         let mut control = Control::new();
-        give(&mut control, &accept(&signed(EXAMPLE, &[1, 2]), 0, "a"));
+        submit(&mut control, &accept(&signed(EXAMPLE, &[1, 2]), 0, "a"));
         let mut bytes = control.snapshot().to_vec();
         let at = at.index(bytes.len());
         bytes[at] ^= flip;
@@ -164,7 +164,7 @@
         signed(EXAMPLE, &[8, 9]),
     ];
     for bundle in forged {
-        let answer = give(&mut Control::new(), &accept(&bundle, 0, "a"));
+        let answer = submit(&mut Control::new(), &accept(&bundle, 0, "a"));
         assert_eq!(revision(&answer), None, "{:?}", bundle.signatures);
     }
 }
@@ -173,35 +173,35 @@
 fn check_refuses_a_signature_of_another_bundle() {
     let mut bundle = signed(EXAMPLE, &[1, 2]);
     bundle.signatures = signed(&example("2026.12.2"), &[1, 2]).signatures;
-    assert_eq!(revision(&give(&mut Control::new(), &accept(&bundle, 0, "a"))), None);
+    assert_eq!(revision(&submit(&mut Control::new(), &accept(&bundle, 0, "a"))), None);
 }
 
 #[test]
-fn accept_replayed_gives_the_first_answer() {
+fn accept_replayed_returns_the_first_answer() {
     // A stranger that overheard an order sends it again, later: it gets the answer of then, and
     // the newer bundle stays in force.
     let mut control = Control::new();
     let old = accept(&signed(EXAMPLE, &[1, 2]), 0, "a");
-    let first = give(&mut control, &old);
+    let first = submit(&mut control, &old);
     let new = accept(&signed(&example("2026.12.2"), &[1, 2]), 1, "b");
-    assert_eq!(revision(&give(&mut control, &new)), Some(2));
-    assert_eq!(give(&mut control, &old), first);
+    assert_eq!(revision(&submit(&mut control, &new)), Some(2));
+    assert_eq!(submit(&mut control, &old), first);
     let current = control.current().expect("a revision is in force");
     assert_eq!(current.version, "2026.12.2");
 }
 
 #[test]
-fn accept_of_an_old_bundle_as_a_new_order_changes_nothing() {
+fn accept_of_an_old_bundle_in_a_new_order_changes_nothing() {
     // Someone who kept an old signed bundle gives it under a new order id and the current base,
     // to bring back a budget or an API key that was taken away. Its version was used, so the
     // answer names the revision that it had, and the newer one stays in force.
     let mut control = Control::new();
-    give(&mut control, &accept(&signed(EXAMPLE, &[1, 2]), 0, "a"));
-    give(&mut control, &accept(&signed(&example("2026.12.2"), &[1, 2]), 1, "b"));
+    submit(&mut control, &accept(&signed(EXAMPLE, &[1, 2]), 0, "a"));
+    submit(&mut control, &accept(&signed(&example("2026.12.2"), &[1, 2]), 1, "b"));
     let replayed = accept(&signed(EXAMPLE, &[1, 2]), 2, "c");
-    assert_eq!(revision(&give(&mut control, &replayed)), Some(1));
+    assert_eq!(revision(&submit(&mut control, &replayed)), Some(1));
     let other = accept(&signed(EXAMPLE, &[2, 3]), 2, "b");
-    assert_eq!(revision(&give(&mut control, &other)), None, "an order id was used twice");
+    assert_eq!(revision(&submit(&mut control, &other)), None, "an order id was used twice");
     let current = control.current().expect("a revision is in force");
     assert_eq!((current.number, current.version.as_str()), (RevisionNumber(2), "2026.12.2"));
 }
--- a/crates/core/tests/border_datagram.rs
+++ b/crates/core/tests/border_datagram.rs
@@ -100,7 +100,7 @@
     }
 
     #[test]
-    fn step_survives_any_news(
+    fn step_survives_any_rumours(
         from in number(),
         body in body(),
         rumours in vec(rumour(), 0..6),
--- a/crates/core/tests/border_program.rs
+++ b/crates/core/tests/border_program.rs
@@ -53,14 +53,14 @@
 }
 
 impl Damage {
-    fn of(&self, sound: &[u8]) -> Bytes {
-        let mut bytes = sound.to_vec();
-        for (at, value) in self.bytes.iter().filter(|_| !sound.is_empty()) {
+    fn apply(&self, original: &[u8]) -> Bytes {
+        let mut bytes = original.to_vec();
+        for (at, value) in self.bytes.iter().filter(|_| !original.is_empty()) {
             let at = at.index(bytes.len());
             bytes[at] = *value;
         }
         if let Some(cut) = &self.cut {
-            bytes.truncate(cut.index(sound.len() + 1));
+            bytes.truncate(cut.index(original.len() + 1));
         }
         bytes.into()
     }
@@ -108,9 +108,9 @@
         if leads {
             replay.step(Input::Leading { term: 1 });
         }
-        let bad = damage.at.index(log.len());
+        let damaged = damage.at.index(log.len());
         for (index, data) in log.iter().enumerate() {
-            let data = if index == bad { damage.of(data) } else { data.clone() };
+            let data = if index == damaged { damage.apply(data) } else { data.clone() };
             replay.step(Input::Committed { index: index as u64 + 1, data });
         }
         replay.step(Input::Tick);
@@ -132,7 +132,7 @@
     fn restored_survives_a_damaged_snapshot(damage in damage()) {
         let snapshot = group().leader().state().snapshot();
         let mut replay = Replay::new();
-        replay.step(Input::Restored { index: 9, data: damage.of(&snapshot) });
+        replay.step(Input::Restored { index: 9, data: damage.apply(&snapshot) });
         replay.step(Input::Leading { term: 1 });
         replay.step(Input::Tick);
         for program in ["p", "p/c", "q", "r", "s"] {
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn scores_at_the_end_of_their_type_are_counted_on() {
+fn scores_at_the_maximum_do_not_overflow() {
     // A store with a fault tells a score of 2^32-1 deaths, which becomes part of the log. The next
     // death of that request would overflow on every replica, again after each restart.
     let mut group = Group::new(1);
--- a/crates/core/tests/budget_escrow.rs
+++ b/crates/core/tests/budget_escrow.rs
@@ -18,14 +18,14 @@
 }
 
 #[test]
-fn escrow_serves_no_call_that_may_not_be_repeated() {
+fn escrow_grants_no_unrepeatable_call() {
     let mut group = after_first_turn(Settings::default(), 100);
     let token = group.send(ENTRY, call("p", "booking"));
     assert_eq!(group.reply(token), None);
 }
 
 #[test]
-fn settle_that_overtakes_its_begin_waits_for_it() {
+fn settle_before_its_begin_commits_waits() {
     // A fast engine answers before the begin of its turn is committed. Judged on what is known,
     // the dispatch would not exist and the answer would be refused.
     let mut group = after_first_turn(Settings::default(), 100);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn escrow_survives_a_leader_change_under_a_known_turn() {
+fn escrow_is_released_after_a_leader_change_during_a_committed_turn() {
     // The turn under way is in the log, so its leader granted nothing beside it: the escrow is
     // given back in whole when the turn settles at the next leader.
     let mut group = after_first_turn(Settings::default(), 100);
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn escrow_grant_of_a_dead_vm_is_taken_for_lost() {
+fn escrow_grant_of_a_dead_vm_is_lost() {
     let mut group = after_first_turn(Settings::default(), 100);
     group.send(ENTRY, turn("p", "k2", &[user("c")]));
     group.step(0, Input::VmGone { vm: ENTRY });
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn escrow_grants_nothing_beside_a_turn_in_doubt() {
+fn escrow_grants_nothing_while_a_late_answer_is_pending() {
     // A turn is taken for lost, and its late answer is in the log behind that entry. The resend
     // that wakes in between must not be granted out of the escrow: the late answer takes the turn,
     // and the caller gets it.
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn escrow_of_an_idle_child_returns_to_its_family() {
+fn escrow_of_an_idle_child_is_released() {
     // A sub-agent that has stopped for now holds budget ahead. Its siblings need that budget, so
     // it is given back when the sub-agent has been idle for a while.
     let mut group = Group::with_settings(1, Settings { escrow_turns: 4, ..Settings::default() });
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn escrow_never_stops_a_small_budget_from_being_used() {
+fn escrow_lets_a_small_budget_be_used_up() {
     let mut group = Group::with_settings(1, Settings { escrow_turns: 4, ..Settings::default() });
     for key in 0..9 {
         let mut begin = begin_turn("p", &format!("k{key}"), &[user("a")]);
--- a/crates/core/tests/budget_reserve.rs
+++ b/crates/core/tests/budget_reserve.rs
@@ -9,7 +9,7 @@
 use support::*;
 
 #[test]
-fn reserve_cuts_the_output_to_what_is_left() {
+fn reserve_caps_output_at_the_remaining_budget() {
     let mut group = Group::new(1);
     let prompt = messages(&[user("a")]).len() as u64 - 2;
     let grant = group.grant(limited("p", "k", tokens(prompt + 40)));
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn reserve_takes_the_callers_bound_of_prompt_tokens() {
+fn reserve_uses_the_prompt_tokens_of_the_request() {
     let mut group = Group::new(1);
     let mut begin = begin_turn("p", "k", &[user("a")]);
     begin.budget = Some(tokens(50));
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn settle_not_run_gives_all_back() {
+fn settle_not_run_releases_the_reservation() {
     let mut group = Group::new(1);
     let grant = group.grant(limited("p", "k", tokens(1_000)));
     group.ask(ENTRY, not_run("p", &grant.dispatch));
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn child_draws_from_every_ancestor() {
+fn child_is_charged_to_every_ancestor() {
     // A sub-agent of a sub-agent has no limit of its own. The root's four calls are all that the
     // family has, at whatever depth they are made.
     let mut group = Group::new(1);
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn children_at_once_never_pass_their_parents_budget() {
+fn concurrent_children_stay_within_their_parents_budget() {
     // Two sub-agents ask in the same moment, each for more than half of what their parent has
     // left. Both proposals are under way before either is applied; the log's order decides.
     let mut group = Group::new(3);
--- a/crates/core/tests/bundle_check.rs
+++ b/crates/core/tests/bundle_check.rs
@@ -42,31 +42,31 @@
 }
 
 #[test]
-fn parse_names_the_place_of_a_wrong_type() {
+fn parse_reports_the_path_of_a_wrong_type() {
     let yaml = EXAMPLE.replace("share: 1", "share: many");
     assert_eq!(paths(&yaml), ["organisations[0].share"]);
 }
 
 #[test]
-fn parse_refuses_one_key_for_two_organisations() {
+fn parse_refuses_a_key_shared_by_two_organisations() {
     let key = Digest::of(b"example-key");
-    let twin = format!("  - {{name: twin, key_digest: \"{key}\", agents: []}}\n\npolicy:");
-    assert_eq!(paths(&EXAMPLE.replace("\npolicy:", &twin)), ["organisations[1].key_digest"]);
+    let duplicate = format!("  - {{name: twin, key_digest: \"{key}\", agents: []}}\n\npolicy:");
+    assert_eq!(paths(&EXAMPLE.replace("\npolicy:", &duplicate)), ["organisations[1].key_digest"]);
 }
 
-fn pairs() -> Vec<KeyPair> {
+fn key_pairs() -> Vec<KeyPair> {
     (1..=3).map(|seed| KeyPair::from_seed([seed; 32])).collect()
 }
 
 fn two_of_three() -> OperatorKeys {
-    OperatorKeys { keys: pairs().iter().map(KeyPair::public).collect(), threshold: 2 }
+    OperatorKeys { keys: key_pairs().iter().map(KeyPair::public).collect(), threshold: 2 }
 }
 
 fn signed_by(signers: &[usize]) -> SignedBundle {
     let content = Bytes::from_static(EXAMPLE.as_bytes());
     let mut signed = SignedBundle::new(content).expect("the example is sound");
     for signer in signers {
-        signed.sign(&pairs()[*signer]).expect("the example is sound");
+        signed.sign(&key_pairs()[*signer]).expect("the example is sound");
     }
     signed
 }
@@ -87,15 +87,15 @@
 }
 
 #[test]
-fn verify_refuses_other_content() {
+fn verify_refuses_changed_content() {
     let mut signed = signed_by(&[0, 1]);
     signed.content = EXAMPLE.replace("share: 1", "share: 9").into_bytes().into();
-    let invalid = SignatureError::Invalid(pairs()[0].public());
+    let invalid = SignatureError::Invalid(key_pairs()[0].public());
     assert_eq!(signed.verify(&two_of_three()), Err(invalid));
 }
 
 #[test]
-fn verify_passes_over_strangers() {
+fn verify_ignores_unknown_signers() {
     let mut signed = signed_by(&[0, 1]);
     signed.sign(&KeyPair::from_seed([9; 32])).expect("the example is sound");
     assert!(signed.verify(&two_of_three()).is_ok());
--- a/crates/core/tests/bundle_routes.rs
+++ b/crates/core/tests/bundle_routes.rs
@@ -29,20 +29,20 @@
 /// Stores write bundles as JSON, which is read by another library than YAML. Both must find the
 /// same, or one entry would act on other routes than another.
 #[test]
-fn parse_json_like_yaml() {
+fn parse_json_equals_yaml() {
     let bundle = Bundle::parse(BUNDLE.as_bytes()).expect("sound");
     let json = serde_json::to_vec(&bundle).expect("writable");
     assert_eq!(Bundle::parse(&json).expect("sound"), bundle);
 }
 
 #[test]
-fn parse_json_finds_unknown_field() {
+fn parse_json_reports_unknown_field() {
     let text = br#"{"version":"1.0","colour":"red"}"#;
     assert!(Bundle::parse(text).expect_err("has a finding").to_string().contains("colour"));
 }
 
 #[test]
-fn parse_json_cut_short() {
+fn parse_truncated_json() {
     assert!(Bundle::parse(br#"{"version":"1.0","routes":["#).is_err());
 }
 
@@ -52,17 +52,17 @@
 }
 
 #[test]
-fn parse_same_place() {
+fn parse_duplicate_prefix() {
     assert!(findings("/book/", "/chat/").contains("routes[1]"));
 }
 
 #[test]
-fn parse_no_weight() {
+fn parse_zero_weight() {
     assert!(findings("weight: 3", "weight: 0").contains("routes[1].shares"));
 }
 
 #[test]
-fn parse_no_timeout() {
+fn parse_zero_timeout() {
     assert!(findings("timeout_ms: 1500", "timeout_ms: 0").contains("routes[1].timeout_ms"));
 }
 
@@ -72,6 +72,6 @@
 }
 
 #[test]
-fn parse_pool_twice() {
+fn parse_duplicate_pool() {
     assert!(findings("name: desk", "name: models").contains("pools"));
 }
--- a/crates/core/tests/journal_calls.rs
+++ b/crates/core/tests/journal_calls.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn call_that_expired_is_unknown_and_not_unrun() {
+fn call_that_expired_is_unknown() {
     // No outcome arrives before the grant's time is over. Silence proves nothing, so the call is
     // in doubt and its key is closed.
     let mut group = Group::new(1);
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn call_in_doubt_is_settled_by_a_late_answer() {
+fn call_with_unknown_outcome_is_settled_by_a_late_answer() {
     // The paused VM wakes and its answer arrives after the call was taken for lost. The answer is
     // true, so it is recorded, and later resends get it.
     let mut group = Group::new(1);
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn settle_by_inquiry_ends_the_doubt_and_only_with_done() {
+fn settle_by_inquiry_accepts_only_done() {
     // The holder is gone for good, and another VM asks the service what became of the call. That
     // the service did it is final; that it knows nothing of it is not, for the holder may be
     // paused with the request in its hands.
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn call_committed_by_the_next_leader_is_granted_to_its_asker_only() {
+fn call_committed_by_the_next_leader_is_granted_to_its_requester_only() {
     // The leader falls after its proposal reached a quorum and before it gave the grant. The asker
     // asks again under the same nonce and gets it; anybody else waits, for the asker may run it.
     let mut group = Group::new(3);
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn call_lost_with_its_leader_was_not_run_and_may_be_granted() {
+fn call_lost_with_its_leader_can_be_granted() {
     let mut group = Group::new(3);
     group.held = true;
     group.send(ENTRY, call("p", "k"));
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn call_waits_for_the_new_leader_to_know_all_commits() {
+fn call_waits_for_the_first_commit_of_a_new_leader() {
     // A new leader has not applied its predecessor's last entries when the resend arrives. Judged
     // on what it knows, the key would be free; so requests wait for the leader's first commit.
     let mut group = Group::new(3);
@@ -220,15 +220,15 @@
 }
 
 #[test]
-fn call_joined_before_its_commit_is_not_called_unrun() {
+fn call_joined_before_its_commit_is_unknown_at_its_deadline() {
     // Two VMs ask under one key, and the first's begin is still on its way through the log when
     // the second's patience ends. The call will run, so the second must not hear that it did not.
     let mut group = Group::new(3);
     group.held = true;
     let first = group.send(ENTRY, call("p", "k"));
-    let mut hasty = begin_call("p", "k");
-    hasty.deadline_ms = 200;
-    let second = group.send(OTHER, Body::BeginCall(hasty));
+    let mut short_lived = begin_call("p", "k");
+    short_lived.deadline_ms = 200;
+    let second = group.send(OTHER, Body::BeginCall(short_lived));
     group.advance(300);
     assert!(is_unknown(&group.reply(second).unwrap()));
     group.commit();
@@ -338,7 +338,7 @@
 }
 
 #[test]
-fn end_cancels_the_call_under_way() {
+fn end_cancels_the_call_in_flight() {
     let mut group = Group::new(1);
     let grant = group.grant(call("p", "k"));
     group.ask(ENTRY, end("p"));
--- a/crates/core/tests/journal_faults.rs
+++ b/crates/core/tests/journal_faults.rs
@@ -46,7 +46,7 @@
 ];
 
 #[test]
-fn call_with_one_fault_keeps_every_promise() {
+fn call_with_one_fault_keeps_all_invariants() {
     // One process fails before one step of a call, and the caller sends the call again elsewhere.
     for call in [MODEL, SERVICE] {
         for place in 0..=STEPS.len() {
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn call_with_two_faults_keeps_every_promise() {
+fn call_with_two_faults_keeps_all_invariants() {
     // Two processes fail, before any two steps, the same or different ones, in either order.
     for call in [MODEL, SERVICE] {
         for faults in fault_pairs() {
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn turn_out_of_escrow_with_two_faults_keeps_every_promise() {
+fn turn_from_escrow_with_two_faults_keeps_all_invariants() {
     // An earlier turn has left an escrow. The next is granted at once, and two processes fail
     // before any two steps of it, before its begin is committed too.
     let first = CallId { program: 0, key: 2 };
@@ -84,18 +84,18 @@
     for faults in fault_pairs() {
         let mut ops = before.to_vec();
         ops.extend(call_ops(MODEL, &faults));
-        let violations = run(escrowed(), &ops);
+        let violations = run(escrow_settings(), &ops);
         assert!(violations.is_empty(), "{faults:?}: {violations:?}");
     }
 }
 
 #[test]
-fn programs_with_escrow_under_random_faults_keep_every_promise() {
-    check_random_faults(&escrowed());
+fn programs_with_escrow_under_random_faults_keep_all_invariants() {
+    check_random_faults(&escrow_settings());
 }
 
 #[test]
-fn programs_under_random_faults_keep_every_promise() {
+fn programs_under_random_faults_keep_all_invariants() {
     // Callers of four programs, one family and a stranger, ask through three VMs while leaders,
     // VMs and replicas come and go, grants are lost, and paused VMs act late.
     check_random_faults(&Settings::default());
@@ -173,8 +173,8 @@
 #[test]
 fn mutation_isolate_suspects_is_caught() {
     // Five programs send the same bad request at once, again and again.
-    assert_eq!(deaths_of_bad_request(Settings::default()), 2);
-    assert!(deaths_of_bad_request(without(|s| s.isolate_suspects = false)) > 2);
+    assert_eq!(endpoints_crashed(Settings::default()), 2);
+    assert!(endpoints_crashed(without(|s| s.isolate_suspects = false)) > 2);
 }
 
 fn without(change: fn(&mut Safeguards)) -> Settings {
@@ -210,20 +210,20 @@
 }
 
 /// Sends one bad request from five programs after its first crash; each run kills an endpoint.
-fn deaths_of_bad_request(settings: Settings) -> usize {
+fn endpoints_crashed(settings: Settings) -> usize {
     let mut group = Group::with_settings(1, settings);
     let first = group.grant(turn("first", "k", &[user("poison")]));
     group.ask(ENTRY, crashed("first", &first.dispatch, "e0"));
     let programs: Vec<String> = (0..5).map(|i| format!("p{i}")).collect();
     let asked = programs.iter().map(|p| group.send(ENTRY, turn(p, "k", &[user("poison")])));
     let tokens: Vec<_> = asked.collect();
-    let mut deaths = 1;
+    let mut crashes = 1;
     for (i, (program, token)) in programs.iter().zip(tokens).enumerate() {
         let Some(ReplyBody::Grant(grant)) = group.reply(token) else { continue };
         group.ask(ENTRY, crashed(program, &grant.dispatch, &format!("e{}", i + 1)));
-        deaths += 1;
+        crashes += 1;
     }
-    deaths
+    crashes
 }
 
 /// Runs all single and double faults until one breaks a promise.
@@ -270,15 +270,15 @@
 }
 
 fn call_ops(call: CallId, faults: &[(usize, Op)]) -> Vec<Op> {
-    let aimed = |op: Op| match op {
+    let retarget = |op: Op| match op {
         Op::Ask { vm, lose, .. } => Op::Ask { vm, call, lose },
         op => op,
     };
     let mut ops = vec![];
     for place in 0..=STEPS.len() {
         let here = faults.iter().filter(|(at, _)| *at == place);
-        ops.extend(here.map(|(_, fault)| aimed(*fault)));
-        ops.extend(STEPS.get(place).copied().map(aimed));
+        ops.extend(here.map(|(_, fault)| retarget(*fault)));
+        ops.extend(STEPS.get(place).copied().map(retarget));
     }
     let resend = [
         Op::Ask { vm: 2, call, lose: false },
@@ -296,7 +296,7 @@
 }
 
 /// Settings under which turns are granted out of an escrow.
-fn escrowed() -> Settings {
+fn escrow_settings() -> Settings {
     Settings { escrow_turns: 4, ..Settings::default() }
 }
 
