--- a/crates/core/tests/border_bundle.rs
+++ b/crates/core/tests/border_bundle.rs
@@ -1,4 +1,4 @@
-//! Bad input at the border of bundles: any text, forged signatures, replayed orders.
+//! Invalid input to bundle handling: arbitrary bytes, forged signatures and replayed orders.
 
 #[path = "support/property.rs"]
 mod property;
@@ -17,21 +17,22 @@
 use prost::Message as _;
 
 const EXAMPLE: &str = include_str!("../../../examples/bundle.yaml");
-/// Cases of a property when the environment names no other count.
+/// Number of generated cases, unless the environment sets another.
 const CASES: u32 = 128;
 
 fn key(seed: u8) -> KeyPair {
     KeyPair::from_seed([seed; 32])
 }
 
-/// Two of the operators 1, 2 and 3 must sign.
+/// Operators 1, 2 and 3, of whom two must sign.
 fn keys() -> OperatorKeys {
     OperatorKeys { keys: (1..=3).map(|seed| key(seed).public()).collect(), threshold: 2 }
 }
 
 fn signed(content: &str, signers: &[u8]) -> SignedBundle {
-    let mut bundle = SignedBundle::new(Bytes::from(content.to_owned())).expect("sound");
-    signers.iter().for_each(|signer| bundle.sign(&key(*signer)).expect("sound"));
+    let mut bundle =
+        SignedBundle::new(Bytes::from(content.to_owned())).expect("the bundle is valid");
+    signers.iter().for_each(|signer| bundle.sign(&key(*signer)).expect("the bundle is valid"));
     bundle
 }
 
@@ -40,7 +41,7 @@
 }
 
 fn accept(bundle: &SignedBundle, base: u64, order: &str) -> wire::Command {
-    let version = Bundle::parse(&bundle.content).expect("sound").version.to_string();
+    let version = Bundle::parse(&bundle.content).expect("the bundle is valid").version.to_string();
     let accept = wire::Accept {
         order_id: order.to_owned(),
         base_revision: base,
@@ -52,7 +53,7 @@
     wire::Command { body: Some(CommandBody::Accept(accept)) }
 }
 
-/// Gives an order as a leader does: checked first, then applied.
+/// Checks an order and applies it if it is valid, as a leader does.
 fn submit(control: &mut Control, command: &wire::Command) -> wire::Answer {
     match control.check(command, &keys()) {
         Ok(()) => control.apply(command),
@@ -67,7 +68,7 @@
     }
 }
 
-/// The example with a stretch of it replaced by other text.
+/// Generates the example bundle with a random part replaced by other text.
 fn damaged_example() -> impl Strategy<Value = Vec<u8>> {
     (0..EXAMPLE.len(), 0..40_usize, "[ -~\n]{0,20}").prop_map(|(at, length, text)| {
         let end = (at + length).min(EXAMPLE.len());
@@ -134,8 +135,7 @@
 
 #[test]
 fn parse_refuses_an_alias_bomb() {
-    // Nine levels of ten aliases each name a thousand million values in 300 bytes: a reader that
-    // spells them out never comes back.
+    // Nested aliases that expand to 10^9 values would exhaust a parser that resolves them.
     let mut yaml = String::from("a0: &a0 [x, x, x, x, x, x, x, x, x, x]\n");
     for level in 1..9 {
         let aliases = vec![format!("*a{}", level - 1); 10].join(", ");
@@ -147,10 +147,10 @@
 
 #[test]
 fn parse_refuses_deep_nesting() {
-    // A bundle of open brackets stops the store that checks it: the YAML reader looks at every
-    // open bracket again at each one, so that 100 KB took half a minute, and 16 MB take days.
+    // The YAML parser takes quadratic time in the number of open brackets, so a deeply nested
+    // bundle would block the store that checks it.
     let yaml = format!("models: {}", "[".repeat(1 << 20));
-    let findings = Bundle::parse(yaml.as_bytes()).expect_err("too deep");
+    let findings = Bundle::parse(yaml.as_bytes()).expect_err("the nesting is too deep");
     assert!(findings.to_string().contains("brackets"), "{findings}");
 }
 
@@ -178,8 +178,7 @@
 
 #[test]
 fn accept_replayed_returns_the_first_answer() {
-    // A stranger that overheard an order sends it again, later: it gets the answer of then, and
-    // the newer bundle stays in force.
+    // A replayed order must not bring back its bundle after a newer one was accepted.
     let mut control = Control::new();
     let old = accept(&signed(EXAMPLE, &[1, 2]), 0, "a");
     let first = submit(&mut control, &old);
@@ -192,16 +191,15 @@
 
 #[test]
 fn accept_of_an_old_bundle_in_a_new_order_changes_nothing() {
-    // Someone who kept an old signed bundle gives it under a new order id and the current base,
-    // to bring back a budget or an API key that was taken away. Its version was used, so the
-    // answer names the revision that it had, and the newer one stays in force.
+    // An old signed bundle in a new order could restore a revoked API key or budget. Its version
+    // is already used, so the answer is its old revision and the newer one stays in force.
     let mut control = Control::new();
     submit(&mut control, &accept(&signed(EXAMPLE, &[1, 2]), 0, "a"));
     submit(&mut control, &accept(&signed(&example("2026.12.2"), &[1, 2]), 1, "b"));
     let replayed = accept(&signed(EXAMPLE, &[1, 2]), 2, "c");
     assert_eq!(revision(&submit(&mut control, &replayed)), Some(1));
     let other = accept(&signed(EXAMPLE, &[2, 3]), 2, "b");
-    assert_eq!(revision(&submit(&mut control, &other)), None, "an order id was used twice");
+    assert_eq!(revision(&submit(&mut control, &other)), None, "an order id must not be used twice");
     let current = control.current().expect("a revision is in force");
     assert_eq!((current.number, current.version.as_str()), (RevisionNumber(2), "2026.12.2"));
 }
--- a/crates/core/tests/border_datagram.rs
+++ b/crates/core/tests/border_datagram.rs
@@ -1,4 +1,4 @@
-//! Bad input at membership's border: any bytes, and damaged datagrams of real VMs.
+//! Invalid input to membership: arbitrary bytes, invalid rumours and damaged datagrams.
 
 #[path = "membership_harness/mod.rs"]
 mod harness;
@@ -16,10 +16,10 @@
 use proptest::sample::Index;
 use prost::Message as _;
 
-/// Cases of a property when the environment names no other count.
+/// Number of generated cases, unless the environment sets another.
 const CASES: u32 = 256;
 
-/// A VM that knows four others.
+/// Returns a VM that has joined four others, and the current time.
 fn joined() -> (Membership, Time) {
     let mut net = Net::new(5, 0.0, 7, Mutation::None);
     let end = net.now + Duration::from_secs(20);
@@ -28,7 +28,7 @@
     (node, net.now)
 }
 
-/// Feeds a datagram and lets two minutes pass; checks every datagram sent.
+/// Delivers a datagram, runs the VM for two minutes and checks every datagram that it sends.
 fn feed(node: &mut Membership, now: Time, bytes: Bytes) -> Result<(), TestCaseError> {
     let input = Input::Datagram { from: address(VmId(2)), bytes };
     let mut effects = node.step(now, input);
@@ -105,8 +105,8 @@
         body in body(),
         rumours in vec(rumour(), 0..6),
     ) {
-        // A VM with the key and a fault tells nonsense: of itself, of VMs that don't exist, of
-        // this one, with incarnations at the end of their type.
+        // A faulty VM that has the key can send any rumour: about itself, the receiver or VMs that
+        // don't exist, with incarnations up to the maximum.
         let (mut node, now) = joined();
         let datagram = wire::Datagram { from, body, rumours };
         feed(&mut node, now, datagram.encode_to_vec().into())?;
@@ -122,7 +122,7 @@
         let mut other = Net::new(2, 0.0, 8, Mutation::None);
         let end = other.now + Duration::from_secs(5);
         other.run_until(end, Net::agreed);
-        let sender = other.nodes.get_mut(&VmId(2)).expect("it is up");
+        let sender = other.nodes.get_mut(&VmId(2)).expect("VM 2 is running");
         let sent = sender.step(end + Duration::from_secs(5), Input::Tick);
         for effect in sent {
             let Effect::Send { bytes, .. } = effect else { continue };
--- a/crates/core/tests/border_program.rs
+++ b/crates/core/tests/border_program.rs
@@ -1,4 +1,4 @@
-//! Bad input at a program group's border: damaged entries and snapshots.
+//! Invalid input to a program group: damaged entries and snapshots, and arbitrary requests.
 
 #[path = "support/property.rs"]
 mod property;
@@ -15,10 +15,10 @@
 use prost::Message as _;
 use support::*;
 
-/// Cases of a property when the environment names no other count.
+/// Number of generated cases, unless the environment sets another.
 const CASES: u32 = 512;
 
-/// A group with programs in every state: turns, calls, children, a death, ends.
+/// Returns a group with turns, calls, a child, an engine crash, an ended program and a lost VM.
 fn group() -> Group {
     let mut group = Group::with_settings(1, Settings { escrow_turns: 2, ..Settings::default() });
     group.run_turn("p", "k1", "a", "b");
@@ -38,7 +38,7 @@
     group
 }
 
-/// What is done to some bytes: cut, overwritten in places, or both.
+/// Damage to a byte string: some bytes are overwritten, and the end may be cut off.
 #[derive(Clone, Debug)]
 struct Damage {
     at: Index,
@@ -66,7 +66,7 @@
     }
 }
 
-/// A sequencer that has applied a log, and what it asked for.
+/// A sequencer that a log is replayed into, and its effects.
 struct Replay {
     sequencer: Sequencer,
     effects: Vec<Effect>,
@@ -101,8 +101,8 @@
 
     #[test]
     fn committed_survives_a_damaged_entry(damage in damage(), leads in any::<bool>()) {
-        // One entry that a broken VM wrote: it is applied as it reads, or the replica stops; it
-        // never panics, and what it then holds can be saved and read again.
+        // A damaged entry is applied or halts the replica, but never causes a panic. Unless the
+        // replica halts, its state can be saved and restored.
         let log = group().log;
         let mut replay = Replay::new();
         if leads {
@@ -197,7 +197,7 @@
     }
 }
 
-/// Numbers of all sizes, the ends of the types among them.
+/// Generates numbers of all sizes, including the limits of `u32` and `u64`.
 fn any_number() -> impl Strategy<Value = u64> {
     prop_oneof![
         Just(0),
@@ -218,8 +218,8 @@
 
 #[test]
 fn scores_at_the_maximum_do_not_overflow() {
-    // A store with a fault tells a score of 2^32-1 deaths, which becomes part of the log. The next
-    // death of that request would overflow on every replica, again after each restart.
+    // A faulty store can report a score of 2^32-1 deaths, which enters the log. The next crash
+    // must not overflow it, since that would hit every replica and again after each restart.
     let mut group = Group::new(1);
     let crash = |group: &mut Group, program: &str| {
         let grant = group.grant(turn(program, "k1", &[user("deadly")]));
@@ -232,7 +232,7 @@
         Effect::Scored { score } => Some(score.clone()),
         _ => None,
     });
-    let mut score = scored.expect("the death is scored");
+    let mut score = scored.expect("the crash is scored");
     (score.deaths, score.blame, score.at_ms) = (u32::MAX, u32::MAX, u64::MAX);
     group.step(0, Input::Scores { scores: vec![score] });
     group.ask(ENTRY, started("b", &grant.dispatch, "e2"));
--- a/crates/core/tests/budget_escrow.rs
+++ b/crates/core/tests/budget_escrow.rs
@@ -1,4 +1,4 @@
-//! Turns granted out of budget reserved ahead, before their begin is committed.
+//! Escrow: turns granted from budget reserved in advance, before their begin commits.
 
 mod support;
 
@@ -14,7 +14,7 @@
     let token = group.send(ENTRY, turn("p", "k2", &[user("c")]));
     let grant = granted(group.reply(token).unwrap());
     assert_eq!((grant.turn, grant.attempt), (2, 1));
-    assert!(!group.flight.is_empty(), "its begin is still on its way");
+    assert!(!group.flight.is_empty(), "the begin must not be committed yet");
 }
 
 #[test]
@@ -26,8 +26,8 @@
 
 #[test]
 fn settle_before_its_begin_commits_waits() {
-    // A fast engine answers before the begin of its turn is committed. Judged on what is known,
-    // the dispatch would not exist and the answer would be refused.
+    // An engine can answer before the begin of its turn commits. The settle must wait instead of
+    // being refused for an unknown dispatch.
     let mut group = after_first_turn(Settings::default(), 100);
     let token = group.send(ENTRY, turn("p", "k2", &[user("c")]));
     let grant = granted(group.reply(token).unwrap());
@@ -40,23 +40,23 @@
 
 #[test]
 fn escrow_lost_with_its_leader_counts_as_spent() {
-    // The leader grants a turn out of the escrow and dies before its begin reaches anybody. The
-    // turn runs, and no record of it will ever be; so what was left of the escrow is spent.
+    // The leader grants a turn from the escrow and fails before its begin is replicated. The turn
+    // may run without a record, so the next leader charges the rest of the escrow.
     let spent = spent_after_lost_grant(Settings::default());
-    assert!(spent.calls >= 3, "two turns and what the escrow held: {spent:?}");
+    assert!(spent.calls >= 3, "the escrow of the lost leader must be charged: {spent:?}");
 }
 
 #[test]
 fn mutation_spend_escrow_is_caught() {
     let safeguards = Safeguards { spend_escrow: false, ..Safeguards::default() };
     let spent = spent_after_lost_grant(Settings { safeguards, ..Settings::default() });
-    assert_eq!(spent.calls, 2, "three turns ran");
+    assert_eq!(spent.calls, 2, "only the two recorded turns must be charged");
 }
 
 #[test]
 fn escrow_is_released_after_a_leader_change_during_a_committed_turn() {
-    // The turn under way is in the log, so its leader granted nothing beside it: the escrow is
-    // given back in whole when the turn settles at the next leader.
+    // The turn in flight is in the log, so no other was granted from the escrow. The whole escrow
+    // is released when the turn settles at the next leader.
     let mut group = after_first_turn(Settings::default(), 100);
     let token = group.send(ENTRY, turn("p", "k2", &[user("c")]));
     let grant = granted(group.reply(token).unwrap());
@@ -96,9 +96,8 @@
 
 #[test]
 fn escrow_grants_nothing_while_a_late_answer_is_pending() {
-    // A turn is taken for lost, and its late answer is in the log behind that entry. The resend
-    // that wakes in between must not be granted out of the escrow: the late answer takes the turn,
-    // and the caller gets it.
+    // The late answer of a lost turn follows the loss in the log. A resend that is retried between
+    // the two entries must not be granted from the escrow, but get the late answer.
     let mut group = after_first_turn(Settings::default(), 100);
     let first = group.send(ENTRY, turn("p", "k2", &[user("c")]));
     let grant = granted(group.reply(first).unwrap());
@@ -112,8 +111,7 @@
 
 #[test]
 fn escrow_of_an_idle_child_is_released() {
-    // A sub-agent that has stopped for now holds budget ahead. Its siblings need that budget, so
-    // it is given back when the sub-agent has been idle for a while.
+    // The escrow of an idle sub-agent would keep budget from its siblings.
     let mut group = Group::with_settings(1, Settings { escrow_turns: 4, ..Settings::default() });
     let limits = wire::Budget { calls: 20, ..wire::Budget::default() };
     for (program, parent) in [("p", ""), ("p/a", "p")] {
@@ -141,7 +139,7 @@
     assert_eq!(refusal(tenth), Refusal::ProgramEnded);
 }
 
-/// Returns a group whose program has one turn behind it and an escrow; proposals are held.
+/// Returns a group whose program has completed one turn and has an escrow; proposals are held.
 fn after_first_turn(settings: Settings, calls: u64) -> Group {
     let mut group = Group::with_settings(3, Settings { escrow_turns: 4, ..settings });
     let mut begin = begin_turn("p", "k1", &[user("a")]);
@@ -166,5 +164,5 @@
 }
 
 fn consumed(group: &Group) -> (Amounts, Amounts) {
-    group.leader().state().consumed(&name("p")).expect("a program")
+    group.leader().state().consumed(&name("p")).expect("program exists")
 }
--- a/crates/core/tests/budget_reserve.rs
+++ b/crates/core/tests/budget_reserve.rs
@@ -1,4 +1,4 @@
-//! Budgets: reservations, families of programs, and what lost calls keep.
+//! Budgets: reservations, accounts of parents and children, and charges for lost calls.
 
 mod support;
 
@@ -50,9 +50,8 @@
 
 #[test]
 fn lost_call_keeps_its_reservation() {
-    // The entry VM dies with the grant. The engine may have generated every token of it, so the
-    // whole reservation counts as spent; given back, a program that loses its entry VM each turn
-    // would pass its budget without a trace.
+    // The engine may have generated every token of a lost call, so the whole reservation counts as
+    // spent. Otherwise a program whose calls are lost could exceed its budget.
     let mut group = Group::new(1);
     let mut begin = begin_turn("p", "k", &[user("a")]);
     begin.prompt_tokens = 8;
@@ -85,8 +84,7 @@
 
 #[test]
 fn child_is_charged_to_every_ancestor() {
-    // A sub-agent of a sub-agent has no limit of its own. The root's four calls are all that the
-    // family has, at whatever depth they are made.
+    // Sub-agents without limits of their own share the root's four calls, at any depth.
     let mut group = Group::new(1);
     let limits = wire::Budget { calls: 4, ..wire::Budget::default() };
     for (program, parent) in [("r", ""), ("r/a", "r"), ("r/a/b", "r/a"), ("r/c", "r")] {
@@ -100,8 +98,8 @@
 
 #[test]
 fn concurrent_children_stay_within_their_parents_budget() {
-    // Two sub-agents ask in the same moment, each for more than half of what their parent has
-    // left. Both proposals are under way before either is applied; the log's order decides.
+    // Two sub-agents compete for the last call of their parent. Both proposals are in flight
+    // before either is applied, so the budget must be checked when they are applied.
     let mut group = Group::new(3);
     let calls = wire::Budget { calls: 2, ..wire::Budget::default() };
     let grant = group.grant(child("r", "k", "", calls));
@@ -116,8 +114,8 @@
 
 #[test]
 fn child_without_its_parents_id_is_refused() {
-    // A sub-agent under an unrelated id could be placed in another group, where nobody sees its
-    // parent's account; and one without a parent would start a budget of its own.
+    // A sub-agent with an unrelated id could be placed in a group without its parent's account,
+    // and one without a parent would get a budget of its own.
     let mut group = Group::new(1);
     group.run_turn("r", "k", "a", "b");
     let none = wire::Budget::default();
@@ -127,7 +125,7 @@
 }
 
 fn consumed(group: &Group, program: &str) -> (Amounts, Amounts) {
-    group.leader().state().consumed(&name(program)).expect("a program")
+    group.leader().state().consumed(&name(program)).expect("program exists")
 }
 
 fn limits_of(program: &str, root: wire::Budget) -> wire::Budget {
--- a/crates/core/tests/bundle_check.rs
+++ b/crates/core/tests/bundle_check.rs
@@ -1,4 +1,4 @@
-//! Bundles: findings collected together, and signatures of m of n operators.
+//! Bundle validation and m-of-n operator signatures.
 
 use bytes::Bytes;
 use gypsumglade_core::bundle::{
@@ -9,13 +9,13 @@
 const EXAMPLE: &str = include_str!("../../../examples/bundle.yaml");
 
 fn paths(yaml: &str) -> Vec<CompactString> {
-    let findings = Bundle::parse(yaml.as_bytes()).expect_err("the bundle has faults");
+    let findings = Bundle::parse(yaml.as_bytes()).expect_err("the bundle is invalid");
     findings.0.into_iter().map(|finding| finding.path).collect()
 }
 
 #[test]
 fn parse_example() {
-    let bundle = Bundle::parse(EXAMPLE.as_bytes()).expect("the example is sound");
+    let bundle = Bundle::parse(EXAMPLE.as_bytes()).expect("the example is valid");
     assert_eq!(bundle.agent("counter-check").map(|agent| agent.class), Some(Class::Urgent));
     assert!(bundle.fencing.is_ignored_by("old-7"));
     assert!(!bundle.fencing.is_ignored_by("adv-7"));
@@ -64,9 +64,9 @@
 
 fn signed_by(signers: &[usize]) -> SignedBundle {
     let content = Bytes::from_static(EXAMPLE.as_bytes());
-    let mut signed = SignedBundle::new(content).expect("the example is sound");
+    let mut signed = SignedBundle::new(content).expect("the example is valid");
     for signer in signers {
-        signed.sign(&key_pairs()[*signer]).expect("the example is sound");
+        signed.sign(&key_pairs()[*signer]).expect("the example is valid");
     }
     signed
 }
@@ -79,7 +79,7 @@
 
 #[test]
 fn verify_counts_an_operator_once() {
-    // One operator repeats his own signature to reach the threshold alone.
+    // A repeated signature must not let one operator reach the threshold alone.
     let mut signed = signed_by(&[1]);
     signed.signatures.push(signed.signatures[0].clone());
     let too_few = SignatureError::TooFew { found: 1, needed: 2 };
@@ -97,7 +97,7 @@
 #[test]
 fn verify_ignores_unknown_signers() {
     let mut signed = signed_by(&[0, 1]);
-    signed.sign(&KeyPair::from_seed([9; 32])).expect("the example is sound");
+    signed.sign(&KeyPair::from_seed([9; 32])).expect("the example is valid");
     assert!(signed.verify(&two_of_three()).is_ok());
 }
 
--- a/crates/core/tests/bundle_routes.rs
+++ b/crates/core/tests/bundle_routes.rs
@@ -1,4 +1,4 @@
-//! Routes of a bundle.
+//! Parsing and validation of the routes of a bundle.
 
 use gypsumglade_core::bundle::{Bundle, Repeat};
 
@@ -13,32 +13,32 @@
 "#;
 
 fn findings(from: &str, to: &str) -> String {
-    assert!(BUNDLE.contains(from), "the test's own text lacks {from:?}");
+    assert!(BUNDLE.contains(from), "the test bundle does not contain {from:?}");
     let text = BUNDLE.replace(from, to);
-    Bundle::parse(text.as_bytes()).expect_err("has a finding").to_string()
+    Bundle::parse(text.as_bytes()).expect_err("the bundle is invalid").to_string()
 }
 
 #[test]
 fn parse_routes() {
-    let bundle = Bundle::parse(BUNDLE.as_bytes()).expect("sound");
+    let bundle = Bundle::parse(BUNDLE.as_bytes()).expect("the bundle is valid");
     assert_eq!(bundle.routes.len(), 2);
     assert_eq!(bundle.routes[0].stream.and_then(|stream| stream.keep_ms), Some(60_000));
     assert_eq!(bundle.routes[1].repeat, Repeat::Never);
 }
 
-/// Stores write bundles as JSON, which is read by another library than YAML. Both must find the
-/// same, or one entry would act on other routes than another.
+/// Stores write bundles as JSON, which another library parses than YAML. If the two disagreed,
+/// entries could apply different routes.
 #[test]
 fn parse_json_equals_yaml() {
-    let bundle = Bundle::parse(BUNDLE.as_bytes()).expect("sound");
-    let json = serde_json::to_vec(&bundle).expect("writable");
-    assert_eq!(Bundle::parse(&json).expect("sound"), bundle);
+    let bundle = Bundle::parse(BUNDLE.as_bytes()).expect("the bundle is valid");
+    let json = serde_json::to_vec(&bundle).expect("the bundle is serializable");
+    assert_eq!(Bundle::parse(&json).expect("the bundle is valid"), bundle);
 }
 
 #[test]
 fn parse_json_reports_unknown_field() {
     let text = br#"{"version":"1.0","colour":"red"}"#;
-    assert!(Bundle::parse(text).expect_err("has a finding").to_string().contains("colour"));
+    assert!(Bundle::parse(text).expect_err("the bundle is invalid").to_string().contains("colour"));
 }
 
 #[test]
--- a/crates/core/tests/journal_calls.rs
+++ b/crates/core/tests/journal_calls.rs
@@ -1,4 +1,4 @@
-//! Calls that may not be repeated: intent, outcome, doubt, and who may say what.
+//! Calls that must run at most once: committed intents, outcomes, and who may report them.
 
 mod support;
 
@@ -12,8 +12,8 @@
 
 #[test]
 fn call_is_granted_only_after_its_intent_is_committed() {
-    // A grant sent before its intent is durable could run, be forgotten with the leader, and be
-    // granted again: the deposit would be taken twice.
+    // If the leader failed after a grant whose intent is not durable, the next leader would grant
+    // the same call again and it would run twice.
     let mut group = Group::new(3);
     group.held = true;
     let token = group.send(ENTRY, call("p", "k"));
@@ -32,8 +32,8 @@
 
 #[test]
 fn call_of_a_dead_vm_is_unknown_and_never_granted_again() {
-    // The entry VM dies with the grant in hand. It may have sent the booking, or may wake late
-    // and send it yet, so the resend is told `unknown` however often it comes.
+    // The VM that holds the grant may have run the call, or may resume and run it later, so every
+    // resend is answered `unknown`.
     let mut group = Group::new(3);
     group.grant(call("p", "k"));
     group.step(0, Input::VmGone { vm: ENTRY });
@@ -44,8 +44,7 @@
 
 #[test]
 fn call_that_expired_is_unknown() {
-    // No outcome arrives before the grant's time is over. Silence proves nothing, so the call is
-    // in doubt and its key is closed.
+    // A missing outcome does not prove that the call was not run, so its key is not granted again.
     let mut group = Group::new(1);
     let mut begin = begin_call("p", "k");
     begin.deadline_ms = 1_000;
@@ -56,8 +55,8 @@
 
 #[test]
 fn call_with_unknown_outcome_is_settled_by_a_late_answer() {
-    // The paused VM wakes and its answer arrives after the call was taken for lost. The answer is
-    // true, so it is recorded, and later resends get it.
+    // The holder of the grant settles the call after its VM was reported gone. The answer is
+    // recorded and returned to later resends.
     let mut group = Group::new(1);
     let grant = group.grant(call("p", "k"));
     group.step(0, Input::VmGone { vm: ENTRY });
@@ -67,8 +66,8 @@
 
 #[test]
 fn call_proved_not_run_gets_a_new_attempt() {
-    // The endpoint refused before starting, and the holder of the grant says so. Its proof is
-    // committed first; then the same key may be tried again under the next attempt number.
+    // The holder of the grant reports `not-run`. The key can then be granted again, with the next
+    // attempt number and another dispatch.
     let mut group = Group::new(1);
     let first = group.grant(call("p", "k"));
     group.ask(ENTRY, not_run("p", &first.dispatch));
@@ -78,8 +77,8 @@
 
 #[test]
 fn settle_by_another_vm_is_refused() {
-    // A VM that does not hold the grant cannot know what became of it. Its `not-run` would allow
-    // a second run beside the holder's.
+    // Accepting `not-run` from a VM that does not hold the grant would allow a second run while
+    // the holder still runs the call.
     let mut group = Group::new(1);
     let grant = group.grant(call("p", "k"));
     assert_eq!(refusal(group.ask(OTHER, not_run("p", &grant.dispatch))), Refusal::NotHolder);
@@ -87,9 +86,8 @@
 
 #[test]
 fn settle_by_inquiry_accepts_only_done() {
-    // The holder is gone for good, and another VM asks the service what became of the call. That
-    // the service did it is final; that it knows nothing of it is not, for the holder may be
-    // paused with the request in its hands.
+    // Another VM asks the service about the call of a lost holder. `done` is final, but `not-run`
+    // is refused, because the holder may only be paused and send the request later.
     let mut group = Group::new(1);
     let grant = group.grant(call("p", "k"));
     group.step(0, Input::VmGone { vm: ENTRY });
@@ -113,8 +111,7 @@
 
 #[test]
 fn settle_resent_is_confirmed_and_changes_nothing() {
-    // The confirmation of a settle is lost and the holder sends it again, with another outcome
-    // even. The first record stands.
+    // A repeated settle must not overwrite the recorded outcome, even if it reports another one.
     let mut group = Group::new(1);
     let grant = group.grant(call("p", "k"));
     group.ask(ENTRY, done("p", &grant.dispatch, "booked"));
@@ -124,8 +121,7 @@
 
 #[test]
 fn settle_after_leader_change_is_recorded() {
-    // The leader dies between the grant and the outcome. The intent is in the log, so the next
-    // leader knows the dispatch and takes the outcome from its holder.
+    // The intent is in the log, so a new leader knows the dispatch and accepts its outcome.
     let mut group = Group::new(3);
     let grant = group.grant(call("p", "k"));
     group.change_leader(1, Fate::Lost);
@@ -145,8 +141,8 @@
 
 #[test]
 fn call_committed_by_the_next_leader_is_granted_to_its_requester_only() {
-    // The leader falls after its proposal reached a quorum and before it gave the grant. The asker
-    // asks again under the same nonce and gets it; anybody else waits, for the asker may run it.
+    // The leader fails after its proposal reached a quorum and before it replied. A retry with the
+    // same nonce gets the grant; a request with another nonce waits, since the first may run it.
     let mut group = Group::new(3);
     group.held = true;
     let lost = group.send(ENTRY, named("k", "n1"));
@@ -172,8 +168,8 @@
 
 #[test]
 fn call_at_a_deposed_leader_is_not_granted() {
-    // Two replicas believe to lead. The old one can propose but not commit, and without a commit
-    // there is no grant: the new leader alone gives one.
+    // Two replicas act as leader. The old one cannot commit its proposal, so only the new leader
+    // may reply with a grant.
     let mut group = Group::new(3);
     group.held = true;
     let stale = group.send_to(0, ENTRY, call("p", "k"));
@@ -188,8 +184,8 @@
 
 #[test]
 fn call_waits_for_the_first_commit_of_a_new_leader() {
-    // A new leader has not applied its predecessor's last entries when the resend arrives. Judged
-    // on what it knows, the key would be free; so requests wait for the leader's first commit.
+    // A new leader may not have applied its predecessor's last entries and could take a used key
+    // for a free one, so requests wait for its first commit.
     let mut group = Group::new(3);
     group.grant(call("p", "k"));
     group.held = true;
@@ -202,9 +198,8 @@
 
 #[test]
 fn call_without_a_quorum_is_answered_at_its_deadline() {
-    // The leader is cut off from its followers and does not notice. Its caller's deadline passes;
-    // the caller is told at once that the call is not run, and it is not: when the intent is
-    // committed after all, it is taken back, and a repeat of the ask is granted afresh.
+    // The leader cannot commit, and the request is refused at its deadline. If the intent commits
+    // later, it must be withdrawn rather than granted; a retry gets a new attempt.
     let mut group = Group::new(3);
     group.held = true;
     let mut begin = begin_call("p", "k");
@@ -221,8 +216,8 @@
 
 #[test]
 fn call_joined_before_its_commit_is_unknown_at_its_deadline() {
-    // Two VMs ask under one key, and the first's begin is still on its way through the log when
-    // the second's patience ends. The call will run, so the second must not hear that it did not.
+    // Two VMs send the same key, and the deadline of the second passes before the intent of the
+    // first commits. The call may still run, so the second must not be told that it did not.
     let mut group = Group::new(3);
     group.held = true;
     let first = group.send(ENTRY, call("p", "k"));
@@ -237,8 +232,8 @@
 
 #[test]
 fn call_of_a_vm_that_died_while_waiting_is_not_granted() {
-    // The VM dies while its request waits for the log, and another while its request waits for its
-    // turn. Granted all the same, each call would keep its program standing until it expires.
+    // The VM is lost while one request waits for its commit and another is queued behind it.
+    // Granting either would block the program until the grant expires.
     let mut group = Group::new(3);
     group.held = true;
     group.send(ENTRY, call("p", "k1"));
@@ -251,8 +246,8 @@
 
 #[test]
 fn entry_that_cannot_be_read_halts_the_replica() {
-    // A damaged entry reaches a replica. Skipping it would part this replica from the others
-    // unseen; it stops, says so, and sends callers elsewhere.
+    // Skipping a damaged entry would let this replica diverge from the others, so it halts and
+    // answers requests with `NotLeader`.
     let mut group = Group::new(1);
     group.step(0, Input::Committed { index: 9, data: Bytes::from_static(b"\xff\xff") });
     assert!(matches!(group.effects.last(), Some(Effect::Halt { .. })));
@@ -274,8 +269,8 @@
 
 #[test]
 fn call_recorded_under_an_old_revision_keeps_its_answer() {
-    // A refusal says that the call was not run. A resend from a VM with an old bundle, of a call
-    // that was run, must therefore get its answer before its revision is looked at.
+    // A refusal means that the call was not run, so the record is looked up before the revision
+    // of the request is checked.
     let mut group = Group::new(1);
     let grant = group.grant(call("p", "k"));
     group.ask(ENTRY, done("p", &grant.dispatch, "booked"));
@@ -305,8 +300,8 @@
 
 #[test]
 fn turn_lost_is_granted_again_and_its_late_answer_dropped() {
-    // A model call may be repeated, so a lost one is granted again. When the first attempt's
-    // answer arrives after that, it must not enter the history beside the second's.
+    // A model call can be repeated, so a lost one is granted again. A late answer of the first
+    // attempt must not enter the history as well.
     let mut group = Group::new(1);
     let first = group.grant(turn("p", "k", &[user("a")]));
     group.step(0, Input::VmGone { vm: ENTRY });
--- a/crates/core/tests/journal_faults.rs
+++ b/crates/core/tests/journal_faults.rs
@@ -1,7 +1,7 @@
-//! Faults at every step of a call, once, twice and together, against a reference model.
+//! Single, paired and random faults at every step of a call, checked against a reference model.
 //!
-//! The model is what fake endpoints really ran, used and held, and what every caller was told.
-//! It knows nothing of the journal. See docs/design/journal.md for the promises it checks.
+//! The model records what simulated endpoints ran, used and held, and what each caller was told,
+//! independently of the journal. See docs/design/journal.md for the invariants.
 
 #[path = "support/property.rs"]
 mod property;
@@ -15,15 +15,15 @@
 use support::world::{CallId, Op, World};
 use support::*;
 
-/// Cases of the property when the environment names no other count.
+/// Number of generated cases, unless the environment sets another.
 const CASES: u32 = 256;
-/// Seed of the property's random choices.
+/// Seed of the generated cases.
 const SEED: u64 = 5;
 
 const MODEL: CallId = CallId { program: 0, key: 0 };
 const SERVICE: CallId = CallId { program: 0, key: 1 };
 
-/// The steps of one call, from the asking to the confirmed outcome. A fault goes before any.
+/// The steps of one call, from the request to the committed outcome. Faults go between them.
 const STEPS: [Op; 5] = [
     Op::Ask { vm: 1, call: SERVICE, lose: false },
     Op::Commit,
@@ -32,7 +32,7 @@
     Op::Commit,
 ];
 
-/// Every fault of one process, and the resend that often goes with them.
+/// Faults inserted between the steps, including an end and a resend through another VM.
 const FAULTS: [Op; 9] = [
     Op::Lead { to: 1, kept: true },
     Op::Lead { to: 2, kept: false },
@@ -47,7 +47,7 @@
 
 #[test]
 fn call_with_one_fault_keeps_all_invariants() {
-    // One process fails before one step of a call, and the caller sends the call again elsewhere.
+    // One fault before or after any step of a call, followed by a resend through another VM.
     for call in [MODEL, SERVICE] {
         for place in 0..=STEPS.len() {
             for fault in FAULTS {
@@ -60,7 +60,7 @@
 
 #[test]
 fn call_with_two_faults_keeps_all_invariants() {
-    // Two processes fail, before any two steps, the same or different ones, in either order.
+    // All ordered pairs of faults, at the same step or at two different ones.
     for call in [MODEL, SERVICE] {
         for faults in fault_pairs() {
             let violations = run_call(Settings::default(), call, &faults);
@@ -71,8 +71,8 @@
 
 #[test]
 fn turn_from_escrow_with_two_faults_keeps_all_invariants() {
-    // An earlier turn has left an escrow. The next is granted at once, and two processes fail
-    // before any two steps of it, before its begin is committed too.
+    // An earlier turn leaves an escrow, so the next is granted before its begin commits. Faults
+    // between grant and commit are included.
     let first = CallId { program: 0, key: 2 };
     let before = [
         Op::Ask { vm: 3, call: first, lose: false },
@@ -96,8 +96,8 @@
 
 #[test]
 fn programs_under_random_faults_keep_all_invariants() {
-    // Callers of four programs, one family and a stranger, ask through three VMs while leaders,
-    // VMs and replicas come and go, grants are lost, and paused VMs act late.
+    // Random requests of four programs through three VMs, mixed with leader changes, lost and
+    // paused VMs, replica restarts, lost grants and late settles.
     check_random_faults(&Settings::default());
 }
 
@@ -114,13 +114,13 @@
 
 #[test]
 fn mutation_intent_first_is_caught() {
-    // Without a committed intent, the leader that fell leaves a running call that nobody knows.
+    // Without a committed intent, a new leader does not know about a running call.
     assert_caught(|s| s.intent_first = false);
 }
 
 #[test]
 fn mutation_doubt_final_is_caught() {
-    // A call in doubt that is granted again runs twice when its paused holder wakes.
+    // A call with an unknown outcome that is granted again runs twice if its paused holder resumes.
     assert_caught(|s| s.doubt_final = false);
 }
 
@@ -139,14 +139,13 @@
 
 #[test]
 fn mutation_charge_ancestors_is_caught() {
-    // Each program of the family draws from its own account alone, so that together they pass
-    // what their root was given.
+    // If each program is charged to its own account only, a family can exceed its root's budget.
     assert_budget_caught(|s| s.charge_ancestors = false);
 }
 
 #[test]
 fn mutation_keep_doubtful_is_caught() {
-    // Reservations of lost calls are given back although the calls ran.
+    // Lost calls may have run, so releasing their reservations lets a program overspend.
     assert_budget_caught(|s| s.keep_doubtful = false);
 }
 
@@ -158,21 +157,21 @@
 
 #[test]
 fn mutation_holder_only_is_caught() {
-    // A VM that never held the grant calls it not run, and the call is granted beside the holder.
+    // A `not-run` from a VM without the grant allows a second grant while the holder still runs.
     assert!(!granted_after_foreign_settle(Settings::default()));
     assert!(granted_after_foreign_settle(without(|s| s.holder_only = false)));
 }
 
 #[test]
 fn mutation_bind_content_is_caught() {
-    // The caller of another booking is handed the answer to the first.
+    // A reused key with another body returns the answer of the first call.
     assert!(!answered_with_foreign_content(Settings::default()));
     assert!(answered_with_foreign_content(without(|s| s.bind_content = false)));
 }
 
 #[test]
 fn mutation_isolate_suspects_is_caught() {
-    // Five programs send the same bad request at once, again and again.
+    // Five programs send a request that has already crashed an endpoint.
     assert_eq!(endpoints_crashed(Settings::default()), 2);
     assert!(endpoints_crashed(without(|s| s.isolate_suspects = false)) > 2);
 }
@@ -183,7 +182,7 @@
     Settings { safeguards, ..Settings::default() }
 }
 
-/// Ends a program whose releases are all lost, and returns how many are sent in ten seconds.
+/// Ends a program, confirms none of its releases, and returns how many are sent in ten seconds.
 fn lost_releases(settings: &Settings) -> usize {
     let mut group = Group::with_settings(1, settings.clone());
     group.run_turn("p", "k", "a", "b");
@@ -209,7 +208,7 @@
     matches!(group.ask(ENTRY, Body::BeginCall(other)), ReplyBody::Recorded(_))
 }
 
-/// Sends one bad request from five programs after its first crash; each run kills an endpoint.
+/// Sends a request from five programs after its first crash; returns how many endpoints crash.
 fn endpoints_crashed(settings: Settings) -> usize {
     let mut group = Group::with_settings(1, settings);
     let first = group.grant(turn("first", "k", &[user("poison")]));
@@ -226,15 +225,15 @@
     crashes
 }
 
-/// Runs all single and double faults until one breaks a promise.
+/// Asserts that some pair of faults violates an invariant without a safeguard.
 fn assert_caught(change: fn(&mut Safeguards)) {
     let settings = without(change);
     let pairs = fault_pairs();
     let caught = pairs.iter().any(|f| !run_call(settings.clone(), SERVICE, f).is_empty());
-    assert!(caught, "no pair of faults shows the missing safeguard");
+    assert!(caught, "no pair of faults violates an invariant without this safeguard");
 }
 
-/// Spends the family's budget through lost and finished calls of all its programs.
+/// Asserts that lost and finished calls of a family exceed its budget without a safeguard.
 fn assert_budget_caught(change: fn(&mut Safeguards)) {
     let mut ops = vec![];
     for key in 0..8 {
@@ -264,7 +263,7 @@
     pairs
 }
 
-/// Runs the steps of a call with faults before some of them, then what a caller and late VMs do.
+/// Runs the steps of a call with the given faults, then a resend and late settles.
 fn run_call(settings: Settings, call: CallId, faults: &[(usize, Op)]) -> Vec<String> {
     run(settings, &call_ops(call, faults))
 }
@@ -295,7 +294,7 @@
     ops
 }
 
-/// Settings under which turns are granted out of an escrow.
+/// Settings that let turns be granted from an escrow.
 fn escrow_settings() -> Settings {
     Settings { escrow_turns: 4, ..Settings::default() }
 }
