--- a/crates/core/tests/border_bundle.rs
+++ b/crates/core/tests/border_bundle.rs
@@ -1,4 +1,4 @@
-//! Bad input at the border of bundles: any text, forged signatures, replayed orders.
+//! Invalid input to bundle handling: arbitrary bytes, forged signatures and replayed orders.
 
 #[path = "support/property.rs"]
 mod property;
@@ -17,21 +17,22 @@
 use prost::Message as _;
 
 const EXAMPLE: &str = include_str!("../../../examples/bundle.yaml");
-/// Cases of a property when the environment names no other count.
+/// Number of generated cases, unless the environment sets another.
 const CASES: u32 = 128;
 
 fn key(seed: u8) -> KeyPair {
     KeyPair::from_seed([seed; 32])
 }
 
-/// Two of the operators 1, 2 and 3 must sign.
+/// Operators 1, 2 and 3, of whom two must sign.
 fn keys() -> OperatorKeys {
     OperatorKeys { keys: (1..=3).map(|seed| key(seed).public()).collect(), threshold: 2 }
 }
 
 fn signed(content: &str, signers: &[u8]) -> SignedBundle {
-    let mut bundle = SignedBundle::new(Bytes::from(content.to_owned())).expect("sound");
-    signers.iter().for_each(|signer| bundle.sign(&key(*signer)).expect("sound"));
+    let mut bundle =
+        SignedBundle::new(Bytes::from(content.to_owned())).expect("the bundle is valid");
+    signers.iter().for_each(|signer| bundle.sign(&key(*signer)).expect("the bundle is valid"));
     bundle
 }
 
@@ -40,7 +41,7 @@
 }
 
 fn accept(bundle: &SignedBundle, base: u64, order: &str) -> wire::Command {
-    let version = Bundle::parse(&bundle.content).expect("sound").version.to_string();
+    let version = Bundle::parse(&bundle.content).expect("the bundle is valid").version.to_string();
     let accept = wire::Accept {
         order_id: order.to_owned(),
         base_revision: base,
@@ -52,8 +53,8 @@
     wire::Command { body: Some(CommandBody::Accept(accept)) }
 }
 
-/// Gives an order as a leader does: checked first, then applied.
-fn give(control: &mut Control, command: &wire::Command) -> wire::Answer {
+/// Checks an order and applies it if it is valid, as a leader does.
+fn submit(control: &mut Control, command: &wire::Command) -> wire::Answer {
     match control.check(command, &keys()) {
         Ok(()) => control.apply(command),
         Err(answer) => answer,
@@ -67,8 +68,8 @@
     }
 }
 
-/// The example with a stretch of it replaced by other text.
-fn bent_example() -> impl Strategy<Value = Vec<u8>> {
+/// Generates the example bundle with a random part replaced by other text.
+fn damaged_example() -> impl Strategy<Value = Vec<u8>> {
     (0..EXAMPLE.len(), 0..40_usize, "[ -~\n]{0,20}").prop_map(|(at, length, text)| {
         let end = (at + length).min(EXAMPLE.len());
         let mut yaml = EXAMPLE.as_bytes().to_vec();
@@ -86,23 +87,23 @@
     }
 
     #[test]
-    fn parse_survives_a_bent_bundle(yaml in bent_example()) {
+    fn parse_survives_a_damaged_bundle(yaml in damaged_example()) {
         if let Err(findings) = Bundle::parse(&yaml) {
             prop_assert!(!findings.is_empty());
         }
     }
 
     #[test]
-    fn check_refuses_bent_signatures(at in 0..64_usize, flip in 1..=255_u8, cut in 0..64_usize) {
-        let sound = signed(EXAMPLE, &[1, 2]);
-        let mut bent = sound.clone();
-        let mut bytes = bent.signatures[1].bytes.to_vec();
+    fn check_refuses_damaged_signatures(at in 0..64_usize, flip in 1..=255_u8, cut in 0..64_usize) {
+        let valid = signed(EXAMPLE, &[1, 2]);
+        let mut damaged = valid.clone();
+        let mut bytes = damaged.signatures[1].bytes.to_vec();
         bytes[at] ^= flip;
-        bent.signatures[1].bytes = bytes.into();
-        prop_assert_eq!(revision(&give(&mut Control::new(), &accept(&bent, 0, "a"))), None);
-        let mut short = sound;
-        short.signatures[1].bytes.truncate(cut);
-        prop_assert_eq!(revision(&give(&mut Control::new(), &accept(&short, 0, "a"))), None);
+        damaged.signatures[1].bytes = bytes.into();
+        prop_assert_eq!(revision(&submit(&mut Control::new(), &accept(&damaged, 0, "a"))), None);
+        let mut truncated = valid;
+        truncated.signatures[1].bytes.truncate(cut);
+        prop_assert_eq!(revision(&submit(&mut Control::new(), &accept(&truncated, 0, "a"))), None);
     }
 
     #[test]
@@ -111,9 +112,9 @@
     }
 
     #[test]
-    fn restore_survives_a_bent_snapshot(at in any::<prop::sample::Index>(), flip in 1..=255_u8) {
+    fn restore_survives_a_damaged_snapshot(at in any::<prop::sample::Index>(), flip in 1..=255_u8) {
         let mut control = Control::new();
-        give(&mut control, &accept(&signed(EXAMPLE, &[1, 2]), 0, "a"));
+        submit(&mut control, &accept(&signed(EXAMPLE, &[1, 2]), 0, "a"));
         let mut bytes = control.snapshot().to_vec();
         let at = at.index(bytes.len());
         bytes[at] ^= flip;
@@ -134,8 +135,7 @@
 
 #[test]
 fn parse_refuses_an_alias_bomb() {
-    // Nine levels of ten aliases each name a thousand million values in 300 bytes: a reader that
-    // spells them out never comes back.
+    // Nested aliases that expand to 10^9 values would exhaust a parser that resolves them.
     let mut yaml = String::from("a0: &a0 [x, x, x, x, x, x, x, x, x, x]\n");
     for level in 1..9 {
         let aliases = vec![format!("*a{}", level - 1); 10].join(", ");
@@ -147,10 +147,10 @@
 
 #[test]
 fn parse_refuses_deep_nesting() {
-    // A bundle of open brackets stops the store that checks it: the YAML reader looks at every
-    // open bracket again at each one, so that 100 KB took half a minute, and 16 MB take days.
+    // The YAML parser takes quadratic time in the number of open brackets, so a deeply nested
+    // bundle would block the store that checks it.
     let yaml = format!("models: {}", "[".repeat(1 << 20));
-    let findings = Bundle::parse(yaml.as_bytes()).expect_err("too deep");
+    let findings = Bundle::parse(yaml.as_bytes()).expect_err("the nesting is too deep");
     assert!(findings.to_string().contains("brackets"), "{findings}");
 }
 
@@ -164,7 +164,7 @@
         signed(EXAMPLE, &[8, 9]),
     ];
     for bundle in forged {
-        let answer = give(&mut Control::new(), &accept(&bundle, 0, "a"));
+        let answer = submit(&mut Control::new(), &accept(&bundle, 0, "a"));
         assert_eq!(revision(&answer), None, "{:?}", bundle.signatures);
     }
 }
@@ -173,35 +173,33 @@
 fn check_refuses_a_signature_of_another_bundle() {
     let mut bundle = signed(EXAMPLE, &[1, 2]);
     bundle.signatures = signed(&example("2026.12.2"), &[1, 2]).signatures;
-    assert_eq!(revision(&give(&mut Control::new(), &accept(&bundle, 0, "a"))), None);
+    assert_eq!(revision(&submit(&mut Control::new(), &accept(&bundle, 0, "a"))), None);
 }
 
 #[test]
-fn accept_replayed_gives_the_first_answer() {
-    // A stranger that overheard an order sends it again, later: it gets the answer of then, and
-    // the newer bundle stays in force.
+fn accept_replayed_returns_the_first_answer() {
+    // A replayed order must not bring back its bundle after a newer one was accepted.
     let mut control = Control::new();
     let old = accept(&signed(EXAMPLE, &[1, 2]), 0, "a");
-    let first = give(&mut control, &old);
+    let first = submit(&mut control, &old);
     let new = accept(&signed(&example("2026.12.2"), &[1, 2]), 1, "b");
-    assert_eq!(revision(&give(&mut control, &new)), Some(2));
-    assert_eq!(give(&mut control, &old), first);
+    assert_eq!(revision(&submit(&mut control, &new)), Some(2));
+    assert_eq!(submit(&mut control, &old), first);
     let current = control.current().expect("a revision is in force");
     assert_eq!(current.version, "2026.12.2");
 }
 
 #[test]
-fn accept_of_an_old_bundle_as_a_new_order_changes_nothing() {
-    // Someone who kept an old signed bundle gives it under a new order id and the current base,
-    // to bring back a budget or an API key that was taken away. Its version was used, so the
-    // answer names the revision that it had, and the newer one stays in force.
+fn accept_of_an_old_bundle_in_a_new_order_changes_nothing() {
+    // An old signed bundle in a new order could restore a revoked API key or budget. Its version
+    // is already used, so the answer is its old revision and the newer one stays in force.
     let mut control = Control::new();
-    give(&mut control, &accept(&signed(EXAMPLE, &[1, 2]), 0, "a"));
-    give(&mut control, &accept(&signed(&example("2026.12.2"), &[1, 2]), 1, "b"));
+    submit(&mut control, &accept(&signed(EXAMPLE, &[1, 2]), 0, "a"));
+    submit(&mut control, &accept(&signed(&example("2026.12.2"), &[1, 2]), 1, "b"));
     let replayed = accept(&signed(EXAMPLE, &[1, 2]), 2, "c");
-    assert_eq!(revision(&give(&mut control, &replayed)), Some(1));
+    assert_eq!(revision(&submit(&mut control, &replayed)), Some(1));
     let other = accept(&signed(EXAMPLE, &[2, 3]), 2, "b");
-    assert_eq!(revision(&give(&mut control, &other)), None, "an order id was used twice");
+    assert_eq!(revision(&submit(&mut control, &other)), None, "an order id must not be used twice");
     let current = control.current().expect("a revision is in force");
     assert_eq!((current.number, current.version.as_str()), (RevisionNumber(2), "2026.12.2"));
 }
--- a/crates/core/tests/border_program.rs
+++ b/crates/core/tests/border_program.rs
@@ -1,4 +1,4 @@
-//! Bad input at a program group's border: damaged entries and snapshots.
+//! Invalid input to a program group: damaged entries and snapshots, and arbitrary requests.
 
 #[path = "support/property.rs"]
 mod property;
@@ -15,10 +15,10 @@
 use prost::Message as _;
 use support::*;
 
-/// Cases of a property when the environment names no other count.
+/// Number of generated cases, unless the environment sets another.
 const CASES: u32 = 512;
 
-/// A group with programs in every state: turns, calls, children, a death, ends.
+/// Returns a group with turns, calls, a child, an engine crash, an ended program and a lost VM.
 fn group() -> Group {
     let mut group = Group::with_settings(1, Settings { escrow_turns: 2, ..Settings::default() });
     group.run_turn("p", "k1", "a", "b");
@@ -38,7 +38,7 @@
     group
 }
 
-/// What is done to some bytes: cut, overwritten in places, or both.
+/// Damage to a byte string: some bytes are overwritten, and the end may be cut off.
 #[derive(Clone, Debug)]
 struct Damage {
     at: Index,
@@ -53,20 +53,20 @@
 }
 
 impl Damage {
-    fn of(&self, sound: &[u8]) -> Bytes {
-        let mut bytes = sound.to_vec();
-        for (at, value) in self.bytes.iter().filter(|_| !sound.is_empty()) {
+    fn apply(&self, original: &[u8]) -> Bytes {
+        let mut bytes = original.to_vec();
+        for (at, value) in self.bytes.iter().filter(|_| !original.is_empty()) {
             let at = at.index(bytes.len());
             bytes[at] = *value;
         }
         if let Some(cut) = &self.cut {
-            bytes.truncate(cut.index(sound.len() + 1));
+            bytes.truncate(cut.index(original.len() + 1));
         }
         bytes.into()
     }
 }
 
-/// A sequencer that has applied a log, and what it asked for.
+/// A sequencer that a log is replayed into, and its effects.
 struct Replay {
     sequencer: Sequencer,
     effects: Vec<Effect>,
@@ -101,16 +101,16 @@
 
     #[test]
     fn committed_survives_a_damaged_entry(damage in damage(), leads in any::<bool>()) {
-        // One entry that a broken VM wrote: it is applied as it reads, or the replica stops; it
-        // never panics, and what it then holds can be saved and read again.
+        // A damaged entry is applied or halts the replica, but never causes a panic. Unless the
+        // replica halts, its state can be saved and restored.
         let log = group().log;
         let mut replay = Replay::new();
         if leads {
             replay.step(Input::Leading { term: 1 });
         }
-        let bad = damage.at.index(log.len());
+        let damaged = damage.at.index(log.len());
         for (index, data) in log.iter().enumerate() {
-            let data = if index == bad { damage.of(data) } else { data.clone() };
+            let data = if index == damaged { damage.apply(data) } else { data.clone() };
             replay.step(Input::Committed { index: index as u64 + 1, data });
         }
         replay.step(Input::Tick);
@@ -132,7 +132,7 @@
     fn restored_survives_a_damaged_snapshot(damage in damage()) {
         let snapshot = group().leader().state().snapshot();
         let mut replay = Replay::new();
-        replay.step(Input::Restored { index: 9, data: damage.of(&snapshot) });
+        replay.step(Input::Restored { index: 9, data: damage.apply(&snapshot) });
         replay.step(Input::Leading { term: 1 });
         replay.step(Input::Tick);
         for program in ["p", "p/c", "q", "r", "s"] {
@@ -197,7 +197,7 @@
     }
 }
 
-/// Numbers of all sizes, the ends of the types among them.
+/// Generates numbers of all sizes, including the limits of `u32` and `u64`.
 fn any_number() -> impl Strategy<Value = u64> {
     prop_oneof![
         Just(0),
@@ -217,9 +217,9 @@
 }
 
 #[test]
-fn scores_at_the_end_of_their_type_are_counted_on() {
-    // A store with a fault tells a score of 2^32-1 deaths, which becomes part of the log. The next
-    // death of that request would overflow on every replica, again after each restart.
+fn scores_at_the_maximum_do_not_overflow() {
+    // A faulty store can report a score of 2^32-1 deaths, which enters the log. The next crash
+    // must not overflow it, since that would hit every replica and again after each restart.
     let mut group = Group::new(1);
     let crash = |group: &mut Group, program: &str| {
         let grant = group.grant(turn(program, "k1", &[user("deadly")]));
@@ -232,7 +232,7 @@
         Effect::Scored { score } => Some(score.clone()),
         _ => None,
     });
-    let mut score = scored.expect("the death is scored");
+    let mut score = scored.expect("the crash is scored");
     (score.deaths, score.blame, score.at_ms) = (u32::MAX, u32::MAX, u64::MAX);
     group.step(0, Input::Scores { scores: vec![score] });
     group.ask(ENTRY, started("b", &grant.dispatch, "e2"));
--- a/crates/core/tests/budget_reserve.rs
+++ b/crates/core/tests/budget_reserve.rs
@@ -1,4 +1,4 @@
-//! Budgets: reservations, families of programs, and what lost calls keep.
+//! Budgets: reservations, accounts of parents and children, and charges for lost calls.
 
 mod support;
 
@@ -9,7 +9,7 @@
 use support::*;
 
 #[test]
-fn reserve_cuts_the_output_to_what_is_left() {
+fn reserve_caps_output_at_the_remaining_budget() {
     let mut group = Group::new(1);
     let prompt = messages(&[user("a")]).len() as u64 - 2;
     let grant = group.grant(limited("p", "k", tokens(prompt + 40)));
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn reserve_takes_the_callers_bound_of_prompt_tokens() {
+fn reserve_uses_the_prompt_tokens_of_the_request() {
     let mut group = Group::new(1);
     let mut begin = begin_turn("p", "k", &[user("a")]);
     begin.budget = Some(tokens(50));
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn settle_not_run_gives_all_back() {
+fn settle_not_run_releases_the_reservation() {
     let mut group = Group::new(1);
     let grant = group.grant(limited("p", "k", tokens(1_000)));
     group.ask(ENTRY, not_run("p", &grant.dispatch));
@@ -50,9 +50,8 @@
 
 #[test]
 fn lost_call_keeps_its_reservation() {
-    // The entry VM dies with the grant. The engine may have generated every token of it, so the
-    // whole reservation counts as spent; given back, a program that loses its entry VM each turn
-    // would pass its budget without a trace.
+    // The engine may have generated every token of a lost call, so the whole reservation counts as
+    // spent. Otherwise a program whose calls are lost could exceed its budget.
     let mut group = Group::new(1);
     let mut begin = begin_turn("p", "k", &[user("a")]);
     begin.prompt_tokens = 8;
@@ -84,9 +83,8 @@
 }
 
 #[test]
-fn child_draws_from_every_ancestor() {
-    // A sub-agent of a sub-agent has no limit of its own. The root's four calls are all that the
-    // family has, at whatever depth they are made.
+fn child_is_charged_to_every_ancestor() {
+    // Sub-agents without limits of their own share the root's four calls, at any depth.
     let mut group = Group::new(1);
     let limits = wire::Budget { calls: 4, ..wire::Budget::default() };
     for (program, parent) in [("r", ""), ("r/a", "r"), ("r/a/b", "r/a"), ("r/c", "r")] {
@@ -99,9 +97,9 @@
 }
 
 #[test]
-fn children_at_once_never_pass_their_parents_budget() {
-    // Two sub-agents ask in the same moment, each for more than half of what their parent has
-    // left. Both proposals are under way before either is applied; the log's order decides.
+fn concurrent_children_stay_within_their_parents_budget() {
+    // Two sub-agents compete for the last call of their parent. Both proposals are in flight
+    // before either is applied, so the budget must be checked when they are applied.
     let mut group = Group::new(3);
     let calls = wire::Budget { calls: 2, ..wire::Budget::default() };
     let grant = group.grant(child("r", "k", "", calls));
@@ -116,8 +114,8 @@
 
 #[test]
 fn child_without_its_parents_id_is_refused() {
-    // A sub-agent under an unrelated id could be placed in another group, where nobody sees its
-    // parent's account; and one without a parent would start a budget of its own.
+    // A sub-agent with an unrelated id could be placed in a group without its parent's account,
+    // and one without a parent would get a budget of its own.
     let mut group = Group::new(1);
     group.run_turn("r", "k", "a", "b");
     let none = wire::Budget::default();
@@ -127,7 +125,7 @@
 }
 
 fn consumed(group: &Group, program: &str) -> (Amounts, Amounts) {
-    group.leader().state().consumed(&name(program)).expect("a program")
+    group.leader().state().consumed(&name(program)).expect("program exists")
 }
 
 fn limits_of(program: &str, root: wire::Budget) -> wire::Budget {
