--- a/crates/core/tests/roster.rs
+++ b/crates/core/tests/roster.rs
@@ -16,46 +16,46 @@
     }
 }
 
-fn heard(roster: &Roster, vm: u32) -> Option<u64> {
+fn last_seen_ms(roster: &Roster, vm: u32) -> Option<u64> {
     roster.last_seen(VmId(vm)).map(Time::as_millis)
 }
 
 #[test]
-fn hear_later_introduction() {
+fn observe_later_announcement() {
     let mut roster = Roster::default();
     roster.observe(Time::from_millis(1_000), store(1, "10.0.0.1:1", 5, 0));
     roster.observe(Time::from_millis(2_000), store(1, "10.0.0.1:1", 6, 0));
-    assert_eq!(heard(&roster, 1), Some(2_000));
+    assert_eq!(last_seen_ms(&roster, 1), Some(2_000));
 }
 
 /// A store dies, and the others go on telling each other of it. Each relay takes some milliseconds,
 /// and its age is told without them. Counted anew each time, it would look alive for seconds, and
 /// its replacement would wait for that long.
 #[test]
-fn hear_relayed_is_no_sign_of_life() {
+fn observe_relayed_keeps_last_seen() {
     let mut roster = Roster::default();
     roster.observe(Time::from_millis(1_000), store(1, "10.0.0.1:1", 5, 0));
     for relay in 1..=20 {
         let now = 1_000 + relay * 100;
         roster.observe(Time::from_millis(now), store(1, "10.0.0.1:1", 5, relay * 92));
     }
-    assert_eq!(heard(&roster, 1), Some(1_000));
+    assert_eq!(last_seen_ms(&roster, 1), Some(1_000));
 }
 
 /// A store's disk is wiped; its process comes back at the same address under a new identity. Nothing
 /// may be sent to the former one there, nor may an old relay bring it back.
 #[test]
-fn hear_new_identity_at_address() {
+fn observe_new_identity_at_address() {
     let mut roster = Roster::default();
     roster.observe(Time::from_millis(1_000), store(1, "10.0.0.1:1", 5, 0));
     roster.observe(Time::from_millis(2_000), store(2, "10.0.0.1:1", 9, 0));
     roster.observe(Time::from_millis(2_100), store(1, "10.0.0.1:1", 6, 1_000));
     assert_eq!(roster.at_address("10.0.0.1:1"), Some(VmId(2)));
-    assert_eq!(heard(&roster, 1), None);
+    assert_eq!(last_seen_ms(&roster, 1), None);
 }
 
 #[test]
-fn expire_silent() {
+fn expire_not_seen() {
     let mut roster = Roster::default();
     roster.observe(Time::from_millis(0), store(1, "10.0.0.1:1", 5, 0));
     roster.observe(Time::from_millis(9_000), store(2, "10.0.0.2:1", 5, 0));
@@ -65,17 +65,17 @@
 }
 
 #[test]
-fn nodes_tells_only_fresh() {
+fn nodes_recently_seen_only() {
     let mut roster = Roster::default();
     roster.observe(Time::from_millis(0), store(1, "10.0.0.1:1", 5, 0));
     roster.observe(Time::from_millis(6_000), store(2, "10.0.0.2:1", 5, 0));
-    let told = roster.nodes(Time::from_millis(6_500), 0).nodes;
-    assert_eq!(told.len(), 1);
-    assert_eq!((told[0].vm, told[0].age_ms), (2, 500));
+    let known = roster.nodes(Time::from_millis(6_500), 0).nodes;
+    assert_eq!(known.len(), 1);
+    assert_eq!((known[0].vm, known[0].age_ms), (2, 500));
 }
 
 #[test]
-fn led_by_two() {
+fn led_groups_two_leaders() {
     let mut roster = Roster::default();
     for vm in [1, 2] {
         let led = vec![Led { group: 0, members: vec![vm], settled: true, ..Led::default() }];
@@ -109,16 +109,16 @@
 }
 
 #[test]
-fn nodes_same_as_told() {
+fn nodes_unchanged() {
     let mut roster = Roster::default();
     let now = Time::from_millis(1_000);
     roster.observe(now, store(1, "10.0.0.1:1", 5, 0));
     roster.observe(now, store(2, "10.0.0.2:1", 5, 0));
-    let told = digest(&roster.nodes(now, 0).nodes);
-    let again = roster.nodes(now, told);
+    let known = digest(&roster.nodes(now, 0).nodes);
+    let again = roster.nodes(now, known);
     assert!(again.same && again.nodes.is_empty());
     roster.observe(now, store(3, "10.0.0.3:1", 5, 0));
-    assert_eq!(roster.nodes(now, told).nodes.len(), 3);
+    assert_eq!(roster.nodes(now, known).nodes.len(), 3);
 }
 
 /// A store is replaced by one with an empty disk at the same address. An entry VM that is told that
@@ -128,15 +128,15 @@
     let mut roster = Roster::default();
     let now = Time::from_millis(1_000);
     roster.observe(now, store(1, "10.0.0.1:1", 5, 0));
-    let told = digest(&roster.nodes(now, 0).nodes);
+    let known = digest(&roster.nodes(now, 0).nodes);
     roster.observe(now, store(2, "10.0.0.1:1", 9, 0));
-    assert!(!roster.nodes(now, told).same);
+    assert!(!roster.nodes(now, known).same);
 }
 
 /// Stores answer that nothing changed for a minute; an entry VM must not forget them meanwhile, nor
 /// remember one that they stopped naming.
 #[test]
-fn confirm_keeps_those_told() {
+fn confirm_keeps_confirmed() {
     let mut roster = Roster::default();
     roster.observe(Time::from_millis(1_000), store(1, "10.0.0.1:1", 5, 0));
     roster.observe(Time::from_millis(1_000), store(2, "10.0.0.2:1", 5, 0));
@@ -152,7 +152,7 @@
 /// An entry VM is cut off for six seconds. Until then stores told it that nothing had changed; it must
 /// remember them, or nothing tells it of the bundle that came meanwhile.
 #[test]
-fn confirm_outlasts_short_cut() {
+fn confirm_outlasts_short_partition() {
     let mut roster = Roster::default();
     roster.observe(Time::from_millis(1_000), store(1, "10.0.0.1:1", 5, 0));
     roster.confirm(Time::from_millis(20_000), &[VmId(1)]);
@@ -164,7 +164,7 @@
 /// list is the same as before, it would know no store, and serve under an old bundle until its lease is
 /// over.
 #[test]
-fn knows_not_after_long_cut() {
+fn contains_all_after_long_partition() {
     let mut roster = Roster::default();
     roster.observe(Time::from_millis(1_000), store(1, "10.0.0.1:1", 5, 0));
     roster.confirm(Time::from_millis(20_000), &[VmId(1)]);
--- a/crates/core/tests/stream_scanner.rs
+++ b/crates/core/tests/stream_scanner.rs
@@ -7,7 +7,7 @@
     b"id: 1\ndata: one\n\nid: 2\nweight: 7\ndata: two\n\n: comment\n\nid: 3\r\ndata:three\r\n\r\n";
 
 /// Feeds the pieces and returns what was passed on, how many events, and their data.
-fn pass(pieces: &[&[u8]]) -> (Vec<u8>, u64, Vec<u8>) {
+fn feed_all(pieces: &[&[u8]]) -> (Vec<u8>, u64, Vec<u8>) {
     let mut scanner = EventScanner::default();
     let (mut passed, mut events) = (Vec::new(), 0);
     for piece in pieces {
@@ -20,7 +20,7 @@
 
 #[test]
 fn feed_whole() {
-    let (passed, events, data) = pass(&[STREAM]);
+    let (passed, events, data) = feed_all(&[STREAM]);
     assert_eq!(passed, STREAM);
     assert_eq!(events, 3);
     assert_eq!(data, b"one\ntwo\nthree\n");
@@ -29,7 +29,7 @@
 /// An endpoint dies in the middle of an event. The caller must not get a piece of it: the stream
 /// goes on elsewhere after the last whole event, and the piece would stand before the whole one.
 #[test]
-fn feed_cut_event() {
+fn feed_partial_event() {
     let mut scanner = EventScanner::default();
     let first = scanner.feed(b"id: 4\ndata: whole\n\nid: 5\ndata: ha");
     assert_eq!(&first.bytes[..], b"id: 4\ndata: whole\n\n");
@@ -45,7 +45,7 @@
 
 #[test]
 fn feed_nothing() {
-    assert_eq!(pass(&[]), (Vec::new(), 0, Vec::new()));
+    assert_eq!(feed_all(&[]), (Vec::new(), 0, Vec::new()));
 }
 
 proptest! {
@@ -58,6 +58,6 @@
         cuts.push(STREAM.len());
         cuts.sort_unstable();
         let pieces: Vec<&[u8]> = cuts.windows(2).map(|pair| &STREAM[pair[0]..pair[1]]).collect();
-        prop_assert_eq!(pass(&pieces), pass(&[STREAM]));
+        prop_assert_eq!(feed_all(&pieces), feed_all(&[STREAM]));
     }
 }
--- a/crates/core/tests/support/world.rs
+++ b/crates/core/tests/support/world.rs
@@ -76,19 +76,19 @@
 
 /// A grant in the hands of a VM.
 #[derive(Clone, Debug)]
-struct Held {
+struct HeldGrant {
     call: CallId,
     grant: wire::Grant,
     ran: Option<String>,
     /// False once the group may take it for lost, or was told its outcome.
-    firm: bool,
+    active: bool,
     /// The VM gave its word that it does not send it, whether or not the group has heard.
-    forsworn: bool,
+    declined: bool,
 }
 
 /// A request that waits for its reply.
 #[derive(Clone, Copy, Debug)]
-struct Asked {
+struct PendingRequest {
     vm: u32,
     call: CallId,
     lose: bool,
@@ -97,9 +97,9 @@
 /// The group with all that surrounds it.
 pub struct World {
     pub group: Group,
-    held: BTreeMap<u32, Vec<Held>>,
-    waiting: BTreeMap<RequestToken, Asked>,
-    settles: BTreeMap<RequestToken, (u32, Held)>,
+    held: BTreeMap<u32, Vec<HeldGrant>>,
+    pending: BTreeMap<RequestToken, PendingRequest>,
+    settles: BTreeMap<RequestToken, (u32, HeldGrant)>,
     /// Dispatches that endpoints ran, by call.
     runs: BTreeMap<CallId, Vec<String>>,
     /// Tokens that endpoints really used, by program.
@@ -120,7 +120,7 @@
         World {
             group,
             held: BTreeMap::new(),
-            waiting: BTreeMap::new(),
+            pending: BTreeMap::new(),
             settles: BTreeMap::new(),
             runs: BTreeMap::new(),
             used: BTreeMap::new(),
@@ -139,19 +139,19 @@
             Op::Settle { vm, pick } => self.settle(vm, pick),
             Op::Kill { vm } => {
                 self.held.remove(&vm);
-                self.waiting.retain(|_, asked| asked.vm != vm);
+                self.pending.retain(|_, request| request.vm != vm);
                 self.settles.retain(|_, (by, _)| *by != vm);
                 self.declare_dead(vm);
             }
             Op::Pause { vm } => {
-                self.held.entry(vm).or_default().iter_mut().for_each(|held| held.firm = false);
+                self.held.entry(vm).or_default().iter_mut().for_each(|held| held.active = false);
                 self.declare_dead(vm);
             }
             Op::Lead { to, kept } => {
                 let fate = if kept { Fate::Kept } else { Fate::Lost };
                 self.group.change_leader(to % 3, fate);
                 self.group.commit();
-                self.forget_unknown_grants();
+                self.deactivate_unknown_grants();
             }
             Op::Restart { replica } => self.restart(replica % 3),
             Op::Wait { millis } => self.wait(millis),
@@ -183,8 +183,8 @@
         self.group.advance(5_000);
         self.deliver();
         self.check();
-        if !self.waiting.is_empty() {
-            self.violations.push(format!("without an answer: {:?}", self.waiting));
+        if !self.pending.is_empty() {
+            self.violations.push(format!("without an answer: {:?}", self.pending));
         }
         self.check_memory();
         self.check_replicas();
@@ -211,15 +211,15 @@
             })
         };
         let token = self.group.send(VmId(vm), body);
-        self.waiting.insert(token, Asked { vm, call, lose });
+        self.pending.insert(token, PendingRequest { vm, call, lose });
     }
 
     fn send(&mut self, vm: u32, pick: usize) {
         let Some(list) = self.held.get(&vm).filter(|list| !list.is_empty()) else { return };
         let pick = pick % list.len();
-        let Held { call, grant, ran, forsworn, .. } = list[pick].clone();
+        let HeldGrant { call, grant, ran, declined, .. } = list[pick].clone();
         let endpoint = format!("e{vm}");
-        if forsworn || ran.is_some() || !self.tell_started(vm, call, &grant.dispatch, &endpoint) {
+        if declined || ran.is_some() || !self.report_started(vm, call, &grant.dispatch, &endpoint) {
             return;
         }
         let dispatch = grant.dispatch;
@@ -235,7 +235,7 @@
     }
 
     /// Tells the group where a dispatch will run; the first byte waits for the confirmation.
-    fn tell_started(&mut self, vm: u32, call: CallId, dispatch: &str, endpoint: &str) -> bool {
+    fn report_started(&mut self, vm: u32, call: CallId, dispatch: &str, endpoint: &str) -> bool {
         let token = self.group.send(VmId(vm), started(call.program(), dispatch, endpoint));
         self.group.commit();
         matches!(self.group.reply(token), Some(ReplyBody::Done(_)))
@@ -245,12 +245,12 @@
         let Some(list) = self.held.get_mut(&vm).filter(|list| !list.is_empty()) else { return };
         let pick = pick % list.len();
         let mut held = list.remove(pick);
-        held.firm = false;
+        held.active = false;
         let program = held.call.program();
         let dispatch = &held.grant.dispatch;
         let Some(answer) = held.ran.clone() else {
             let token = self.group.send(VmId(vm), not_run(program, dispatch));
-            held.forsworn = true;
+            held.declined = true;
             self.settles.insert(token, (vm, held));
             return;
         };
@@ -270,12 +270,12 @@
 
     /// A turn granted out of an escrow may be lost with its leader: its settle will be refused,
     /// so that for its program it has not happened, and the next call need not wait for it.
-    fn forget_unknown_grants(&mut self) {
+    fn deactivate_unknown_grants(&mut self) {
         let state = self.group.leader().state();
         for held in self.held.values_mut().flatten() {
             let known = state.knows_dispatch(&name(held.call.program()), &held.grant.dispatch);
             let model = !held.call.is_service();
-            held.firm &= known || !model;
+            held.active &= known || !model;
         }
     }
 
@@ -288,17 +288,17 @@
 
     fn wait(&mut self, millis: u64) {
         self.group.advance(millis);
-        let firm = millis < self.group.settings.dispatch_ms;
+        let active = millis < self.group.settings.dispatch_ms;
         let all = self.held.values_mut().flatten();
-        all.for_each(|held| held.firm &= firm);
+        all.for_each(|held| held.active &= active);
     }
 
     /// Hands out replies and performs releases, then checks what they claim.
     fn deliver(&mut self) {
         for (token, reply) in std::mem::take(&mut self.group.replies) {
             let Some(body) = reply.body else { continue };
-            if let Some(asked) = self.waiting.remove(&token) {
-                self.check_reply(asked, body);
+            if let Some(request) = self.pending.remove(&token) {
+                self.check_reply(request, body);
             } else if let Some((vm, held)) = self.settles.remove(&token) {
                 self.check_settled(vm, held, &body);
             }
@@ -318,10 +318,10 @@
         self.group.send(VmId(1), Body::Released(released));
     }
 
-    fn check_reply(&mut self, asked: Asked, body: ReplyBody) {
-        let call = asked.call;
+    fn check_reply(&mut self, request: PendingRequest, body: ReplyBody) {
+        let call = request.call;
         match body {
-            ReplyBody::Grant(grant) => self.take_grant(asked, grant),
+            ReplyBody::Grant(grant) => self.accept_grant(request, grant),
             ReplyBody::Recorded(recorded) => {
                 let answer = String::from_utf8_lossy(&recorded.answer).into_owned();
                 let runs = self.runs.get(&call).cloned().unwrap_or_default();
@@ -340,25 +340,27 @@
         }
     }
 
-    fn take_grant(&mut self, asked: Asked, grant: wire::Grant) {
-        let program = asked.call.program();
-        let beside = self.held.values().flatten().find(|h| h.firm && h.call.program() == program);
-        if let Some(beside) = beside {
-            let message = format!("{:?} was granted beside {:?}", asked.call, beside.call);
+    fn accept_grant(&mut self, request: PendingRequest, grant: wire::Grant) {
+        let program = request.call.program();
+        let concurrent =
+            self.held.values().flatten().find(|h| h.active && h.call.program() == program);
+        if let Some(concurrent) = concurrent {
+            let message = format!("{:?} was granted beside {:?}", request.call, concurrent.call);
             self.violations.push(message);
         }
-        if !asked.lose {
-            let held = Held { call: asked.call, grant, ran: None, firm: true, forsworn: false };
-            self.held.entry(asked.vm).or_default().push(held);
+        if !request.lose {
+            let held =
+                HeldGrant { call: request.call, grant, ran: None, active: true, declined: false };
+            self.held.entry(request.vm).or_default().push(held);
         }
     }
 
     fn is_held(&self, call: CallId) -> bool {
-        self.held.values().flatten().any(|held| held.firm && held.call == call)
+        self.held.values().flatten().any(|held| held.active && held.call == call)
     }
 
     /// A confirmed turn is in the history. A settle that met no leader is kept for another try.
-    fn check_settled(&mut self, vm: u32, held: Held, body: &ReplyBody) {
+    fn check_settled(&mut self, vm: u32, held: HeldGrant, body: &ReplyBody) {
         if let ReplyBody::Refused(refused) = body
             && refused.code() == Refusal::NotLeader
         {
--- a/crates/core/tests/turns_budget.rs
+++ b/crates/core/tests/turns_budget.rs
@@ -42,7 +42,7 @@
 /// Two entries ask at once for turns of one program that together exceed its budget. Each by itself
 /// fits; if both ran, the program would have more than it was signed off for.
 #[test]
-fn reserve_two_at_once() {
+fn reserve_concurrent() {
     let mut turns = Turns::default();
     assert!(granted(&reserve(&mut turns, "a", 60, 100)));
     let second = reserve(&mut turns, "b", 60, 100);
@@ -61,7 +61,7 @@
 
 /// The answer to a reservation is lost and the entry asks again, perhaps another store.
 #[test]
-fn reserve_again() {
+fn reserve_retry() {
     let mut turns = Turns::default();
     assert!(granted(&reserve(&mut turns, "a", 60, 100)));
     assert!(granted(&reserve(&mut turns, "a", 60, 100)));
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn settle_again() {
+fn settle_retry() {
     let mut turns = Turns::default();
     reserve(&mut turns, "a", 60, 100);
     settle(&mut turns, "a", 50);
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn reserve_tells_new_programs() {
+fn reserve_reports_new_program() {
     let mut turns = Turns::default();
     let first = reserve(&mut turns, "a", 10, 100);
     assert!(matches!(first, Reply::Reserved(reserved) if !reserved.under_way));
@@ -94,7 +94,7 @@
     #[test]
     fn reserve_never_exceeds(steps in prop::collection::vec((0_u8..4, 1_u64..50, 0.0..1.0_f64), 1..80)) {
         let mut turns = Turns::default();
-        let (mut open, mut handed, budget) = (Vec::<(String, u64)>::new(), 0, 300);
+        let (mut open, mut used, budget) = (Vec::<(String, u64)>::new(), 0, 300);
         for (number, (kind, most, part)) in steps.into_iter().enumerate() {
             match kind {
                 0 | 1 => {
@@ -105,13 +105,13 @@
                 }
                 2 => if let Some((turn, most)) = open.pop() {
                     let tokens = (most as f64 * part) as u64;
-                    handed += tokens;
+                    used += tokens;
                     settle(&mut turns, &turn, tokens);
                 },
                 _ => turns = Turns::restore(&turns.snapshot()).expect("readable"),
             }
-            let in_doubt: u64 = open.iter().map(|(_, most)| most).sum();
-            prop_assert!(handed + in_doubt <= budget);
+            let reserved: u64 = open.iter().map(|(_, most)| most).sum();
+            prop_assert!(used + reserved <= budget);
         }
     }
 }
@@ -139,7 +139,7 @@
 /// which engine read the prompt last; without that it sends the turn elsewhere, and the whole
 /// history is read again.
 #[test]
-fn reserve_tells_last_run() {
+fn reserve_reports_last_run() {
     let mut turns = Turns::default();
     assert_eq!(last_run(&mut turns, "a", vec![1, 2]), None);
     settle_ran(&mut turns, "a", ran(2, "x"));
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn reserve_tells_run_of_parent() {
+fn reserve_reports_run_of_parent() {
     let mut turns = Turns::default();
     last_run(&mut turns, "a", vec![1, 2]);
     settle_ran(&mut turns, "a", ran(2, "x"));
--- a/crates/core/tests/turns_copies.rs
+++ b/crates/core/tests/turns_copies.rs
@@ -22,9 +22,9 @@
 /// Bytes of each turn's text.
 const TEXT_BYTES: u64 = 18_000;
 /// Enough for all texts of a test.
-const ENOUGH: BatchSize = BatchSize { texts: 1_000, bytes: 1_000_000_000 };
+const UNLIMITED: BatchSize = BatchSize { texts: 1_000, bytes: 1_000_000_000 };
 /// All texts of a test at one time.
-const ALL: Limits = Limits { same_region: ENOUGH, cross_region: ENOUGH };
+const NO_LIMITS: Limits = Limits { same_region: UNLIMITED, cross_region: UNLIMITED };
 
 fn apply(turns: &mut Turns, body: Body) -> Reply {
     turns.apply(&Command { body: Some(body) }).body.expect("every command is answered")
@@ -42,7 +42,7 @@
 }
 
 /// Carries a plan out, and returns how many texts were copied.
-fn carry_out(turns: &mut Turns, plan: &[Transfer]) -> usize {
+fn complete_transfers(turns: &mut Turns, plan: &[Transfer]) -> usize {
     let copied: Vec<Holding> =
         plan.iter().flat_map(|copy| &copy.turns).map(|holding| holding.to_wire()).collect();
     let count = copied.len();
@@ -62,7 +62,7 @@
     StoreInfo { vm: VmId(vm), domain, region, retiring: false }
 }
 
-fn abroad(vm: u32, domain: &str) -> StoreInfo {
+fn remote_store(vm: u32, domain: &str) -> StoreInfo {
     StoreInfo { region: "north".into(), ..store(vm, domain) }
 }
 
@@ -74,8 +74,8 @@
     CopySurvey { alive: alive.into_iter().collect(), copies: 2, ..CopySurvey::default() }
 }
 
-fn alike(most: BatchSize) -> Limits {
-    Limits { same_region: most, cross_region: most }
+fn same_limits(limit: BatchSize) -> Limits {
+    Limits { same_region: limit, cross_region: limit }
 }
 
 fn targets(plan: &[Transfer]) -> Vec<u32> {
@@ -87,7 +87,7 @@
     let mut turns = Turns::default();
     keep(&mut turns, "a", "", &[1, 2]);
     let survey = survey([store(1, "a"), store(2, "b"), store(3, "c")]);
-    assert_eq!(turns.plan_copies(&survey, &ALL), []);
+    assert_eq!(turns.plan_copies(&survey, &NO_LIMITS), []);
     assert_eq!(turns.required_holders(&survey), BTreeSet::new());
 }
 
@@ -96,26 +96,26 @@
     let mut turns = Turns::default();
     keep(&mut turns, "a", "", &[1, 2]);
     let survey = survey([store(1, "a"), store(3, "c")]);
-    let plan = turns.plan_copies(&survey, &ALL);
+    let plan = turns.plan_copies(&survey, &NO_LIMITS);
     assert_eq!(targets(&plan), [3]);
     assert_eq!(plan[0].sources, [VmId(1)]);
     assert_eq!(plan[0].turns[0].holders, [VmId(1), VmId(3)]);
     assert!(turns.required_holders(&survey).contains(&VmId(1)));
-    carry_out(&mut turns, &plan);
-    assert_eq!(turns.plan_copies(&survey, &ALL), []);
+    complete_transfers(&mut turns, &plan);
+    assert_eq!(turns.plan_copies(&survey, &NO_LIMITS), []);
     assert_eq!(turns.required_holders(&survey), BTreeSet::new());
 }
 
 /// A store that was silent for a while has its disk still. Were it forgotten, the next loss would have
 /// texts copied that are on two disks all the time.
 #[test]
-fn plan_copies_silent_holder_back() {
+fn plan_copies_silent_holder_returns() {
     let mut turns = Turns::default();
     keep(&mut turns, "a", "", &[1, 2]);
-    let plan = turns.plan_copies(&survey([store(1, "a"), store(3, "c")]), &ALL);
-    carry_out(&mut turns, &plan);
+    let plan = turns.plan_copies(&survey([store(1, "a"), store(3, "c")]), &NO_LIMITS);
+    complete_transfers(&mut turns, &plan);
     let after = survey([store(2, "b"), store(3, "c"), store(4, "d")]);
-    assert_eq!(turns.plan_copies(&after, &ALL), []);
+    assert_eq!(turns.plan_copies(&after, &NO_LIMITS), []);
 }
 
 /// A text with one store named twice is on one disk, and that disk's loss takes it.
@@ -124,22 +124,22 @@
     let mut turns = Turns::default();
     keep(&mut turns, "a", "", &[1, 1]);
     let survey = survey([store(1, "a"), store(2, "b")]);
-    assert_eq!(targets(&turns.plan_copies(&survey, &ALL)), [2]);
+    assert_eq!(targets(&turns.plan_copies(&survey, &NO_LIMITS)), [2]);
     assert_eq!(turns.required_holders(&survey), BTreeSet::from([VmId(1)]));
 }
 
 /// A leader that was deposed for a while names holders that it planned before. The holder that another
 /// leader noted meanwhile may be the only one left.
 #[test]
-fn plan_copies_two_leaders() {
+fn plan_copies_stale_leader() {
     let mut turns = Turns::default();
     keep(&mut turns, "a", "", &[1, 2]);
-    let late = turns.plan_copies(&survey([store(1, "a"), store(3, "c")]), &ALL);
-    let plan = turns.plan_copies(&survey([store(1, "a"), store(4, "d")]), &ALL);
-    carry_out(&mut turns, &plan);
-    carry_out(&mut turns, &late);
+    let late = turns.plan_copies(&survey([store(1, "a"), store(3, "c")]), &NO_LIMITS);
+    let plan = turns.plan_copies(&survey([store(1, "a"), store(4, "d")]), &NO_LIMITS);
+    complete_transfers(&mut turns, &plan);
+    complete_transfers(&mut turns, &late);
     let left = survey([store(4, "d"), store(5, "e")]);
-    assert_eq!(targets(&turns.plan_copies(&left, &ALL)), [5]);
+    assert_eq!(targets(&turns.plan_copies(&left, &NO_LIMITS)), [5]);
 }
 
 /// Disks lost one after another must not fill the state, nor push out the holders that are left.
@@ -149,8 +149,8 @@
     keep(&mut turns, "a", "", &[1, 2]);
     for lost in 1..100 {
         let survey = survey([store(lost + 1, "a"), store(lost + 2, "b")]);
-        let plan = turns.plan_copies(&survey, &ALL);
-        carry_out(&mut turns, &plan);
+        let plan = turns.plan_copies(&survey, &NO_LIMITS);
+        complete_transfers(&mut turns, &plan);
         let known = holders(&mut turns, "a");
         assert!(known.len() <= 8 && known.contains(&VmId(lost + 1)), "{known:?}");
         assert!(known.contains(&VmId(lost + 2)), "{known:?}");
@@ -163,7 +163,7 @@
     keep(&mut turns, "a", "", &[1, 2]);
     keep(&mut turns, "b", "", &[2, 3]);
     let survey = survey([store(3, "c"), store(4, "d")]);
-    let plan = turns.plan_copies(&survey, &ALL);
+    let plan = turns.plan_copies(&survey, &NO_LIMITS);
     let copied: Vec<&str> =
         plan.iter().flat_map(|copy| &copy.turns).map(|holding| holding.turn.as_str()).collect();
     assert_eq!(copied, ["b"]);
@@ -171,7 +171,7 @@
 
 /// A chain that is spread over stores costs its reader a call to each.
 #[test]
-fn plan_copies_chain_together() {
+fn plan_copies_chain_on_one_store() {
     let mut turns = Turns::default();
     let mut previous = String::new();
     for number in 0..50 {
@@ -181,18 +181,18 @@
     }
     let others = (3..9).map(|vm| store(vm, &format!("d{vm}")));
     let survey = survey(others.chain([store(1, "a")]));
-    let plan = turns.plan_copies(&survey, &ALL);
+    let plan = turns.plan_copies(&survey, &NO_LIMITS);
     assert_eq!(plan.len(), 1);
     assert_eq!(plan[0].turns.len(), 50);
 }
 
 #[test]
-fn plan_copies_own_domain() {
+fn plan_copies_other_domain() {
     let mut turns = Turns::default();
     keep(&mut turns, "a", "", &[1, 2]);
     let near = (3..9).map(|vm| store(vm, "a"));
     let survey = survey(near.chain([store(1, "a"), store(9, "b")]));
-    assert_eq!(targets(&turns.plan_copies(&survey, &ALL)), [9]);
+    assert_eq!(targets(&turns.plan_copies(&survey, &NO_LIMITS)), [9]);
 }
 
 /// Elections wait behind texts on the link between regions.
@@ -200,37 +200,38 @@
 fn plan_copies_own_region() {
     let mut turns = Turns::default();
     keep(&mut turns, "a", "", &[5, 2]);
-    let far = (6..12).map(|vm| abroad(vm, &format!("n{vm}")));
-    let alive: Vec<_> = far.chain([store(5, "a"), store(3, "a")]).collect();
-    assert_eq!(targets(&turns.plan_copies(&survey(alive.clone()), &ALL)), [3]);
+    let remote = (6..12).map(|vm| remote_store(vm, &format!("n{vm}")));
+    let alive: Vec<_> = remote.chain([store(5, "a"), store(3, "a")]).collect();
+    assert_eq!(targets(&turns.plan_copies(&survey(alive.clone()), &NO_LIMITS)), [3]);
     let failing = CopySurvey { failing: BTreeSet::from([VmId(3)]), ..survey(alive) };
-    assert_eq!(targets(&turns.plan_copies(&failing, &ALL)), [3]);
+    assert_eq!(targets(&turns.plan_copies(&failing, &NO_LIMITS)), [3]);
 }
 
 /// Texts lie where their callers are: in the region of most holders, whatever their identities, and else
 /// in the larger one.
 #[test]
-fn plan_copies_most_region() {
+fn plan_copies_majority_region() {
     let mut turns = Turns::default();
     keep(&mut turns, "a", "", &[1, 7, 8]);
-    let north = [abroad(1, "n"), abroad(2, "m"), abroad(3, "o"), abroad(4, "p")];
+    let north =
+        [remote_store(1, "n"), remote_store(2, "m"), remote_store(3, "o"), remote_store(4, "p")];
     let south = [store(7, "a"), store(8, "b"), store(9, "c")];
     let survey = CopySurvey { copies: 4, ..survey(north.into_iter().chain(south)) };
-    assert_eq!(targets(&turns.plan_copies(&survey, &ALL)), [9]);
+    assert_eq!(targets(&turns.plan_copies(&survey, &NO_LIMITS)), [9]);
     let mut turns = Turns::default();
     keep(&mut turns, "a", "", &[7, 1]);
-    let plan = turns.plan_copies(&survey, &ALL);
+    let plan = turns.plan_copies(&survey, &NO_LIMITS);
     assert!(matches!(targets(&plan)[..], [2..=4]), "{plan:?}");
 }
 
 #[test]
-fn plan_copies_only_abroad() {
+fn plan_copies_only_other_region() {
     let mut turns = Turns::default();
     keep(&mut turns, "a", "", &[1, 2]);
-    let survey = survey([store(1, "a"), abroad(2, "n"), abroad(3, "m")]);
-    assert_eq!(turns.plan_copies(&survey, &ALL), []);
+    let survey = survey([store(1, "a"), remote_store(2, "n"), remote_store(3, "m")]);
+    assert_eq!(turns.plan_copies(&survey, &NO_LIMITS), []);
     keep(&mut turns, "b", "", &[1, 9]);
-    let plan = turns.plan_copies(&survey, &ALL);
+    let plan = turns.plan_copies(&survey, &NO_LIMITS);
     assert!(matches!(targets(&plan)[..], [2 | 3]), "{plan:?}");
 }
 
@@ -240,49 +241,49 @@
     let mut turns = Turns::default();
     keep(&mut turns, "a", "", &[1, 9]);
     let alive = [store(1, "a"), store(2, "b"), store(3, "c")];
-    let first = turns.plan_copies(&survey(alive.clone()), &ALL)[0].target;
+    let first = turns.plan_copies(&survey(alive.clone()), &NO_LIMITS)[0].target;
     let failing = CopySurvey { failing: BTreeSet::from([first]), ..survey(alive) };
-    let second = turns.plan_copies(&failing, &ALL)[0].target;
+    let second = turns.plan_copies(&failing, &NO_LIMITS)[0].target;
     assert!(second != first && second != VmId(1));
 }
 
 /// Texts that can't be copied would fill each portion, and those behind them never be copied.
 #[test]
-fn plan_copies_put_off() {
+fn plan_copies_deferred() {
     let mut turns = Turns::default();
     for turn in ["a", "b", "c"] {
         keep(&mut turns, turn, "", &[1, 9]);
     }
     let survey = survey([store(1, "a"), store(2, "b")]);
     let survey = CopySurvey { deferred: BTreeSet::from(["a".into()]), ..survey };
-    let plan = turns.plan_copies(&survey, &alike(BatchSize { texts: 1, ..ENOUGH }));
+    let plan = turns.plan_copies(&survey, &same_limits(BatchSize { texts: 1, ..UNLIMITED }));
     assert_eq!(plan[0].turns[0].turn, "b");
     assert_eq!(turns.required_holders(&survey), BTreeSet::from([VmId(1), VmId(9)]));
 }
 
 /// Long inputs fill a store's memory long before their number looks large.
 #[test]
-fn plan_copies_portion() {
+fn plan_copies_limit() {
     let mut turns = Turns::default();
     for number in 0..40 {
         keep(&mut turns, &number.to_string(), "", &[1, 9]);
     }
     let survey = survey([store(1, "a"), store(2, "b")]);
-    let count = |most| turns.plan_copies(&survey, &alike(most))[0].turns.len();
-    assert_eq!(count(BatchSize { bytes: 3 * TEXT_BYTES, ..ENOUGH }), 3);
-    assert_eq!(count(BatchSize { bytes: 1, ..ENOUGH }), 1);
-    assert_eq!(count(BatchSize { texts: 7, ..ENOUGH }), 7);
+    let count = |limit| turns.plan_copies(&survey, &same_limits(limit))[0].turns.len();
+    assert_eq!(count(BatchSize { bytes: 3 * TEXT_BYTES, ..UNLIMITED }), 3);
+    assert_eq!(count(BatchSize { bytes: 1, ..UNLIMITED }), 1);
+    assert_eq!(count(BatchSize { texts: 7, ..UNLIMITED }), 7);
 }
 
 /// A newcomer in the texts' region comes within seconds; until then, only a few cross the link.
 #[test]
-fn plan_copies_abroad_portion() {
+fn plan_copies_cross_region_limit() {
     let mut turns = Turns::default();
     for number in 0..40 {
         keep(&mut turns, &number.to_string(), "", &[1, 9]);
     }
-    let limits = Limits { cross_region: BatchSize { texts: 2, ..ENOUGH }, ..ALL };
-    let plan = turns.plan_copies(&survey([store(1, "a"), abroad(2, "n")]), &limits);
+    let limits = Limits { cross_region: BatchSize { texts: 2, ..UNLIMITED }, ..NO_LIMITS };
+    let plan = turns.plan_copies(&survey([store(1, "a"), remote_store(2, "n")]), &limits);
     assert_eq!((plan[0].cross_region, plan[0].turns.len()), (true, 2));
     let plan = turns.plan_copies(&survey([store(1, "a"), store(2, "b")]), &limits);
     assert_eq!((plan[0].cross_region, plan[0].turns.len()), (false, 40));
@@ -294,17 +295,17 @@
     for number in 0..7 {
         keep(&mut turns, &number.to_string(), "", &[1, 9]);
     }
-    let plan = turns.plan_copies(&survey([store(1, "a"), store(2, "b")]), &ALL);
-    let sizes = |most| -> Vec<usize> {
-        let parts = plan[0].clone().split(most);
+    let plan = turns.plan_copies(&survey([store(1, "a"), store(2, "b")]), &NO_LIMITS);
+    let sizes = |limit| -> Vec<usize> {
+        let parts = plan[0].clone().split(limit);
         let turns: Vec<_> = parts.iter().flat_map(|part| part.turns.clone()).collect();
         assert_eq!(turns, plan[0].turns);
         parts.iter().map(|part| part.turns.len()).collect()
     };
-    assert_eq!(sizes(BatchSize { texts: 3, ..ENOUGH }), [3, 3, 1]);
-    assert_eq!(sizes(BatchSize { bytes: 2 * TEXT_BYTES, ..ENOUGH }), [2, 2, 2, 1]);
-    assert_eq!(sizes(BatchSize { bytes: 1, ..ENOUGH }), [1; 7]);
-    assert_eq!(sizes(ENOUGH), [7]);
+    assert_eq!(sizes(BatchSize { texts: 3, ..UNLIMITED }), [3, 3, 1]);
+    assert_eq!(sizes(BatchSize { bytes: 2 * TEXT_BYTES, ..UNLIMITED }), [2, 2, 2, 1]);
+    assert_eq!(sizes(BatchSize { bytes: 1, ..UNLIMITED }), [1; 7]);
+    assert_eq!(sizes(UNLIMITED), [7]);
 }
 
 #[test]
@@ -312,11 +313,11 @@
     let mut turns = Turns::default();
     keep(&mut turns, "a", "", &[1, 2]);
     let survey = survey([retiring(store(1, "a")), store(2, "b"), store(3, "c")]);
-    let plan = turns.plan_copies(&survey, &ALL);
+    let plan = turns.plan_copies(&survey, &NO_LIMITS);
     assert_eq!(targets(&plan), [3]);
     assert_eq!(plan[0].sources, [VmId(1), VmId(2)]);
     assert!(turns.required_holders(&survey).contains(&VmId(1)));
-    carry_out(&mut turns, &plan);
+    complete_transfers(&mut turns, &plan);
     assert_eq!(turns.required_holders(&survey), BTreeSet::new());
 }
 
@@ -327,11 +328,11 @@
     keep(&mut turns, "a", "", &[1, 2]);
     let alive = [retiring(store(1, "a")), retiring(store(4, "d")), store(3, "c"), store(5, "e")];
     let survey = survey(alive);
-    let plan = turns.plan_copies(&survey, &ALL);
+    let plan = turns.plan_copies(&survey, &NO_LIMITS);
     assert_eq!(plan[0].sources, [VmId(1)]);
-    carry_out(&mut turns, &plan);
-    let plan = turns.plan_copies(&survey, &ALL);
-    carry_out(&mut turns, &plan);
+    complete_transfers(&mut turns, &plan);
+    let plan = turns.plan_copies(&survey, &NO_LIMITS);
+    complete_transfers(&mut turns, &plan);
     let on = holders(&mut turns, "a");
     assert!(on.contains(&VmId(3)) && on.contains(&VmId(5)) && !on.contains(&VmId(4)), "{on:?}");
 }
@@ -339,18 +340,18 @@
 /// While the others are silent for a moment, a store that is to be emptied has the only disk that can be
 /// read, and would be taken away.
 #[test]
-fn relied_on_others_silent() {
+fn required_holders_others_silent() {
     let mut turns = Turns::default();
     keep(&mut turns, "a", "", &[1, 2]);
     let survey = survey([retiring(store(1, "a")), store(2, "b")]);
     assert!(turns.required_holders(&survey).contains(&VmId(1)));
-    assert_eq!(turns.plan_copies(&survey, &ALL), []);
+    assert_eq!(turns.plan_copies(&survey, &NO_LIMITS), []);
 }
 
 /// Stores of a property: failure domain, region, and whether it is to be emptied, is there at all, or
 /// lately took nothing.
 #[derive(Clone, Debug)]
-struct Place {
+struct RandomStore {
     domain: u32,
     region: u32,
     retiring: bool,
@@ -358,26 +359,22 @@
     failing: bool,
 }
 
-fn any_place() -> impl Strategy<Value = Place> {
+fn any_store() -> impl Strategy<Value = RandomStore> {
     let flags = (prop::bool::weighted(0.2), prop::bool::weighted(0.7), prop::bool::weighted(0.2));
-    (0..3_u32, 0..2_u32, flags).prop_map(|(domain, region, (retiring, alive, failing))| Place {
-        domain,
-        region,
-        retiring,
-        alive,
-        failing,
+    (0..3_u32, 0..2_u32, flags).prop_map(|(domain, region, (retiring, alive, failing))| {
+        RandomStore { domain, region, retiring, alive, failing }
     })
 }
 
-fn surveyed(places: &[Place], copies: usize) -> CopySurvey {
-    let alive = places.iter().zip(1..).filter(|(place, _)| place.alive);
-    let alive = alive.map(|(place, vm)| StoreInfo {
+fn random_survey(stores: &[RandomStore], copies: usize) -> CopySurvey {
+    let alive = stores.iter().zip(1..).filter(|(store, _)| store.alive);
+    let alive = alive.map(|(store, vm)| StoreInfo {
         vm: VmId(vm),
-        domain: format!("{}{}", place.region, place.domain).into(),
-        region: place.region.to_string().into(),
-        retiring: place.retiring,
+        domain: format!("{}{}", store.region, store.domain).into(),
+        region: store.region.to_string().into(),
+        retiring: store.retiring,
     });
-    let failing = places.iter().zip(1..).filter(|(place, _)| place.failing);
+    let failing = stores.iter().zip(1..).filter(|(store, _)| store.failing);
     let failing = failing.map(|(_, vm)| VmId(vm)).collect();
     CopySurvey { alive: alive.collect(), copies, failing, deferred: BTreeSet::new() }
 }
@@ -387,7 +384,7 @@
 fn check_plan(
     plan: &[Transfer],
     survey: &CopySurvey,
-    most: BatchSize,
+    limit: BatchSize,
 ) -> Result<(), TestCaseError> {
     let find = |vm: VmId| survey.alive.iter().find(|store| store.vm == vm);
     let mut counts: BTreeMap<VmId, usize> = BTreeMap::new();
@@ -396,9 +393,9 @@
         *counts.entry(copy.target).or_default() += copy.turns.len();
         prop_assert!(sources.insert(&copy.sources));
         let region = |vm: VmId| find(vm).map(|store| store.region.clone());
-        let far = |vm: &VmId| region(*vm) != region(copy.target);
-        prop_assert!(copy.sources.iter().map(far).is_sorted());
-        prop_assert_eq!(copy.cross_region, copy.sources.iter().all(far));
+        let is_remote = |vm: &VmId| region(*vm) != region(copy.target);
+        prop_assert!(copy.sources.iter().map(is_remote).is_sorted());
+        prop_assert_eq!(copy.cross_region, copy.sources.iter().all(is_remote));
         prop_assert!(find(copy.target).is_some_and(|store| !store.retiring));
         prop_assert!(!copy.sources.is_empty() && !copy.sources.contains(&copy.target));
         prop_assert!(copy.sources.iter().all(|vm| find(*vm).is_some()));
@@ -406,7 +403,7 @@
             prop_assert!(holding.holders.contains(&copy.target));
         }
     }
-    prop_assert!(counts.values().all(|count| *count <= most.texts));
+    prop_assert!(counts.values().all(|count| *count <= limit.texts));
     Ok(())
 }
 
@@ -414,22 +411,22 @@
 #[test]
 fn plan_copies_any() {
     let mut runner = TestRunner::new(fixed(SEED, cases(CASES)));
-    let places = prop::collection::vec(any_place(), 1..9);
+    let stores = prop::collection::vec(any_store(), 1..9);
     let texts = prop::collection::vec(prop::collection::vec(1..10_u32, 1..4), 0..40);
-    let strategy = (places, texts, 1..4_usize, 1..9_usize);
+    let strategy = (stores, texts, 1..4_usize, 1..9_usize);
     let property =
-        |(places, texts, copies, texts_most): (Vec<Place>, Vec<Vec<u32>>, usize, usize)| {
-            let survey = surveyed(&places, copies);
-            let most = BatchSize { texts: texts_most, ..ENOUGH };
+        |(stores, texts, copies, limit_texts): (Vec<RandomStore>, Vec<Vec<u32>>, usize, usize)| {
+            let survey = random_survey(&stores, copies);
+            let limit = BatchSize { texts: limit_texts, ..UNLIMITED };
             let mut turns = Turns::default();
             for (number, holders) in texts.iter().enumerate() {
                 keep(&mut turns, &number.to_string(), "", holders);
             }
             let mut left = texts.len() * copies;
             loop {
-                let plan = turns.plan_copies(&survey, &alike(most));
-                check_plan(&plan, &survey, most)?;
-                let copied = carry_out(&mut turns, &plan);
+                let plan = turns.plan_copies(&survey, &same_limits(limit));
+                check_plan(&plan, &survey, limit)?;
+                let copied = complete_transfers(&mut turns, &plan);
                 if copied == 0 {
                     break;
                 }
--- a/crates/core/tests/turns_holders.rs
+++ b/crates/core/tests/turns_holders.rs
@@ -39,7 +39,7 @@
 /// A region's link is narrow and paid by volume, and a failure domain's machines fail together: the
 /// texts of a conversation must be near its callers, and not all in one domain.
 #[test]
-fn preferred_any() {
+fn preferred_stores_any() {
     let mut runner = TestRunner::new(fixed(SEED, cases(CASES)));
     let property = |(stores, program): (Vec<StoreInfo>, u32)| {
         let order = preferred_stores(&program.to_string(), "0", &stores);
@@ -49,14 +49,14 @@
             stores.iter().filter(|store| !store.retiring).map(|store| store.vm).collect();
         prop_assert_eq!(order.len(), distinct.len());
         prop_assert_eq!(distinct, serving);
-        let abroad: Vec<bool> = order.iter().map(|vm| find(vm).region != "0").collect();
-        prop_assert!(abroad.is_sorted());
+        let cross_region: Vec<bool> = order.iter().map(|vm| find(vm).region != "0").collect();
+        prop_assert!(cross_region.is_sorted());
         for region in ["0", "1"] {
             let here = order.iter().map(find).filter(|store| store.region == region);
             let domains: Vec<&str> = here.map(|store| store.domain.as_str()).collect();
             let first: BTreeSet<&str> = domains.iter().copied().collect();
-            let begin: BTreeSet<&str> = domains[..first.len()].iter().copied().collect();
-            prop_assert_eq!(first, begin);
+            let leading: BTreeSet<&str> = domains[..first.len()].iter().copied().collect();
+            prop_assert_eq!(first, leading);
         }
         Ok(())
     };
@@ -65,7 +65,7 @@
 
 /// Each entry VM hears of stores in another order, and must choose the same.
 #[test]
-fn preferred_any_order() {
+fn preferred_stores_any_input_order() {
     let mut runner = TestRunner::new(fixed(SEED, cases(CASES)));
     let property = |(mut stores, program): (Vec<StoreInfo>, u32)| {
         let program = program.to_string();
@@ -79,7 +79,7 @@
 
 /// Were the texts of all programs moved when a store comes, chains would lie on many stores each.
 #[test]
-fn preferred_newcomer() {
+fn preferred_stores_new_store() {
     let mut stores: Vec<_> = (1..=4).map(|vm| store(vm, &format!("d{vm}"), "south")).collect();
     let before: Vec<_> = (0..PROGRAMS)
         .map(|program| preferred_stores(&program.to_string(), "south", &stores))
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn preferred_even_load() {
+fn preferred_stores_even_load() {
     let stores: Vec<_> = (1..=3).map(|vm| store(vm, &format!("d{vm}"), "south")).collect();
     for vm in 1..=3 {
         let first = |program: &usize| preferred_stores(&program.to_string(), "south", &stores)[0];
--- a/crates/core/tests/turns_long_stream.rs
+++ b/crates/core/tests/turns_long_stream.rs
@@ -5,9 +5,9 @@
 use gypsumglade_core::wire::turn::reply::Body as Reply;
 use gypsumglade_core::wire::turn::{Command, Kept, Reserve, Settle};
 
-const RETENTION: u64 = 60_000;
+const RETENTION_MS: u64 = 60_000;
 /// A gateway's bound on a request that neither its caller nor its route bounds.
-const LONGEST: u64 = 300_000;
+const MAX_STREAM_MS: u64 = 300_000;
 
 fn apply(turns: &mut Turns, body: Body) -> Reply {
     turns.apply(&Command { body: Some(body) }).body.expect("every command is answered")
@@ -16,14 +16,15 @@
 fn reserve(turns: &mut Turns, now_ms: u64, turn: &str, previous: &str) -> Reply {
     let (turn, previous) = (turn.to_owned(), previous.to_owned());
     let program = "p".to_owned();
-    let ask = Reserve { turn, previous, program, now_ms, lasts_ms: LONGEST, ..Reserve::default() };
+    let ask =
+        Reserve { turn, previous, program, now_ms, lasts_ms: MAX_STREAM_MS, ..Reserve::default() };
     apply(turns, Body::Reserve(ask))
 }
 
 fn settle(turns: &mut Turns, now_ms: u64, turn: &str, previous: &str) {
     let kept = Kept {
         previous: previous.to_owned(),
-        retention_ms: RETENTION,
+        retention_ms: RETENTION_MS,
         holders: vec![1, 2, 3],
         bytes: 18_000,
     };
@@ -39,9 +40,9 @@
 fn chain_after_longest_stream() {
     let mut turns = Turns::default();
     settle(&mut turns, 1, "first", "");
-    let began = RETENTION - 1;
+    let began = RETENTION_MS - 1;
     assert!(matches!(reserve(&mut turns, began, "second", "first"), Reply::Reserved(_)));
-    let ended = began + LONGEST;
+    let ended = began + MAX_STREAM_MS;
     // Others' commands sweep meanwhile.
     reserve(&mut turns, ended - 1, "other", "");
     // Its holders ask whether they may drop its text, and a newcomer takes the state over.
--- a/crates/core/tests/turns_size.rs
+++ b/crates/core/tests/turns_size.rs
@@ -5,7 +5,7 @@
 use gypsumglade_core::turns::Turns;
 use gypsumglade_core::wire::turn::command::Body;
 use gypsumglade_core::wire::turn::{Command, Kept, Settle};
-use resident::resident;
+use resident::resident_bytes;
 
 /// Turns of a test: as many as a grown deployment keeps, 141 a second for a retention of 60 s and the
 /// grace of 30 s after it.
@@ -13,9 +13,9 @@
 /// Turns that each program has.
 const PROGRAM_TURNS: usize = 5;
 /// Most memory of a turn, beside its text.
-const TURN_BYTES: u64 = 600;
+const MAX_TURN_BYTES: u64 = 600;
 /// Most bytes of a turn in a snapshot.
-const SNAPSHOT_BYTES: usize = 200;
+const MAX_SNAPSHOT_BYTES: usize = 200;
 
 fn id(turn: usize) -> String {
     format!("{:032x}-{:03}", turn as u128 * 0x9e37_79b9_7f4a_7c15, turn % 1_000)
@@ -37,13 +37,13 @@
 /// Guards against a state that grows with more than the number of turns: a store has memory for what
 /// load times retention comes to, and for nothing that a turn's text would add.
 #[test]
-fn turns_take_little_memory() {
+fn memory_of_turns() {
     // The only test of this file: what runs beside it would count.
-    let before = resident();
+    let before = resident_bytes();
     let state = filled(TURNS);
-    let each = (resident() - before) / TURNS as u64;
+    let each = (resident_bytes() - before) / TURNS as u64;
     let snapshot = state.snapshot().len() / TURNS;
     println!("a turn takes {each} bytes, {snapshot} in a snapshot");
-    assert!(each <= TURN_BYTES, "a turn takes {each} bytes");
-    assert!(snapshot <= SNAPSHOT_BYTES, "a turn takes {snapshot} bytes of a snapshot");
+    assert!(each <= MAX_TURN_BYTES, "a turn takes {each} bytes");
+    assert!(snapshot <= MAX_SNAPSHOT_BYTES, "a turn takes {snapshot} bytes of a snapshot");
 }
--- a/crates/core/tests/turns_tree.rs
+++ b/crates/core/tests/turns_tree.rs
@@ -6,7 +6,7 @@
 use gypsumglade_core::wire::turn::reply::Body as Reply;
 use gypsumglade_core::wire::turn::{Command, Copied, Holding, Kept, PromptRun, Reserve, Settle};
 
-const RETENTION: u64 = 60_000;
+const RETENTION_MS: u64 = 60_000;
 
 fn apply(turns: &mut Turns, body: Body) -> Reply {
     turns.apply(&Command { body: Some(body) }).body.expect("every command is answered")
@@ -20,7 +20,7 @@
 fn keep(turns: &mut Turns, now: u64, turn: &str, previous: &str) {
     let kept = Kept {
         previous: previous.to_owned(),
-        retention_ms: RETENTION,
+        retention_ms: RETENTION_MS,
         holders: HOLDERS.to_vec(),
         bytes: TEXT_BYTES,
     };
@@ -95,12 +95,12 @@
 /// A caller pauses for nearly a minute before each turn. The first turn would be forgotten by its
 /// own time while the conversation goes on.
 #[test]
-fn chain_kept_with_last() {
+fn chain_retained_with_last() {
     let mut turns = Turns::default();
     keep(&mut turns, 0, "a", "");
-    keep(&mut turns, RETENTION - 1, "b", "a");
-    keep(&mut turns, 2 * RETENTION - 2, "c", "b");
-    let found = chain(&mut turns, 3 * RETENTION - 3, "c", false).expect("kept");
+    keep(&mut turns, RETENTION_MS - 1, "b", "a");
+    keep(&mut turns, 2 * RETENTION_MS - 2, "c", "b");
+    let found = chain(&mut turns, 3 * RETENTION_MS - 3, "c", false).expect("kept");
     assert_eq!(found, ["a", "b", "c"]);
 }
 
@@ -108,8 +108,8 @@
 fn chain_expired() {
     let mut turns = Turns::default();
     keep(&mut turns, 0, "a", "");
-    assert!(chain(&mut turns, RETENTION - 1, "a", false).is_some());
-    assert!(chain(&mut turns, RETENTION, "a", false).is_none());
+    assert!(chain(&mut turns, RETENTION_MS - 1, "a", false).is_some());
+    assert!(chain(&mut turns, RETENTION_MS, "a", false).is_none());
 }
 
 /// A turn is reserved just before the one that it continues expires, and settled after: forgetting the
@@ -118,9 +118,9 @@
 fn chain_expired_while_continued() {
     let mut turns = Turns::default();
     keep(&mut turns, 0, "a", "");
-    assert!(chain(&mut turns, RETENTION - 1, "a", false).is_some());
-    keep(&mut turns, RETENTION + 10_000, "b", "a");
-    let found = chain(&mut turns, 2 * RETENTION, "b", false).expect("kept");
+    assert!(chain(&mut turns, RETENTION_MS - 1, "a", false).is_some());
+    keep(&mut turns, RETENTION_MS + 10_000, "b", "a");
+    let found = chain(&mut turns, 2 * RETENTION_MS, "b", false).expect("kept");
     assert_eq!(found, ["a", "b"]);
 }
 
@@ -129,8 +129,8 @@
 fn chain_clock_behind() {
     let mut turns = Turns::default();
     keep(&mut turns, 0, "a", "");
-    assert!(chain(&mut turns, RETENTION, "a", false).is_none());
-    assert!(chain(&mut turns, RETENTION - 5_000, "a", false).is_none());
+    assert!(chain(&mut turns, RETENTION_MS, "a", false).is_none());
+    assert!(chain(&mut turns, RETENTION_MS - 5_000, "a", false).is_none());
 }
 
 #[test]
@@ -147,16 +147,16 @@
     let mut turns = Turns::default();
     keep(&mut turns, 0, "a", "");
     keep(&mut turns, 0, "alone", "");
-    keep(&mut turns, RETENTION - 1, "b", "a");
-    chain(&mut turns, RETENTION + 1_000, "", false);
+    keep(&mut turns, RETENTION_MS - 1, "b", "a");
+    chain(&mut turns, RETENTION_MS + 1_000, "", false);
     let asked = ["a", "alone", "never"].map(str::to_owned);
     let left: Vec<(String, bool)> = turns
         .still_kept(&asked)
         .into_iter()
-        .map(|kept| (kept.turn, kept.left_ms > RETENTION))
+        .map(|kept| (kept.turn, kept.left_ms > RETENTION_MS))
         .collect();
     assert_eq!(left, [("a".to_owned(), true), ("alone".to_owned(), false)]);
-    chain(&mut turns, 2 * RETENTION, "", false);
+    chain(&mut turns, 2 * RETENTION_MS, "", false);
     let kept: Vec<String> = turns.still_kept(&asked).into_iter().map(|kept| kept.turn).collect();
     assert_eq!(kept, ["a"]);
 }
@@ -197,18 +197,18 @@
 #[test]
 fn snapshot_without_text() {
     const TURNS: usize = 1_000;
-    const MOST_BYTES_A_TURN: usize = 256;
+    const MAX_TURN_BYTES: usize = 256;
     let mut turns = Turns::default();
     for number in 0..TURNS {
         keep(&mut turns, 1, &format!("{number:016x}"), &format!("{:016x}", number / 2));
     }
-    assert!(turns.snapshot().len() < TURNS * MOST_BYTES_A_TURN);
+    assert!(turns.snapshot().len() < TURNS * MAX_TURN_BYTES);
 }
 
 /// Where prompts were read is most of what is remembered of a program, and of no use once engines have
 /// dropped them. Kept as long as the budgets, it grows with each program of the last ten minutes.
 #[test]
-fn runs_forgotten_after_silence() {
+fn runs_expire_before_budgets() {
     const PROGRAMS: usize = 100;
     let mut turns = Turns::default();
     for number in 0..PROGRAMS {
