--- a/crates/core/tests/resident/mod.rs
+++ b/crates/core/tests/resident/mod.rs
@@ -1,9 +1,11 @@
-//! Memory of the test's own process.
+//! Resident memory of the test process.
 
-/// Returns the memory of this process, in bytes.
+/// Returns the resident set size of this process, in bytes.
 pub fn resident_bytes() -> u64 {
-    let text = std::fs::read_to_string("/proc/self/status").expect("a process has a status");
-    let line = text.lines().find_map(|line| line.strip_prefix("VmRSS:")).expect("it has a size");
-    let size: u64 = line.trim().trim_end_matches(" kB").parse().expect("a number");
+    let text =
+        std::fs::read_to_string("/proc/self/status").expect("/proc/self/status must be readable");
+    let line =
+        text.lines().find_map(|line| line.strip_prefix("VmRSS:")).expect("VmRSS must be listed");
+    let size: u64 = line.trim().trim_end_matches(" kB").parse().expect("VmRSS must be a number");
     size * 1024
 }
--- a/crates/core/tests/roster.rs
+++ b/crates/core/tests/roster.rs
@@ -1,4 +1,4 @@
-//! Processes that introduce themselves.
+//! Processes known through their announcements.
 
 use gypsumglade_core::prelude::*;
 use gypsumglade_core::roster::{Roster, digest};
@@ -28,9 +28,8 @@
     assert_eq!(last_seen_ms(&roster, 1), Some(2_000));
 }
 
-/// A store dies, and the others go on telling each other of it. Each relay takes some milliseconds,
-/// and its age is told without them. Counted anew each time, it would look alive for seconds, and
-/// its replacement would wait for that long.
+/// Relayed announcements of a dead store must not advance its last-seen time: the delay of each
+/// relay would add up, and its replacement would be delayed by seconds.
 #[test]
 fn observe_relayed_keeps_last_seen() {
     let mut roster = Roster::default();
@@ -42,8 +41,8 @@
     assert_eq!(last_seen_ms(&roster, 1), Some(1_000));
 }
 
-/// A store's disk is wiped; its process comes back at the same address under a new identity. Nothing
-/// may be sent to the former one there, nor may an old relay bring it back.
+/// A store that returns at the same address with a new identity replaces the old one, and a relayed
+/// announcement must not restore the old one.
 #[test]
 fn observe_new_identity_at_address() {
     let mut roster = Roster::default();
@@ -94,8 +93,8 @@
     assert_eq!(roster.named("s").map(|node| node.vm), Some(2));
 }
 
-/// Nobody asks an entry VM for anything. With each introduction answered by a list of all processes,
-/// what a deployment sends to find its stores grows with the square of its entries.
+/// The list of nodes leaves out entry VMs; otherwise discovery traffic would grow with the square
+/// of their number.
 #[test]
 fn nodes_grows_with_stores_only() {
     let mut roster = Roster::default();
@@ -121,8 +120,8 @@
     assert_eq!(roster.nodes(now, known).nodes.len(), 3);
 }
 
-/// A store is replaced by one with an empty disk at the same address. An entry VM that is told that
-/// all is as before would go on asking for the former one.
+/// The digest changes when a store is replaced by another at the same address; otherwise an entry
+/// VM would keep asking for the old one.
 #[test]
 fn nodes_differ_after_replacement() {
     let mut roster = Roster::default();
@@ -133,8 +132,7 @@
     assert!(!roster.nodes(now, known).same);
 }
 
-/// Stores answer that nothing changed for a minute; an entry VM must not forget them meanwhile, nor
-/// remember one that they stopped naming.
+/// Stores that are confirmed as unchanged stay in the roster, and others expire.
 #[test]
 fn confirm_keeps_confirmed() {
     let mut roster = Roster::default();
@@ -149,8 +147,8 @@
     assert_eq!(left, [1]);
 }
 
-/// An entry VM is cut off for six seconds. Until then stores told it that nothing had changed; it must
-/// remember them, or nothing tells it of the bundle that came meanwhile.
+/// A partition of six seconds after a confirmation must not expire the stores; otherwise the entry
+/// VM would not learn of a new bundle.
 #[test]
 fn confirm_outlasts_short_partition() {
     let mut roster = Roster::default();
@@ -160,9 +158,8 @@
     assert!(roster.contains_all(&[VmId(1)]));
 }
 
-/// An entry VM is cut off for longer than it remembers stores. Back again, it asks a seed; told that the
-/// list is the same as before, it would know no store, and serve under an old bundle until its lease is
-/// over.
+/// After a longer partition the stores have expired, and the entry VM must request the whole list
+/// instead of accepting that it is unchanged. Otherwise it would keep serving an old bundle.
 #[test]
 fn contains_all_after_long_partition() {
     let mut roster = Roster::default();
--- a/crates/core/tests/stream_scanner.rs
+++ b/crates/core/tests/stream_scanner.rs
@@ -1,4 +1,4 @@
-//! Events in a stream that is passed through.
+//! Detection of events in a forwarded stream.
 
 use gypsumglade_core::stream::EventScanner;
 use proptest::prelude::*;
@@ -6,7 +6,7 @@
 const STREAM: &[u8] =
     b"id: 1\ndata: one\n\nid: 2\nweight: 7\ndata: two\n\n: comment\n\nid: 3\r\ndata:three\r\n\r\n";
 
-/// Feeds the pieces and returns what was passed on, how many events, and their data.
+/// Feeds the pieces and returns the bytes of complete events, their number and their data.
 fn feed_all(pieces: &[&[u8]]) -> (Vec<u8>, u64, Vec<u8>) {
     let mut scanner = EventScanner::default();
     let (mut passed, mut events) = (Vec::new(), 0);
@@ -26,8 +26,8 @@
     assert_eq!(data, b"one\ntwo\nthree\n");
 }
 
-/// An endpoint dies in the middle of an event. The caller must not get a piece of it: the stream
-/// goes on elsewhere after the last whole event, and the piece would stand before the whole one.
+/// A partial event must not reach the caller, since another endpoint continues the stream after the
+/// last complete event.
 #[test]
 fn feed_partial_event() {
     let mut scanner = EventScanner::default();
@@ -51,7 +51,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 256, rng_seed: prop::test_runner::RngSeed::Fixed(11), ..ProptestConfig::default() })]
 
-    /// However the network cuts the stream, the same bytes, events and data come out.
+    /// The result does not depend on how the stream is split into pieces.
     #[test]
     fn feed_any_pieces(mut cuts in prop::collection::vec(0..STREAM.len(), 0..12)) {
         cuts.push(0);
--- a/crates/core/tests/support/mod.rs
+++ b/crates/core/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A program group on an in-memory log: up to three replicas, one clock, no network.
+//! A program group on an in-memory log, with several replicas, one clock and no network.
 
 #![allow(dead_code, reason = "each test file uses its own part")]
 
@@ -16,7 +16,7 @@
 pub use gypsumglade_core::wire::program::reply::Body as ReplyBody;
 use gypsumglade_core::wire::program::request::Body as RequestBody;
 
-/// The entry VM that most tests speak for.
+/// The entry VM that most tests send requests from.
 pub const ENTRY: VmId = VmId(1);
 /// Another entry VM.
 pub const OTHER: VmId = VmId(2);
@@ -30,10 +30,10 @@
     pub data: Bytes,
 }
 
-/// What becomes of the proposals under way when the leader changes.
+/// What happens to proposals in flight when the leader changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fate {
-    /// They reached nobody.
+    /// They reached no other replica.
     Lost,
     /// They reached a quorum, so the next leader commits them.
     Kept,
@@ -51,7 +51,7 @@
     pub held: bool,
     pub now: Time,
     pub replies: BTreeMap<RequestToken, wire::Reply>,
-    /// Releases, cancels and scores, in their order.
+    /// All effects other than proposals and replies, in order.
     pub effects: Vec<Effect>,
     next: u64,
     committing: bool,
@@ -90,7 +90,7 @@
         self.step(replica, Input::Leading { term });
     }
 
-    /// Moves leadership; the old leader learns of it.
+    /// Makes `to` the leader after telling the old leader that it follows.
     pub fn change_leader(&mut self, to: usize, fate: Fate) {
         let flight = std::mem::take(&mut self.flight);
         if let Some(old) = self.leader.take() {
@@ -102,7 +102,7 @@
         self.lead(to);
     }
 
-    /// Restarts a replica with empty memory: it restores a snapshot and replays the rest.
+    /// Restarts a replica: it restores a snapshot and replays the rest of the log.
     pub fn restart(&mut self, replica: usize) {
         let at = self.log.len() / 2;
         let mut before = Sequencer::new(GroupId(1), self.settings.clone());
@@ -139,13 +139,13 @@
             }
             Effect::Reply { token, reply } => {
                 let again = self.replies.insert(token, reply);
-                assert!(again.is_none(), "a request got two replies");
+                assert!(again.is_none(), "a request must have only one reply");
             }
             other => self.effects.push(other),
         }
     }
 
-    /// Commits all proposals under way, and those that follow from them, one after the other.
+    /// Commits all proposals in flight and those that they cause, one by one.
     pub fn commit(&mut self) {
         if std::mem::replace(&mut self.committing, true) {
             return;
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Lets time pass in steps of 50 ms, or in a hundred steps if that is less work.
+    /// Advances the clock in steps of 50 ms, or in about a hundred longer steps.
     pub fn advance(&mut self, millis: u64) {
         let end = self.now + Duration::from_millis(millis);
         let step = Duration::from_millis((millis / 100).max(50));
@@ -192,14 +192,14 @@
     /// Sends a request and returns its reply.
     pub fn ask(&mut self, from: VmId, body: RequestBody) -> ReplyBody {
         let token = self.send(from, body);
-        self.reply(token).expect("the request is answered at once")
+        self.reply(token).expect("the request must be answered immediately")
     }
 
     pub fn reply(&self, token: RequestToken) -> Option<ReplyBody> {
         self.replies.get(&token).and_then(|reply| reply.body.clone())
     }
 
-    /// Begins a turn that must be granted.
+    /// Sends a request that must be granted.
     pub fn grant(&mut self, body: RequestBody) -> wire::Grant {
         self.grant_to(ENTRY, body)
     }
@@ -208,7 +208,7 @@
         granted(self.ask(vm, body))
     }
 
-    /// Runs one whole turn and returns its grant.
+    /// Begins and settles a turn, and returns its grant.
     pub fn run_turn(&mut self, program: &str, key: &str, text: &str, answer: &str) -> wire::Grant {
         let grant = self.grant(turn(program, key, &[user(text)]));
         let settle = done(program, &grant.dispatch, &assistant(answer));
@@ -226,7 +226,7 @@
         String::from_utf8(bytes.to_vec()).expect("UTF-8")
     }
 
-    /// Returns the endpoints of the releases sent so far, in their order.
+    /// Returns the endpoints of the releases sent so far, in order.
     pub fn releases(&self) -> Vec<String> {
         let releases = self.effects.iter().filter_map(|effect| match effect {
             Effect::Release { release } => Some(release.endpoint.clone()),
--- a/crates/core/tests/support/world.rs
+++ b/crates/core/tests/support/world.rs
@@ -1,4 +1,5 @@
-//! Callers, entry VMs and fake endpoints round a group, and the checks of what each of them saw.
+//! Simulated callers, entry VMs and endpoints of a group, with checks of what each of them
+//! observes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,19 +12,21 @@
 use super::{Fate, Group, ReplyBody, assistant, begin_call, begin_turn, done, end, name, not_run};
 use super::{program_ref, started, user};
 
-/// Tokens that the root program's family may use.
+/// Token budget of the root program, shared with its descendants.
 pub const FAMILY_TOKENS: u64 = 4_000;
-/// Calls that the root program's family may make.
+/// Call budget of the root program, shared with its descendants.
 pub const FAMILY_CALLS: u64 = 9;
-/// Bound of the prompt's tokens that callers pass.
+/// Number of prompt tokens that callers declare for each turn.
 const PROMPT_TOKENS: u64 = 20;
-/// Milliseconds after which nothing can be waiting any more.
+/// Time after which no request may be pending, in milliseconds.
 const QUIET_MS: u64 = 700_000;
 
-/// The programs under test: a root, its child, its child's child and a stranger.
+/// The programs under test with their parents: a root, its child, its grandchild and an unrelated
+/// one.
 pub const PROGRAMS: [(&str, &str); 4] = [("r", ""), ("r/a", "r"), ("r/a/b", "r/a"), ("s", "")];
 
-/// Names a call: a program of [`PROGRAMS`] and a key of it. Odd keys are service calls.
+/// Identifies a call by the index of its program in [`PROGRAMS`] and its key. Odd keys are service
+/// calls, even ones are turns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CallId {
     pub program: usize,
@@ -43,26 +46,26 @@
         format!("k{}", self.key)
     }
 
-    /// The answer of an endpoint to one dispatch: no two are equal.
+    /// Returns the answer of an endpoint to a dispatch, which is different for each.
     fn answer(self, dispatch: &str) -> String {
         assistant(&format!("{}:{}:{dispatch}", self.program(), self.key))
     }
 }
 
-/// One thing that happens.
+/// A step of a simulation.
 #[derive(Clone, Copy, Debug)]
 pub enum Op {
-    /// A caller asks through a VM; the reply may be lost between group and VM.
+    /// A caller sends a request through a VM. If `lose` is set, a granted reply is lost on the way.
     Ask { vm: u32, call: CallId, lose: bool },
-    /// All proposals under way are committed.
+    /// All proposals in flight are committed.
     Commit,
     /// A VM sends a grant that it holds to an endpoint.
     Send { vm: u32, pick: usize },
-    /// A VM tells the outcome of a grant that it holds, as far as it knows it.
+    /// A VM reports the outcome of a grant that it holds.
     Settle { vm: u32, pick: usize },
-    /// A VM dies and membership declares it dead; it comes back empty.
+    /// A VM crashes and is declared dead. It returns without its state.
     Kill { vm: u32 },
-    /// A VM is declared dead and yet goes on later with all that it holds.
+    /// A VM is declared dead but later continues with its state.
     Pause { vm: u32 },
     /// Another replica becomes the leader.
     Lead { to: usize, kept: bool },
@@ -70,23 +73,23 @@
     Restart { replica: usize },
     /// Time passes.
     Wait { millis: u64 },
-    /// A program is ended by word.
+    /// A program is ended by a request.
     End { program: usize },
 }
 
-/// A grant in the hands of a VM.
+/// A grant that a VM holds.
 #[derive(Clone, Debug)]
 struct HeldGrant {
     call: CallId,
     grant: wire::Grant,
     ran: Option<String>,
-    /// False once the group may take it for lost, or was told its outcome.
+    /// Becomes `false` once the group may consider the grant lost, or its outcome was sent.
     active: bool,
-    /// The VM gave its word that it does not send it, whether or not the group has heard.
+    /// Whether the VM reported that it will not run the grant, even if the report was lost.
     declined: bool,
 }
 
-/// A request that waits for its reply.
+/// A request without a reply so far.
 #[derive(Clone, Copy, Debug)]
 struct PendingRequest {
     vm: u32,
@@ -94,7 +97,7 @@
     lose: bool,
 }
 
-/// The group with all that surrounds it.
+/// A group with its simulated callers, VMs and endpoints.
 pub struct World {
     pub group: Group,
     held: BTreeMap<u32, Vec<HeldGrant>>,
@@ -102,11 +105,11 @@
     settles: BTreeMap<RequestToken, (u32, HeldGrant)>,
     /// Dispatches that endpoints ran, by call.
     runs: BTreeMap<CallId, Vec<String>>,
-    /// Tokens that endpoints really used, by program.
+    /// Tokens that endpoints used, by program.
     used: BTreeMap<usize, u64>,
-    /// Calls that endpoints really ran, by program.
+    /// Calls that endpoints ran, by program.
     calls: BTreeMap<usize, u64>,
-    /// Engine memory: endpoint and program.
+    /// Endpoints that hold engine memory, with the program that they hold it for.
     memory: BTreeSet<(String, &'static str)>,
     histories: BTreeMap<usize, Vec<serde_json::Value>>,
     pub violations: Vec<String>,
@@ -163,7 +166,8 @@
         self.check();
     }
 
-    /// Ends everything and checks that nothing is left open, waiting or held.
+    /// Settles all grants, ends all programs, and checks that no request is pending, that replicas
+    /// are equal and that no engine memory is left.
     pub fn finish(&mut self) {
         self.group.commit();
         self.deliver();
@@ -184,7 +188,7 @@
         self.deliver();
         self.check();
         if !self.pending.is_empty() {
-            self.violations.push(format!("without an answer: {:?}", self.pending));
+            self.violations.push(format!("requests without a reply: {:?}", self.pending));
         }
         self.check_memory();
         self.check_replicas();
@@ -234,7 +238,8 @@
         *self.used.entry(call.program).or_default() += tokens;
     }
 
-    /// Tells the group where a dispatch will run; the first byte waits for the confirmation.
+    /// Reports the endpoint of a dispatch. Returns whether the group confirmed it, which a VM must
+    /// await before it sends the dispatch.
     fn report_started(&mut self, vm: u32, call: CallId, dispatch: &str, endpoint: &str) -> bool {
         let token = self.group.send(VmId(vm), started(call.program(), dispatch, endpoint));
         self.group.commit();
@@ -268,8 +273,8 @@
         self.group.step(leader, Input::VmGone { vm: VmId(vm) });
     }
 
-    /// A turn granted out of an escrow may be lost with its leader: its settle will be refused,
-    /// so that for its program it has not happened, and the next call need not wait for it.
+    /// Deactivates the grants of turns that the new leader does not know. Their settles will be
+    /// refused, so the next call of the program need not wait for them.
     fn deactivate_unknown_grants(&mut self) {
         let state = self.group.leader().state();
         for held in self.held.values_mut().flatten() {
@@ -293,7 +298,7 @@
         all.for_each(|held| held.active &= active);
     }
 
-    /// Hands out replies and performs releases, then checks what they claim.
+    /// Checks and delivers replies, and performs releases.
     fn deliver(&mut self) {
         for (token, reply) in std::mem::take(&mut self.group.replies) {
             let Some(body) = reply.body else { continue };
@@ -326,14 +331,18 @@
                 let answer = String::from_utf8_lossy(&recorded.answer).into_owned();
                 let runs = self.runs.get(&call).cloned().unwrap_or_default();
                 if !runs.iter().any(|dispatch| call.answer(dispatch) == answer) {
-                    self.violations.push(format!("{call:?} got a foreign answer {answer}"));
+                    self.violations.push(format!(
+                        "{call:?} got an answer of none of its dispatches: {answer}"
+                    ));
                 }
             }
             ReplyBody::Refused(refused) if refused.code() != Refusal::NotLeader => {
                 let ran = call.is_service() && self.runs.contains_key(&call);
                 if ran || self.is_held(call) {
                     let code = refused.code();
-                    self.violations.push(format!("{call:?} was called unrun ({code:?})"));
+                    self.violations.push(format!(
+                        "{call:?} was refused although it ran or is in flight ({code:?})"
+                    ));
                 }
             }
             _ => {}
@@ -345,7 +354,8 @@
         let concurrent =
             self.held.values().flatten().find(|h| h.active && h.call.program() == program);
         if let Some(concurrent) = concurrent {
-            let message = format!("{:?} was granted beside {:?}", request.call, concurrent.call);
+            let message =
+                format!("{:?} was granted while {:?} was in flight", request.call, concurrent.call);
             self.violations.push(message);
         }
         if !request.lose {
@@ -359,7 +369,8 @@
         self.held.values().flatten().any(|held| held.active && held.call == call)
     }
 
-    /// A confirmed turn is in the history. A settle that met no leader is kept for another try.
+    /// Checks that a confirmed turn is in the history. A settle that reached no leader is retried
+    /// later.
     fn check_settled(&mut self, vm: u32, held: HeldGrant, body: &ReplyBody) {
         if let ReplyBody::Refused(refused) = body
             && refused.code() == Refusal::NotLeader
@@ -371,7 +382,7 @@
             return;
         };
         if !self.group.history(held.call.program()).contains(&answer) {
-            let message = format!("{:?} was confirmed and is not in the history", held.call);
+            let message = format!("{:?} was confirmed but is not in the history", held.call);
             self.violations.push(message);
         }
     }
@@ -386,19 +397,20 @@
         let tokens: u64 = family.clone().filter_map(|p| self.used.get(&p)).sum();
         let calls: u64 = family.filter_map(|p| self.calls.get(&p)).sum();
         if tokens > FAMILY_TOKENS || calls > FAMILY_CALLS {
-            self.violations.push(format!("the family used {tokens} tokens, {calls} calls"));
+            self.violations
+                .push(format!("the budget was exceeded with {tokens} tokens and {calls} calls"));
         }
         (0..PROGRAMS.len()).for_each(|program| self.check_history(program));
     }
 
-    /// A history only grows, holds each turn once, and nothing of another program.
+    /// Checks that a history only grows, and has each turn of its own program once and no others.
     fn check_history(&mut self, program: usize) {
         let id = PROGRAMS[program].0;
         let json = self.group.history(id);
         let messages: Vec<serde_json::Value> = serde_json::from_str(&json).unwrap_or_default();
         let before = self.histories.insert(program, messages.clone()).unwrap_or_default();
         if !messages.starts_with(&before) {
-            self.violations.push(format!("history of {id} lost {before:?}"));
+            self.violations.push(format!("the history of {id} no longer starts with {before:?}"));
         }
         let mut seen = BTreeSet::new();
         for pair in messages.chunks(2) {
@@ -407,7 +419,8 @@
                 && texts[0].starts_with(&format!("{id}:"))
                 && texts[1].starts_with(&format!("{}:", texts[0]));
             if !matches || !seen.insert(texts[0]) {
-                self.violations.push(format!("history of {id} is mixed: {texts:?}"));
+                self.violations
+                    .push(format!("the history of {id} has a repeated or foreign turn: {texts:?}"));
             }
         }
     }
@@ -416,7 +429,8 @@
         let state = self.group.leader().state();
         for (endpoint, program) in &self.memory {
             let leaks = find_leaks(state, &endpoint.into(), &[name(program)]);
-            let message = format!("{endpoint} holds memory of {program}, leaks: {leaks:?}");
+            let message =
+                format!("{endpoint} still holds memory of {program}, leaks found: {leaks:?}");
             self.violations.push(message);
         }
     }
--- a/crates/core/tests/turns_budget.rs
+++ b/crates/core/tests/turns_budget.rs
@@ -1,4 +1,4 @@
-//! Token budgets that entry VMs share.
+//! Token budgets of programs, shared by all entry VMs.
 
 use gypsumglade_core::turns::Turns;
 use gypsumglade_core::wire::turn::command::Body;
@@ -39,8 +39,7 @@
     assert!(granted(&reserve(&mut turns, "b", 60, 100)));
 }
 
-/// Two entries ask at once for turns of one program that together exceed its budget. Each by itself
-/// fits; if both ran, the program would have more than it was signed off for.
+/// Two concurrent reservations that each fit the budget must not exceed it together.
 #[test]
 fn reserve_concurrent() {
     let mut turns = Turns::default();
@@ -49,8 +48,8 @@
     assert!(matches!(second, Reply::Spent(spent) if spent.spent == 60));
 }
 
-/// An entry is killed in the middle of a stream. Nobody knows what it handed out, so its turn goes
-/// on counting with the most that it could have.
+/// The entry is killed in the middle of a stream, so the tokens used are unknown. The turn keeps
+/// counting with its full reservation.
 #[test]
 fn reserve_after_lost_entry() {
     let mut turns = Turns::default();
@@ -59,13 +58,13 @@
     assert!(granted(&reserve(&mut turns, "small", 20, 100)));
 }
 
-/// The answer to a reservation is lost and the entry asks again, perhaps another store.
+/// A reservation that is retried after a lost reply counts once.
 #[test]
 fn reserve_retry() {
     let mut turns = Turns::default();
     assert!(granted(&reserve(&mut turns, "a", 60, 100)));
     assert!(granted(&reserve(&mut turns, "a", 60, 100)));
-    assert!(granted(&reserve(&mut turns, "b", 40, 100)), "set aside once");
+    assert!(granted(&reserve(&mut turns, "b", 40, 100)), "the retry was reserved twice");
 }
 
 #[test]
@@ -89,8 +88,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 256, rng_seed: prop::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
-    /// Whatever is asked, resent, settled, lost or restored from a snapshot, the tokens handed out
-    /// never exceed the budget.
+    /// Tokens used and reserved never exceed the budget, also after a restored snapshot.
     #[test]
     fn reserve_never_exceeds(steps in prop::collection::vec((0_u8..4, 1_u64..50, 0.0..1.0_f64), 1..80)) {
         let mut turns = Turns::default();
@@ -108,7 +106,7 @@
                     used += tokens;
                     settle(&mut turns, &turn, tokens);
                 },
-                _ => turns = Turns::restore(&turns.snapshot()).expect("readable"),
+                _ => turns = Turns::restore(&turns.snapshot()).expect("a valid snapshot"),
             }
             let reserved: u64 = open.iter().map(|(_, most)| most).sum();
             prop_assert!(used + reserved <= budget);
@@ -135,9 +133,8 @@
     }
 }
 
-/// A program's next turn comes in through another entry VM, which has never seen it. It is told
-/// which engine read the prompt last; without that it sends the turn elsewhere, and the whole
-/// history is read again.
+/// An entry VM that has not seen the program needs the endpoint of its last run. Otherwise the turn
+/// may go to an endpoint without the cached prompt, which processes the whole history again.
 #[test]
 fn reserve_reports_last_run() {
     let mut turns = Turns::default();
@@ -158,8 +155,7 @@
     assert_eq!(last_run(&mut turns, "helper-2", vec![1, 2, 3]), ran(3, "z"));
 }
 
-/// A program starts sub-agents without end. What is remembered of it stays bounded, and its newest
-/// prompts are the ones known.
+/// The number of runs stored for each program is bounded, and the newest are kept.
 #[test]
 fn settle_runs_are_bounded() {
     let mut turns = Turns::default();
@@ -177,6 +173,6 @@
     let mut turns = Turns::default();
     last_run(&mut turns, "a", vec![2]);
     settle_ran(&mut turns, "a", ran(2, "x"));
-    let mut restored = Turns::restore(&turns.snapshot()).expect("a sound snapshot");
+    let mut restored = Turns::restore(&turns.snapshot()).expect("a valid snapshot");
     assert_eq!(last_run(&mut restored, "b", vec![2]), ran(2, "x"));
 }
--- a/crates/core/tests/turns_copies.rs
+++ b/crates/core/tests/turns_copies.rs
@@ -1,4 +1,4 @@
-//! What is copied when stores are lost or are to be emptied.
+//! Copying of texts after stores are lost or while they retire.
 
 #[path = "support/property.rs"]
 mod property;
@@ -15,15 +15,15 @@
 use proptest::prelude::*;
 use proptest::test_runner::TestRunner;
 
-/// Cases of the property when the environment names no other count.
+/// Default number of cases of the property.
 const CASES: u32 = 256;
 /// Seed of the property's random choices.
 const SEED: u64 = 29;
 /// Bytes of each turn's text.
 const TEXT_BYTES: u64 = 18_000;
-/// Enough for all texts of a test.
+/// Larger than the texts of any test together.
 const UNLIMITED: BatchSize = BatchSize { texts: 1_000, bytes: 1_000_000_000 };
-/// All texts of a test at one time.
+/// Limits that no test reaches.
 const NO_LIMITS: Limits = Limits { same_region: UNLIMITED, cross_region: UNLIMITED };
 
 fn apply(turns: &mut Turns, body: Body) -> Reply {
@@ -41,7 +41,7 @@
     apply(turns, Body::Settle(settle));
 }
 
-/// Carries a plan out, and returns how many texts were copied.
+/// Records all transfers of a plan as complete and returns the number of texts copied.
 fn complete_transfers(turns: &mut Turns, plan: &[Transfer]) -> usize {
     let copied: Vec<Holding> =
         plan.iter().flat_map(|copy| &copy.turns).map(|holding| holding.to_wire()).collect();
@@ -52,7 +52,9 @@
 
 fn holders(turns: &mut Turns, turn: &str) -> Vec<VmId> {
     let ask = Reserve { turn: "x".to_owned(), previous: turn.to_owned(), ..Reserve::default() };
-    let Reply::Reserved(reserved) = apply(turns, Body::Reserve(ask)) else { panic!("not kept") };
+    let Reply::Reserved(reserved) = apply(turns, Body::Reserve(ask)) else {
+        panic!("the turn is not kept")
+    };
     let last = reserved.chain.last().expect("a chain");
     last.holders.iter().copied().map(VmId).collect()
 }
@@ -106,8 +108,8 @@
     assert_eq!(turns.required_holders(&survey), BTreeSet::new());
 }
 
-/// A store that was silent for a while has its disk still. Were it forgotten, the next loss would have
-/// texts copied that are on two disks all the time.
+/// A store that was unavailable for a while still holds its texts and must count as a holder when
+/// it returns; otherwise they would be copied again without need.
 #[test]
 fn plan_copies_silent_holder_returns() {
     let mut turns = Turns::default();
@@ -118,7 +120,7 @@
     assert_eq!(turns.plan_copies(&after, &NO_LIMITS), []);
 }
 
-/// A text with one store named twice is on one disk, and that disk's loss takes it.
+/// A store that is listed twice as holder counts once.
 #[test]
 fn plan_copies_same_holder_twice() {
     let mut turns = Turns::default();
@@ -128,8 +130,8 @@
     assert_eq!(turns.required_holders(&survey), BTreeSet::from([VmId(1)]));
 }
 
-/// A leader that was deposed for a while names holders that it planned before. The holder that another
-/// leader noted meanwhile may be the only one left.
+/// A stale leader reports the holders of an older plan. Holders that another leader recorded in the
+/// meantime must not be lost, as they may be the only ones left.
 #[test]
 fn plan_copies_stale_leader() {
     let mut turns = Turns::default();
@@ -142,7 +144,7 @@
     assert_eq!(targets(&turns.plan_copies(&left, &NO_LIMITS)), [5]);
 }
 
-/// Disks lost one after another must not fill the state, nor push out the holders that are left.
+/// After many losses, the list of holders stays bounded and still contains the available ones.
 #[test]
 fn plan_copies_many_losses() {
     let mut turns = Turns::default();
@@ -169,7 +171,7 @@
     assert_eq!(copied, ["b"]);
 }
 
-/// A chain that is spread over stores costs its reader a call to each.
+/// The texts of a chain are copied to the same store, so that a reader needs only one request.
 #[test]
 fn plan_copies_chain_on_one_store() {
     let mut turns = Turns::default();
@@ -195,7 +197,8 @@
     assert_eq!(targets(&turns.plan_copies(&survey, &NO_LIMITS)), [9]);
 }
 
-/// Elections wait behind texts on the link between regions.
+/// Texts are copied within the region, even to a failing store in the same domain, since copies
+/// between regions can delay elections.
 #[test]
 fn plan_copies_own_region() {
     let mut turns = Turns::default();
@@ -207,8 +210,8 @@
     assert_eq!(targets(&turns.plan_copies(&failing, &NO_LIMITS)), [3]);
 }
 
-/// Texts lie where their callers are: in the region of most holders, whatever their identities, and else
-/// in the larger one.
+/// Texts are copied within the region of most holders, regardless of their ids; on a tie, within
+/// the region with more stores.
 #[test]
 fn plan_copies_majority_region() {
     let mut turns = Turns::default();
@@ -235,7 +238,7 @@
     assert!(matches!(targets(&plan)[..], [2 | 3]), "{plan:?}");
 }
 
-/// A store whose disk is full would be asked again and again, and the texts stay on too few.
+/// A store that fails to take texts, such as one with a full disk, must not be chosen again.
 #[test]
 fn plan_copies_failing_store() {
     let mut turns = Turns::default();
@@ -247,7 +250,8 @@
     assert!(second != first && second != VmId(1));
 }
 
-/// Texts that can't be copied would fill each portion, and those behind them never be copied.
+/// Deferred turns are skipped, so that they don't block the others, but their holders stay
+/// required.
 #[test]
 fn plan_copies_deferred() {
     let mut turns = Turns::default();
@@ -261,7 +265,8 @@
     assert_eq!(turns.required_holders(&survey), BTreeSet::from([VmId(1), VmId(9)]));
 }
 
-/// Long inputs fill a store's memory long before their number looks large.
+/// A transfer is limited by both the number and the total length of its texts, but has at least
+/// one.
 #[test]
 fn plan_copies_limit() {
     let mut turns = Turns::default();
@@ -275,7 +280,7 @@
     assert_eq!(count(BatchSize { texts: 7, ..UNLIMITED }), 7);
 }
 
-/// A newcomer in the texts' region comes within seconds; until then, only a few cross the link.
+/// The cross-region limit applies only if there is no target in the region of the texts.
 #[test]
 fn plan_copies_cross_region_limit() {
     let mut turns = Turns::default();
@@ -321,7 +326,7 @@
     assert_eq!(turns.required_holders(&survey), BTreeSet::new());
 }
 
-/// The last disk of a text that is to be emptied is read from, and never asked to take more.
+/// A retiring store can be a source of texts, but never a target.
 #[test]
 fn plan_copies_only_retiring() {
     let mut turns = Turns::default();
@@ -337,8 +342,8 @@
     assert!(on.contains(&VmId(3)) && on.contains(&VmId(5)) && !on.contains(&VmId(4)), "{on:?}");
 }
 
-/// While the others are silent for a moment, a store that is to be emptied has the only disk that can be
-/// read, and would be taken away.
+/// A retiring store must not be removed while the other holders are unavailable and no copy can be
+/// made.
 #[test]
 fn required_holders_others_silent() {
     let mut turns = Turns::default();
@@ -348,8 +353,7 @@
     assert_eq!(turns.plan_copies(&survey, &NO_LIMITS), []);
 }
 
-/// Stores of a property: failure domain, region, and whether it is to be emptied, is there at all, or
-/// lately took nothing.
+/// A randomly generated store of the property test.
 #[derive(Clone, Debug)]
 struct RandomStore {
     domain: u32,
@@ -379,8 +383,8 @@
     CopySurvey { alive: alive.collect(), copies, failing, deferred: BTreeSet::new() }
 }
 
-/// Checks one plan: only stores that serve take texts, those that have one are read from, and texts with
-/// the same sources go to the same store.
+/// Checks that targets are neither retiring nor sources, that sources are available with those in
+/// the target's region first, and that texts with the same sources share a target within `limit`.
 fn check_plan(
     plan: &[Transfer],
     survey: &CopySurvey,
@@ -407,7 +411,7 @@
     Ok(())
 }
 
-/// A text that stays on too few disks is lost with the next one.
+/// Repeated plans copy every readable text to enough serving stores, without superfluous copies.
 #[test]
 fn plan_copies_any() {
     let mut runner = TestRunner::new(fixed(SEED, cases(CASES)));
@@ -430,7 +434,7 @@
                 if copied == 0 {
                     break;
                 }
-                prop_assert!(copied <= left, "nothing is copied twice");
+                prop_assert!(copied <= left, "more texts were copied than needed");
                 left -= copied;
             }
             let serving = survey.alive.iter().filter(|store| !store.retiring);
--- a/crates/core/tests/turns_holders.rs
+++ b/crates/core/tests/turns_holders.rs
@@ -1,4 +1,4 @@
-//! Which stores hold the text of a program's turns.
+//! Choice of the stores that hold the texts of a program's turns.
 
 #[path = "support/property.rs"]
 mod property;
@@ -12,11 +12,11 @@
 use proptest::prelude::*;
 use proptest::test_runner::TestRunner;
 
-/// Cases of the properties when the environment names no other count.
+/// Default number of cases of each property.
 const CASES: u32 = 256;
 /// Seed of the properties' random choices.
 const SEED: u64 = 23;
-/// Programs whose texts are spread over stores.
+/// Number of programs whose texts are distributed over the stores.
 const PROGRAMS: usize = 3_000;
 
 fn store(vm: u32, domain: &str, region: &str) -> StoreInfo {
@@ -36,8 +36,8 @@
     })
 }
 
-/// A region's link is narrow and paid by volume, and a failure domain's machines fail together: the
-/// texts of a conversation must be near its callers, and not all in one domain.
+/// Serving stores of the own region come first, and within a region one store of each failure
+/// domain comes before a second one of any.
 #[test]
 fn preferred_stores_any() {
     let mut runner = TestRunner::new(fixed(SEED, cases(CASES)));
@@ -63,7 +63,7 @@
     runner.run(&(any_stores(), any::<u32>()), property).expect("the property holds");
 }
 
-/// Each entry VM hears of stores in another order, and must choose the same.
+/// Entry VMs that list the stores in a different order must choose the same ones.
 #[test]
 fn preferred_stores_any_input_order() {
     let mut runner = TestRunner::new(fixed(SEED, cases(CASES)));
@@ -77,7 +77,8 @@
     runner.run(&(any_stores(), any::<u32>()), property).expect("the property holds");
 }
 
-/// Were the texts of all programs moved when a store comes, chains would lie on many stores each.
+/// A new store must not change the order of the others, since chains would be spread over many
+/// stores.
 #[test]
 fn preferred_stores_new_store() {
     let mut stores: Vec<_> = (1..=4).map(|vm| store(vm, &format!("d{vm}"), "south")).collect();
@@ -92,7 +93,7 @@
         after.retain(|vm| *vm != VmId(5));
         assert_eq!(after, before);
     }
-    // Two places of five are the newcomer's.
+    // The new store is expected among the first two of five for two fifths of the programs.
     assert!((PROGRAMS / 3..PROGRAMS / 2).contains(&moved), "{moved}");
 }
 
--- a/crates/core/tests/turns_long_stream.rs
+++ b/crates/core/tests/turns_long_stream.rs
@@ -1,4 +1,4 @@
-//! Turns whose stream lasts longer than what they continue is kept.
+//! Turns whose stream outlasts the retention of the turn that they continue.
 
 use gypsumglade_core::turns::Turns;
 use gypsumglade_core::wire::turn::command::Body;
@@ -6,7 +6,7 @@
 use gypsumglade_core::wire::turn::{Command, Kept, Reserve, Settle};
 
 const RETENTION_MS: u64 = 60_000;
-/// A gateway's bound on a request that neither its caller nor its route bounds.
+/// A gateway's default limit on the duration of a request, in milliseconds.
 const MAX_STREAM_MS: u64 = 300_000;
 
 fn apply(turns: &mut Turns, body: Body) -> Reply {
@@ -34,8 +34,8 @@
     apply(turns, Body::Settle(settle));
 }
 
-/// A turn is given leave while the one before is kept, and its stream ends after that one's time and the
-/// grace are over. The caller was answered whole, and its next turn must not be unknown.
+/// A stream ends after the retention and grace of the previous turn, which was kept when the stream
+/// began. The caller must be able to continue the conversation.
 #[test]
 fn chain_after_longest_stream() {
     let mut turns = Turns::default();
@@ -43,13 +43,16 @@
     let began = RETENTION_MS - 1;
     assert!(matches!(reserve(&mut turns, began, "second", "first"), Reply::Reserved(_)));
     let ended = began + MAX_STREAM_MS;
-    // Others' commands sweep meanwhile.
+    // Commands of other turns remove expired state.
     reserve(&mut turns, ended - 1, "other", "");
-    // Its holders ask whether they may drop its text, and a newcomer takes the state over.
+    // Its holders ask whether to keep its text, and the state is restored from a snapshot.
     assert_eq!(turns.still_kept(&["first".to_owned()]).len(), 1);
-    turns = Turns::restore(&turns.snapshot()).expect("readable");
+    turns = Turns::restore(&turns.snapshot()).expect("a valid snapshot");
     assert!(matches!(reserve(&mut turns, ended - 1, "late", "first"), Reply::Unknown(_)));
     settle(&mut turns, ended, "second", "first");
     let next = reserve(&mut turns, ended + 1, "third", "second");
-    assert!(matches!(next, Reply::Reserved(_)), "the turn that just ended is unknown: {next:?}");
+    assert!(
+        matches!(next, Reply::Reserved(_)),
+        "the turn that just ended can't be continued: {next:?}"
+    );
 }
--- a/crates/core/tests/turns_program_size.rs
+++ b/crates/core/tests/turns_program_size.rs
@@ -1,4 +1,4 @@
-//! What a program's budget takes once its turns are settled.
+//! Memory of programs whose turns are settled.
 
 mod resident;
 
@@ -7,15 +7,16 @@
 use gypsumglade_core::wire::turn::{Command, Reserve, Settle};
 use resident::resident_bytes;
 
-/// Programs of a test: as many as a grown deployment sees in the ten minutes that they are remembered.
+/// Number of programs that a large deployment sees in the ten minutes for which they are
+/// remembered.
 const PROGRAMS: usize = 17_000;
-/// Most memory of a program whose turns are settled.
+/// Limit on the memory of a settled program, in bytes.
 const MAX_PROGRAM_BYTES: u64 = 300;
 
-/// Guards against a state that holds for each program of ten minutes what only a turn under way needs.
+/// Settled programs must not hold memory that only a turn in flight needs.
 #[test]
 fn memory_of_settled_programs() {
-    // The only test of this file: what runs beside it would count.
+    // Must be the only test of this file: concurrent tests would add to the memory measured.
     let before = resident_bytes();
     let mut state = Turns::default();
     for number in 0..PROGRAMS {
--- a/crates/core/tests/turns_size.rs
+++ b/crates/core/tests/turns_size.rs
@@ -1,4 +1,4 @@
-//! What a turn group's state takes: memory of each turn, and bytes of a snapshot.
+//! Size of a turn group's state in memory and in a snapshot.
 
 mod resident;
 
@@ -7,14 +7,14 @@
 use gypsumglade_core::wire::turn::{Command, Kept, Settle};
 use resident::resident_bytes;
 
-/// Turns of a test: as many as a grown deployment keeps, 141 a second for a retention of 60 s and the
-/// grace of 30 s after it.
+/// Number of turns that a large deployment keeps: 141 a second for 60 s of retention and 30 s of
+/// grace.
 const TURNS: usize = 12_690;
-/// Turns that each program has.
+/// Number of turns of each program.
 const PROGRAM_TURNS: usize = 5;
-/// Most memory of a turn, beside its text.
+/// Limit on the memory of a turn without its text, in bytes.
 const MAX_TURN_BYTES: u64 = 600;
-/// Most bytes of a turn in a snapshot.
+/// Limit on the size of a turn in a snapshot, in bytes.
 const MAX_SNAPSHOT_BYTES: usize = 200;
 
 fn id(turn: usize) -> String {
@@ -34,11 +34,10 @@
     state
 }
 
-/// Guards against a state that grows with more than the number of turns: a store has memory for what
-/// load times retention comes to, and for nothing that a turn's text would add.
+/// The state must stay small for each turn, and must not contain the texts of turns.
 #[test]
 fn memory_of_turns() {
-    // The only test of this file: what runs beside it would count.
+    // Must be the only test of this file: concurrent tests would add to the memory measured.
     let before = resident_bytes();
     let state = filled(TURNS);
     let each = (resident_bytes() - before) / TURNS as u64;
--- a/crates/core/tests/turns_tree.rs
+++ b/crates/core/tests/turns_tree.rs
@@ -1,4 +1,4 @@
-//! Turns that callers continue.
+//! Chains of turns that callers continue, and their retention.
 
 use bytes::Bytes;
 use gypsumglade_core::turns::Turns;
@@ -12,7 +12,7 @@
     turns.apply(&Command { body: Some(body) }).body.expect("every command is answered")
 }
 
-/// Stores that have the texts of all turns.
+/// Stores that hold the texts of all turns.
 const HOLDERS: [u32; 2] = [3, 8];
 /// Bytes of each turn's text.
 const TEXT_BYTES: u64 = 18_000;
@@ -47,7 +47,7 @@
     apply(turns, Body::Reserve(ask))
 }
 
-/// Returns the turns that precede, oldest first; nothing if the turn is not kept.
+/// Returns the chain that ends with `previous`, oldest turn first, or `None` if it is not kept.
 fn chain(turns: &mut Turns, now: u64, previous: &str, held: bool) -> Option<Vec<String>> {
     match reserve(turns, now, previous, held) {
         Reply::Reserved(reserved) => {
@@ -73,8 +73,7 @@
     assert_eq!(chain(&mut turns, 3, "b", false).expect("kept"), ["a", "b"]);
 }
 
-/// Sub-agents continue the turn that started them, several at a time. Each must get its parent's
-/// history and none of its siblings'.
+/// Several turns may continue the same one. Each has its parent's history and not its siblings'.
 #[test]
 fn chain_of_forks() {
     let mut turns = Turns::default();
@@ -89,11 +88,14 @@
 fn chain_unknown() {
     let mut turns = Turns::default();
     assert_eq!(chain(&mut turns, 1, "never", false), None);
-    assert_eq!(chain(&mut turns, 1, "never", true), None, "held or not");
+    assert_eq!(
+        chain(&mut turns, 1, "never", true),
+        None,
+        "a caller that holds the text doesn't make the turn known"
+    );
 }
 
-/// A caller pauses for nearly a minute before each turn. The first turn would be forgotten by its
-/// own time while the conversation goes on.
+/// Each new turn extends the retention of its whole chain.
 #[test]
 fn chain_retained_with_last() {
     let mut turns = Turns::default();
@@ -112,8 +114,8 @@
     assert!(chain(&mut turns, RETENTION_MS, "a", false).is_none());
 }
 
-/// A turn is reserved just before the one that it continues expires, and settled after: forgetting the
-/// earlier one meanwhile would leave a conversation that nobody can continue.
+/// A turn that was reserved just before the previous one expires, and settled after that, still has
+/// its whole chain.
 #[test]
 fn chain_expired_while_continued() {
     let mut turns = Turns::default();
@@ -124,7 +126,7 @@
     assert_eq!(found, ["a", "b"]);
 }
 
-/// Leadership moves to a store whose clock is behind. What had expired must not come back.
+/// A new leader with a clock that is behind must not restore expired turns.
 #[test]
 fn chain_clock_behind() {
     let mut turns = Turns::default();
@@ -140,8 +142,8 @@
     assert_eq!(chain(&mut turns, 2, "a", true), Some(Vec::new()));
 }
 
-/// A holder drops a text once its turn is not kept. It must hear of turns that others made last longer,
-/// and of none as gone that a turn under way may still continue.
+/// Holders delete texts of turns that are not kept. Turns whose retention was extended, or that a
+/// turn in flight may still continue, must be reported as kept.
 #[test]
 fn still_kept_with_chain() {
     let mut turns = Turns::default();
@@ -169,8 +171,10 @@
     let gone = Holding { turn: "never".to_owned(), ..moved.clone() };
     let copied = Copied { turns: vec![moved.clone(), gone], now_ms: 2 };
     assert!(matches!(apply(&mut turns, Body::Copied(copied)), Reply::Settled(_)));
-    let Reply::Reserved(reserved) = reserve(&mut turns, 3, "a", false) else { panic!("kept") };
-    // The store that held it before may only have been silent, and has it still.
+    let Reply::Reserved(reserved) = reserve(&mut turns, 3, "a", false) else {
+        panic!("the turn is not kept")
+    };
+    // The previous holder may only be unavailable, so it stays listed last.
     let known = Holding { holders: vec![3, 9, 8], ..moved };
     assert_eq!(reserved.chain, [known]);
     assert_eq!(turns.kept(), 1);
@@ -181,7 +185,7 @@
     let mut turns = Turns::default();
     keep(&mut turns, 1, "a", "");
     keep(&mut turns, 2, "b", "a");
-    let mut restored = Turns::restore(&turns.snapshot()).expect("readable");
+    let mut restored = Turns::restore(&turns.snapshot()).expect("a valid snapshot");
     assert_eq!(restored.snapshot(), turns.snapshot());
     assert_eq!(chain(&mut restored, 3, "b", false).expect("kept"), ["a", "b"]);
     assert_eq!(restored.kept(), 2);
@@ -192,8 +196,8 @@
     assert!(Turns::restore(&Bytes::from_static(b"\xff\xff\xff")).is_err());
 }
 
-/// Every voter holds the group's state in memory, and a snapshot of it once more. Grown with what
-/// callers say, it would end each of them in turn.
+/// Each voter holds the state and a snapshot in memory, so neither may grow with the callers'
+/// texts.
 #[test]
 fn snapshot_without_text() {
     const TURNS: usize = 1_000;
@@ -205,8 +209,8 @@
     assert!(turns.snapshot().len() < TURNS * MAX_TURN_BYTES);
 }
 
-/// Where prompts were read is most of what is remembered of a program, and of no use once engines have
-/// dropped them. Kept as long as the budgets, it grows with each program of the last ten minutes.
+/// Runs are most of a program's state and useless once engines have evicted the prompts, so they
+/// expire before the budgets do.
 #[test]
 fn runs_expire_before_budgets() {
     const PROGRAMS: usize = 100;
@@ -224,6 +228,6 @@
     }
     let busy = turns.snapshot().len();
     chain(&mut turns, 60_000, "", false);
-    assert_eq!(turns.programs(), PROGRAMS + 1, "their budgets are remembered");
+    assert_eq!(turns.programs(), PROGRAMS + 1, "the budgets of programs must still be kept");
     assert!(turns.snapshot().len() < busy / 4);
 }
