--- a/crates/core/tests/turns_copies.rs
+++ b/crates/core/tests/turns_copies.rs
@@ -238,7 +238,8 @@
     assert!(matches!(targets(&plan)[..], [2 | 3]), "{plan:?}");
 }
 
-/// A store that fails to take texts, such as one with a full disk, must not be chosen again.
+/// A store that recently failed to take texts, such as one with a full disk, must not be chosen
+/// while the region has another.
 #[test]
 fn plan_copies_failing_store() {
     let mut turns = Turns::default();
@@ -342,8 +343,8 @@
     assert!(on.contains(&VmId(3)) && on.contains(&VmId(5)) && !on.contains(&VmId(4)), "{on:?}");
 }
 
-/// A retiring store must not be removed while the other holders are unavailable and no copy can be
-/// made.
+/// A retiring holder must not be removed while too few other stores are available for a copy of its
+/// texts.
 #[test]
 fn required_holders_others_silent() {
     let mut turns = Turns::default();
--- a/crates/core/tests/turns_tree.rs
+++ b/crates/core/tests/turns_tree.rs
@@ -47,7 +47,8 @@
     apply(turns, Body::Reserve(ask))
 }
 
-/// Returns the chain that ends with `previous`, oldest turn first, or `None` if it is not kept.
+/// Returns the chain that ends with `previous`, oldest turn first, or `None` if it is not kept. The
+/// chain is empty if the entry already holds it.
 fn chain(turns: &mut Turns, now: u64, previous: &str, held: bool) -> Option<Vec<String>> {
     match reserve(turns, now, previous, held) {
         Reply::Reserved(reserved) => {
