--- a/crates/core/tests/turns_copies.rs
+++ b/crates/core/tests/turns_copies.rs
@@ -346,7 +346,7 @@
 /// A retiring holder must not be removed while too few other stores are available for a copy of its
 /// texts.
 #[test]
-fn required_holders_others_silent() {
+fn required_holders_others_unavailable() {
     let mut turns = Turns::default();
     keep(&mut turns, "a", "", &[1, 2]);
     let survey = survey([retiring(store(1, "a")), store(2, "b")]);
