--- a/crates/core/tests/roster.rs
+++ b/crates/core/tests/roster.rs
@@ -1,4 +1,4 @@
-//! Processes that introduce themselves.
+//! Processes known through their announcements.
 
 use gypsumglade_core::prelude::*;
 use gypsumglade_core::roster::{Roster, digest};
@@ -16,46 +16,45 @@
     }
 }
 
-fn heard(roster: &Roster, vm: u32) -> Option<u64> {
+fn last_seen_ms(roster: &Roster, vm: u32) -> Option<u64> {
     roster.last_seen(VmId(vm)).map(Time::as_millis)
 }
 
 #[test]
-fn hear_later_introduction() {
+fn observe_later_announcement() {
     let mut roster = Roster::default();
     roster.observe(Time::from_millis(1_000), store(1, "10.0.0.1:1", 5, 0));
     roster.observe(Time::from_millis(2_000), store(1, "10.0.0.1:1", 6, 0));
-    assert_eq!(heard(&roster, 1), Some(2_000));
+    assert_eq!(last_seen_ms(&roster, 1), Some(2_000));
 }
 
-/// A store dies, and the others go on telling each other of it. Each relay takes some milliseconds,
-/// and its age is told without them. Counted anew each time, it would look alive for seconds, and
-/// its replacement would wait for that long.
+/// Relayed announcements of a dead store must not advance its last-seen time: the delay of each
+/// relay would add up, and its replacement would be delayed by seconds.
 #[test]
-fn hear_relayed_is_no_sign_of_life() {
+fn observe_relayed_keeps_last_seen() {
     let mut roster = Roster::default();
     roster.observe(Time::from_millis(1_000), store(1, "10.0.0.1:1", 5, 0));
     for relay in 1..=20 {
         let now = 1_000 + relay * 100;
         roster.observe(Time::from_millis(now), store(1, "10.0.0.1:1", 5, relay * 92));
     }
-    assert_eq!(heard(&roster, 1), Some(1_000));
+    assert_eq!(last_seen_ms(&roster, 1), Some(1_000));
 }
 
-/// A store's disk is wiped; its process comes back at the same address under a new identity. Nothing
-/// may be sent to the former one there, nor may an old relay bring it back.
+/// A store that returns at the same address with a new identity replaces the old one, and a relayed
+/// announcement must not restore the old one.
 #[test]
-fn hear_new_identity_at_address() {
+fn observe_new_identity_at_address() {
     let mut roster = Roster::default();
     roster.observe(Time::from_millis(1_000), store(1, "10.0.0.1:1", 5, 0));
     roster.observe(Time::from_millis(2_000), store(2, "10.0.0.1:1", 9, 0));
     roster.observe(Time::from_millis(2_100), store(1, "10.0.0.1:1", 6, 1_000));
     assert_eq!(roster.at_address("10.0.0.1:1"), Some(VmId(2)));
-    assert_eq!(heard(&roster, 1), None);
+    assert_eq!(last_seen_ms(&roster, 1), None);
 }
 
 #[test]
-fn expire_silent() {
+fn expire_not_seen() {
     let mut roster = Roster::default();
     roster.observe(Time::from_millis(0), store(1, "10.0.0.1:1", 5, 0));
     roster.observe(Time::from_millis(9_000), store(2, "10.0.0.2:1", 5, 0));
@@ -65,17 +64,17 @@
 }
 
 #[test]
-fn nodes_tells_only_fresh() {
+fn nodes_recently_seen_only() {
     let mut roster = Roster::default();
     roster.observe(Time::from_millis(0), store(1, "10.0.0.1:1", 5, 0));
     roster.observe(Time::from_millis(6_000), store(2, "10.0.0.2:1", 5, 0));
-    let told = roster.nodes(Time::from_millis(6_500), 0).nodes;
-    assert_eq!(told.len(), 1);
-    assert_eq!((told[0].vm, told[0].age_ms), (2, 500));
+    let known = roster.nodes(Time::from_millis(6_500), 0).nodes;
+    assert_eq!(known.len(), 1);
+    assert_eq!((known[0].vm, known[0].age_ms), (2, 500));
 }
 
 #[test]
-fn led_by_two() {
+fn led_groups_two_leaders() {
     let mut roster = Roster::default();
     for vm in [1, 2] {
         let led = vec![Led { group: 0, members: vec![vm], settled: true, ..Led::default() }];
@@ -94,8 +93,8 @@
     assert_eq!(roster.named("s").map(|node| node.vm), Some(2));
 }
 
-/// Nobody asks an entry VM for anything. With each introduction answered by a list of all processes,
-/// what a deployment sends to find its stores grows with the square of its entries.
+/// The list of nodes leaves out entry VMs; otherwise discovery traffic would grow with the square
+/// of their number.
 #[test]
 fn nodes_grows_with_stores_only() {
     let mut roster = Roster::default();
@@ -109,34 +108,33 @@
 }
 
 #[test]
-fn nodes_same_as_told() {
+fn nodes_unchanged() {
     let mut roster = Roster::default();
     let now = Time::from_millis(1_000);
     roster.observe(now, store(1, "10.0.0.1:1", 5, 0));
     roster.observe(now, store(2, "10.0.0.2:1", 5, 0));
-    let told = digest(&roster.nodes(now, 0).nodes);
-    let again = roster.nodes(now, told);
+    let known = digest(&roster.nodes(now, 0).nodes);
+    let again = roster.nodes(now, known);
     assert!(again.same && again.nodes.is_empty());
     roster.observe(now, store(3, "10.0.0.3:1", 5, 0));
-    assert_eq!(roster.nodes(now, told).nodes.len(), 3);
+    assert_eq!(roster.nodes(now, known).nodes.len(), 3);
 }
 
-/// A store is replaced by one with an empty disk at the same address. An entry VM that is told that
-/// all is as before would go on asking for the former one.
+/// The digest changes when a store is replaced by another at the same address; otherwise an entry
+/// VM would keep asking for the old one.
 #[test]
 fn nodes_differ_after_replacement() {
     let mut roster = Roster::default();
     let now = Time::from_millis(1_000);
     roster.observe(now, store(1, "10.0.0.1:1", 5, 0));
-    let told = digest(&roster.nodes(now, 0).nodes);
+    let known = digest(&roster.nodes(now, 0).nodes);
     roster.observe(now, store(2, "10.0.0.1:1", 9, 0));
-    assert!(!roster.nodes(now, told).same);
+    assert!(!roster.nodes(now, known).same);
 }
 
-/// Stores answer that nothing changed for a minute; an entry VM must not forget them meanwhile, nor
-/// remember one that they stopped naming.
+/// Stores that are confirmed as unchanged stay in the roster, and others expire.
 #[test]
-fn confirm_keeps_those_told() {
+fn confirm_keeps_confirmed() {
     let mut roster = Roster::default();
     roster.observe(Time::from_millis(1_000), store(1, "10.0.0.1:1", 5, 0));
     roster.observe(Time::from_millis(1_000), store(2, "10.0.0.2:1", 5, 0));
@@ -149,10 +147,10 @@
     assert_eq!(left, [1]);
 }
 
-/// An entry VM is cut off for six seconds. Until then stores told it that nothing had changed; it must
-/// remember them, or nothing tells it of the bundle that came meanwhile.
+/// A partition of six seconds after a confirmation must not expire the stores; otherwise the entry
+/// VM would not learn of a new bundle.
 #[test]
-fn confirm_outlasts_short_cut() {
+fn confirm_outlasts_short_partition() {
     let mut roster = Roster::default();
     roster.observe(Time::from_millis(1_000), store(1, "10.0.0.1:1", 5, 0));
     roster.confirm(Time::from_millis(20_000), &[VmId(1)]);
@@ -160,11 +158,10 @@
     assert!(roster.contains_all(&[VmId(1)]));
 }
 
-/// An entry VM is cut off for longer than it remembers stores. Back again, it asks a seed; told that the
-/// list is the same as before, it would know no store, and serve under an old bundle until its lease is
-/// over.
+/// After a longer partition the stores have expired, and the entry VM must request the whole list
+/// instead of accepting that it is unchanged. Otherwise it would keep serving an old bundle.
 #[test]
-fn knows_not_after_long_cut() {
+fn contains_all_after_long_partition() {
     let mut roster = Roster::default();
     roster.observe(Time::from_millis(1_000), store(1, "10.0.0.1:1", 5, 0));
     roster.confirm(Time::from_millis(20_000), &[VmId(1)]);
--- a/crates/core/tests/stream_scanner.rs
+++ b/crates/core/tests/stream_scanner.rs
@@ -1,4 +1,4 @@
-//! Events in a stream that is passed through.
+//! Detection of events in a forwarded stream.
 
 use gypsumglade_core::stream::EventScanner;
 use proptest::prelude::*;
@@ -6,8 +6,8 @@
 const STREAM: &[u8] =
     b"id: 1\ndata: one\n\nid: 2\nweight: 7\ndata: two\n\n: comment\n\nid: 3\r\ndata:three\r\n\r\n";
 
-/// Feeds the pieces and returns what was passed on, how many events, and their data.
-fn pass(pieces: &[&[u8]]) -> (Vec<u8>, u64, Vec<u8>) {
+/// Feeds the pieces and returns the bytes of complete events, their number and their data.
+fn feed_all(pieces: &[&[u8]]) -> (Vec<u8>, u64, Vec<u8>) {
     let mut scanner = EventScanner::default();
     let (mut passed, mut events) = (Vec::new(), 0);
     for piece in pieces {
@@ -20,16 +20,16 @@
 
 #[test]
 fn feed_whole() {
-    let (passed, events, data) = pass(&[STREAM]);
+    let (passed, events, data) = feed_all(&[STREAM]);
     assert_eq!(passed, STREAM);
     assert_eq!(events, 3);
     assert_eq!(data, b"one\ntwo\nthree\n");
 }
 
-/// An endpoint dies in the middle of an event. The caller must not get a piece of it: the stream
-/// goes on elsewhere after the last whole event, and the piece would stand before the whole one.
+/// A partial event must not reach the caller, since another endpoint continues the stream after the
+/// last complete event.
 #[test]
-fn feed_cut_event() {
+fn feed_partial_event() {
     let mut scanner = EventScanner::default();
     let first = scanner.feed(b"id: 4\ndata: whole\n\nid: 5\ndata: ha");
     assert_eq!(&first.bytes[..], b"id: 4\ndata: whole\n\n");
@@ -45,19 +45,19 @@
 
 #[test]
 fn feed_nothing() {
-    assert_eq!(pass(&[]), (Vec::new(), 0, Vec::new()));
+    assert_eq!(feed_all(&[]), (Vec::new(), 0, Vec::new()));
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 256, rng_seed: prop::test_runner::RngSeed::Fixed(11), ..ProptestConfig::default() })]
 
-    /// However the network cuts the stream, the same bytes, events and data come out.
+    /// The result does not depend on how the stream is split into pieces.
     #[test]
     fn feed_any_pieces(mut cuts in prop::collection::vec(0..STREAM.len(), 0..12)) {
         cuts.push(0);
         cuts.push(STREAM.len());
         cuts.sort_unstable();
         let pieces: Vec<&[u8]> = cuts.windows(2).map(|pair| &STREAM[pair[0]..pair[1]]).collect();
-        prop_assert_eq!(pass(&pieces), pass(&[STREAM]));
+        prop_assert_eq!(feed_all(&pieces), feed_all(&[STREAM]));
     }
 }
--- a/crates/core/tests/turns_holders.rs
+++ b/crates/core/tests/turns_holders.rs
@@ -1,4 +1,4 @@
-//! Which stores hold the text of a program's turns.
+//! Choice of the stores that hold the texts of a program's turns.
 
 #[path = "support/property.rs"]
 mod property;
@@ -12,11 +12,11 @@
 use proptest::prelude::*;
 use proptest::test_runner::TestRunner;
 
-/// Cases of the properties when the environment names no other count.
+/// Default number of cases of each property.
 const CASES: u32 = 256;
 /// Seed of the properties' random choices.
 const SEED: u64 = 23;
-/// Programs whose texts are spread over stores.
+/// Number of programs whose texts are distributed over the stores.
 const PROGRAMS: usize = 3_000;
 
 fn store(vm: u32, domain: &str, region: &str) -> StoreInfo {
@@ -36,10 +36,10 @@
     })
 }
 
-/// A region's link is narrow and paid by volume, and a failure domain's machines fail together: the
-/// texts of a conversation must be near its callers, and not all in one domain.
+/// Serving stores of the own region come first, and within a region one store of each failure
+/// domain comes before a second one of any.
 #[test]
-fn preferred_any() {
+fn preferred_stores_any() {
     let mut runner = TestRunner::new(fixed(SEED, cases(CASES)));
     let property = |(stores, program): (Vec<StoreInfo>, u32)| {
         let order = preferred_stores(&program.to_string(), "0", &stores);
@@ -49,23 +49,23 @@
             stores.iter().filter(|store| !store.retiring).map(|store| store.vm).collect();
         prop_assert_eq!(order.len(), distinct.len());
         prop_assert_eq!(distinct, serving);
-        let abroad: Vec<bool> = order.iter().map(|vm| find(vm).region != "0").collect();
-        prop_assert!(abroad.is_sorted());
+        let cross_region: Vec<bool> = order.iter().map(|vm| find(vm).region != "0").collect();
+        prop_assert!(cross_region.is_sorted());
         for region in ["0", "1"] {
             let here = order.iter().map(find).filter(|store| store.region == region);
             let domains: Vec<&str> = here.map(|store| store.domain.as_str()).collect();
             let first: BTreeSet<&str> = domains.iter().copied().collect();
-            let begin: BTreeSet<&str> = domains[..first.len()].iter().copied().collect();
-            prop_assert_eq!(first, begin);
+            let leading: BTreeSet<&str> = domains[..first.len()].iter().copied().collect();
+            prop_assert_eq!(first, leading);
         }
         Ok(())
     };
     runner.run(&(any_stores(), any::<u32>()), property).expect("the property holds");
 }
 
-/// Each entry VM hears of stores in another order, and must choose the same.
+/// Entry VMs that list the stores in a different order must choose the same ones.
 #[test]
-fn preferred_any_order() {
+fn preferred_stores_any_input_order() {
     let mut runner = TestRunner::new(fixed(SEED, cases(CASES)));
     let property = |(mut stores, program): (Vec<StoreInfo>, u32)| {
         let program = program.to_string();
@@ -77,9 +77,10 @@
     runner.run(&(any_stores(), any::<u32>()), property).expect("the property holds");
 }
 
-/// Were the texts of all programs moved when a store comes, chains would lie on many stores each.
+/// A new store must not change the order of the others, since chains would be spread over many
+/// stores.
 #[test]
-fn preferred_newcomer() {
+fn preferred_stores_new_store() {
     let mut stores: Vec<_> = (1..=4).map(|vm| store(vm, &format!("d{vm}"), "south")).collect();
     let before: Vec<_> = (0..PROGRAMS)
         .map(|program| preferred_stores(&program.to_string(), "south", &stores))
@@ -92,12 +93,12 @@
         after.retain(|vm| *vm != VmId(5));
         assert_eq!(after, before);
     }
-    // Two places of five are the newcomer's.
+    // The new store is expected among the first two of five for two fifths of the programs.
     assert!((PROGRAMS / 3..PROGRAMS / 2).contains(&moved), "{moved}");
 }
 
 #[test]
-fn preferred_even_load() {
+fn preferred_stores_even_load() {
     let stores: Vec<_> = (1..=3).map(|vm| store(vm, &format!("d{vm}"), "south")).collect();
     for vm in 1..=3 {
         let first = |program: &usize| preferred_stores(&program.to_string(), "south", &stores)[0];
