--- a/crates/core/tests/policy_admission.rs
+++ b/crates/core/tests/policy_admission.rs
@@ -31,7 +31,7 @@
     AdmissionSettings { limit, reserve: 0.0, max_wait: patience, ..AdmissionSettings::default() }
 }
 
-fn offer(org: &str) -> AdmissionRequest {
+fn request(org: &str) -> AdmissionRequest {
     AdmissionRequest {
         org: org.into(),
         class: Class::Normal,
@@ -42,15 +42,15 @@
     }
 }
 
-fn queued(admission: &mut Admission, now: Time, offer: AdmissionRequest) -> Ticket {
-    match admission.admit(now, offer) {
+fn admit(admission: &mut Admission, now: Time, request: AdmissionRequest) -> Ticket {
+    match admission.admit(now, request) {
         AdmissionDecision::Now(ticket) | AdmissionDecision::Queued(ticket) => ticket,
         AdmissionDecision::Shed { reason, .. } => panic!("shed: {reason}"),
     }
 }
 
 /// Ends running calls one at a time and returns the order in which the waiting ones started.
-fn starts(admission: &mut Admission, first: Ticket) -> Vec<Ticket> {
+fn start_order(admission: &mut Admission, first: Ticket) -> Vec<Ticket> {
     let mut order = Vec::new();
     let mut running = first;
     let mut now = at(0);
@@ -69,21 +69,21 @@
     // One organisation floods. Without turns, a caller of another waits behind the whole flood.
     // With them, it waits for its own calls and for as many of each other organisation.
     #[test]
-    fn offer_flood_is_fair(flood in 1..200_u32, others in 1..8_u32, each in 1..6_u32) {
+    fn admit_flood_is_fair(flood in 1..200_u32, others in 1..8_u32, each in 1..6_u32) {
         let mut admission = Admission::new(settings());
-        let first = queued(&mut admission, at(0), offer("flood"));
+        let first = admit(&mut admission, at(0), request("flood"));
         for _ in 0..flood {
-            queued(&mut admission, at(0), offer("flood"));
+            admit(&mut admission, at(0), request("flood"));
         }
-        let mut mine = Vec::new();
+        let mut other_tickets = Vec::new();
         for org in 0..others {
             for _ in 0..each {
-                let offer = offer(&format!("org{org}"));
-                mine.push(queued(&mut admission, at(0), offer));
+                let request = request(&format!("org{org}"));
+                other_tickets.push(admit(&mut admission, at(0), request));
             }
         }
-        let order = starts(&mut admission, first);
-        let last = order.iter().rposition(|ticket| mine.contains(ticket)).expect("all start");
+        let order = start_order(&mut admission, first);
+        let last = order.iter().rposition(|ticket| other_tickets.contains(ticket)).expect("all start");
         prop_assert!(last <= (each * (others + 1)) as usize);
         prop_assert_eq!(order.len(), (flood + others * each) as usize);
     }
@@ -91,15 +91,15 @@
     // Urgent calls, or programs under way, arrive without end. The first caller of the last band
     // must still start, after a number of starts that is known beforehand.
     #[test]
-    fn release_starvation_bound(seed in proptest::collection::vec(proptest::bool::ANY, 700)) {
+    fn release_starvation_bound(urgencies in proptest::collection::vec(proptest::bool::ANY, 700)) {
         let mut admission = Admission::new(settings());
-        let mut running = queued(&mut admission, at(0), offer("a"));
-        let new = queued(&mut admission, at(0), AdmissionRequest { under_way: false, ..offer("b") });
+        let mut running = admit(&mut admission, at(0), request("a"));
+        let new = admit(&mut admission, at(0), AdmissionRequest { under_way: false, ..request("b") });
         let mut count = 0;
-        for urgent in seed {
+        for urgent in urgencies {
             let class = if urgent { Class::Urgent } else { Class::Normal };
-            queued(&mut admission, at(1), AdmissionRequest { class, ..offer("a") });
-            queued(&mut admission, at(1), offer("a"));
+            admit(&mut admission, at(1), AdmissionRequest { class, ..request("a") });
+            admit(&mut admission, at(1), request("a"));
             let started = admission.release(at(2), running);
             running = started[0];
             count += 1;
@@ -123,7 +123,7 @@
 
     // Every offer is answered once: started, shed or given up, whatever the order of events.
     #[test]
-    fn offer_every_ticket_settles(steps in proptest::collection::vec(0..6_u8, 1..200)) {
+    fn admit_every_ticket_settles(steps in proptest::collection::vec(0..6_u8, 1..200)) {
         let mut admission = Admission::new(AdmissionSettings { org_queue: 8, ..settings() });
         let mut now = at(0);
         let (mut running, mut waiting) = (Vec::new(), Vec::new());
@@ -133,7 +133,7 @@
             match step {
                 0..=2 => {
                     let deadline = Some(now + Duration::from_secs(u64::from(*step) * 5 + 2));
-                    match admission.admit(now, AdmissionRequest { deadline, ..offer(["a", "b"][index % 2]) }) {
+                    match admission.admit(now, AdmissionRequest { deadline, ..request(["a", "b"][index % 2]) }) {
                         AdmissionDecision::Now(ticket) => running.push(ticket),
                         AdmissionDecision::Queued(ticket) => waiting.push(ticket),
                         AdmissionDecision::Shed { retry_after, .. } => prop_assert!(retry_after >= Duration::from_secs(1)),
@@ -141,9 +141,9 @@
                 }
                 3 => if let Some(ticket) = running.pop() { started = admission.release(now, ticket) },
                 4 => if let Some(ticket) = waiting.pop() { started = admission.cancel(now, ticket) },
-                _ => for given in admission.expire(now) {
-                    prop_assert!(waiting.contains(&given.ticket));
-                    waiting.retain(|ticket| *ticket != given.ticket);
+                _ => for expired in admission.expire(now) {
+                    prop_assert!(waiting.contains(&expired.ticket));
+                    waiting.retain(|ticket| *ticket != expired.ticket);
                 },
             }
             for ticket in started {
@@ -162,19 +162,22 @@
 #[test]
 fn release_shares_by_seconds() {
     let mut admission = Admission::new(settings());
-    let mut running = queued(&mut admission, at(0), offer("c"));
+    let mut running = admit(&mut admission, at(0), request("c"));
     let long = Duration::from_secs(12);
     let mut seconds = std::collections::HashMap::new();
     for _ in 0..100 {
-        let ticket =
-            queued(&mut admission, at(0), AdmissionRequest { service_time: long, ..offer("long") });
+        let ticket = admit(
+            &mut admission,
+            at(0),
+            AdmissionRequest { service_time: long, ..request("long") },
+        );
         seconds.insert(ticket, (0, 12));
         for _ in 0..2 {
             let service = Duration::from_secs(4);
-            let ticket = queued(
+            let ticket = admit(
                 &mut admission,
                 at(0),
-                AdmissionRequest { service_time: service, ..offer("short") },
+                AdmissionRequest { service_time: service, ..request("short") },
             );
             seconds.insert(ticket, (1, 4));
         }
@@ -189,53 +192,54 @@
 }
 
 #[test]
-fn offer_flood_unfair_mutation() {
+fn admit_flood_unfair_mutation() {
     let mut unfair = settings();
     unfair.features.fair = false;
     let mut admission = Admission::new(unfair);
-    let first = queued(&mut admission, at(0), offer("flood"));
+    let first = admit(&mut admission, at(0), request("flood"));
     for _ in 0..100 {
-        queued(&mut admission, at(0), offer("flood"));
+        admit(&mut admission, at(0), request("flood"));
     }
-    let mine = queued(&mut admission, at(0), offer("other"));
-    let order = starts(&mut admission, first);
-    assert_eq!(order.iter().position(|ticket| *ticket == mine), Some(100));
+    let other = admit(&mut admission, at(0), request("other"));
+    let order = start_order(&mut admission, first);
+    assert_eq!(order.iter().position(|ticket| *ticket == other), Some(100));
 }
 
 #[test]
-fn offer_urgent_first() {
+fn admit_urgent_first() {
     let mut admission = Admission::new(settings());
-    let first = queued(&mut admission, at(0), offer("a"));
-    let new = queued(&mut admission, at(0), AdmissionRequest { under_way: false, ..offer("a") });
-    let under_way = queued(&mut admission, at(0), offer("a"));
+    let first = admit(&mut admission, at(0), request("a"));
+    let new = admit(&mut admission, at(0), AdmissionRequest { under_way: false, ..request("a") });
+    let under_way = admit(&mut admission, at(0), request("a"));
     let urgent =
-        queued(&mut admission, at(0), AdmissionRequest { class: Class::Urgent, ..offer("a") });
-    assert_eq!(starts(&mut admission, first), vec![urgent, under_way, new]);
+        admit(&mut admission, at(0), AdmissionRequest { class: Class::Urgent, ..request("a") });
+    assert_eq!(start_order(&mut admission, first), vec![urgent, under_way, new]);
 }
 
 // A caller waits for a call that cannot make its deadline, and hears so only at the deadline, when
 // it is too late to go elsewhere. It must hear at once, with a time to come back.
 #[test]
-fn offer_deadline_shed_at_once() {
+fn admit_deadline_shed_at_once() {
     let mut admission = Admission::new(settings());
-    queued(&mut admission, at(0), offer("a"));
-    queued(&mut admission, at(0), offer("a"));
+    admit(&mut admission, at(0), request("a"));
+    admit(&mut admission, at(0), request("a"));
     let deadline = Some(at(2_500));
-    let answer = admission.admit(at(0), AdmissionRequest { deadline, ..offer("a") });
+    let answer = admission.admit(at(0), AdmissionRequest { deadline, ..request("a") });
     let retry_after = Duration::from_secs(2);
     assert_eq!(answer, AdmissionDecision::Shed { retry_after, reason: ShedReason::Deadline });
 }
 
 #[test]
-fn expire_gives_up_before_deadline() {
+fn expire_before_deadline() {
     let mut admission = Admission::new(settings());
-    queued(&mut admission, at(0), offer("a"));
+    admit(&mut admission, at(0), request("a"));
     let deadline = Some(at(5_000));
-    let ticket = queued(&mut admission, at(0), AdmissionRequest { deadline, ..offer("a") });
+    let ticket = admit(&mut admission, at(0), AdmissionRequest { deadline, ..request("a") });
     assert_eq!(admission.next_expiry(), Some(at(4_000)));
     assert!(admission.expire(at(3_999)).is_empty());
-    let given: Vec<Ticket> = admission.expire(at(4_000)).iter().map(|given| given.ticket).collect();
-    assert_eq!(given, vec![ticket]);
+    let expired: Vec<Ticket> =
+        admission.expire(at(4_000)).iter().map(|expired| expired.ticket).collect();
+    assert_eq!(expired, vec![ticket]);
 }
 
 #[test]
@@ -250,7 +254,7 @@
     let low = admission.limit();
     assert!(low < 90);
     for index in 0..400 {
-        queued(&mut admission, at(40_000), offer(&format!("org{index}")));
+        admit(&mut admission, at(40_000), request(&format!("org{index}")));
     }
     for _ in 0..2_000 {
         admission.observe(at(41_000), Signal::Waited(Duration::ZERO));
@@ -267,26 +271,26 @@
         ..settings()
     };
     let mut admission = Admission::new(unbounded);
-    let mut running = queued(&mut admission, at(0), offer("a"));
-    let new = queued(&mut admission, at(0), AdmissionRequest { under_way: false, ..offer("b") });
+    let mut running = admit(&mut admission, at(0), request("a"));
+    let new = admit(&mut admission, at(0), AdmissionRequest { under_way: false, ..request("b") });
     for _ in 0..1_000 {
-        queued(&mut admission, at(1), offer("a"));
+        admit(&mut admission, at(1), request("a"));
         running = admission.release(at(2), running)[0];
         assert_ne!(running, new);
     }
 }
 
 #[test]
-fn offer_deadline_late_mutation() {
+fn admit_deadline_late_mutation() {
     let mut late = settings();
     late.features.early_shedding = false;
     let mut admission = Admission::new(late);
-    queued(&mut admission, at(0), offer("a"));
-    queued(&mut admission, at(0), offer("a"));
+    admit(&mut admission, at(0), request("a"));
+    admit(&mut admission, at(0), request("a"));
     let deadline = Some(at(2_500));
-    let ticket = queued(&mut admission, at(0), AdmissionRequest { deadline, ..offer("a") });
+    let ticket = admit(&mut admission, at(0), AdmissionRequest { deadline, ..request("a") });
     assert!(admission.expire(at(2_400)).is_empty());
-    assert_eq!(admission.expire(at(2_500)).first().map(|given| given.ticket), Some(ticket));
+    assert_eq!(admission.expire(at(2_500)).first().map(|expired| expired.ticket), Some(ticket));
 }
 
 // All engines of a model go and come back. A limit that has to grow step by step from its least
@@ -306,16 +310,16 @@
 // A caller is told when to come back, does so, and is refused again and again: the advice was a
 // guess. With calls ending at a steady rate, a caller that comes back when told is let in or queued.
 #[test]
-fn offer_retry_after_is_honest() {
+fn admit_retry_after_is_sufficient() {
     for waiting in 1..30 {
         let mut admission = Admission::new(settings());
-        let mut running = queued(&mut admission, at(0), offer("a"));
+        let mut running = admit(&mut admission, at(0), request("a"));
         for _ in 0..waiting {
-            queued(&mut admission, at(0), offer("a"));
+            admit(&mut admission, at(0), request("a"));
         }
         let in_time = |now: Time| AdmissionRequest {
             deadline: Some(now + Duration::from_millis(2_500)),
-            ..offer("a")
+            ..request("a")
         };
         let AdmissionDecision::Shed { retry_after, .. } = admission.admit(at(0), in_time(at(0)))
         else {
--- a/crates/core/tests/policy_group_health.rs
+++ b/crates/core/tests/policy_group_health.rs
@@ -7,28 +7,28 @@
 use gypsumglade_core::prelude::*;
 
 const START: Time = Time::from_millis(5_000);
-const LEFT: Duration = Duration::from_secs(3);
-const NEED: WaitRequest = WaitRequest { time_left: LEFT, bytes: 1_000, jitter: 0.5 };
+const TIME_LEFT: Duration = Duration::from_secs(3);
+const REQUEST: WaitRequest = WaitRequest { time_left: TIME_LEFT, bytes: 1_000, jitter: 0.5 };
 
-fn asked(admission: Decision) -> (RequestId, Duration) {
-    match admission {
-        Decision::Proceed { id: ask, timeout: patience } => (ask, patience),
-        Decision::Refuse { .. } => panic!("{admission:?}"),
+fn expect_proceed(decision: Decision) -> (RequestId, Duration) {
+    match decision {
+        Decision::Proceed { id, timeout } => (id, timeout),
+        Decision::Refuse { .. } => panic!("{decision:?}"),
     }
 }
 
-fn refused(admission: Decision) -> Duration {
-    match admission {
-        Decision::Refuse { retry_after: after, reason: RefusalReason::Lost } => after,
-        _ => panic!("{admission:?}"),
+fn expect_refused(decision: Decision) -> Duration {
+    match decision {
+        Decision::Refuse { retry_after, reason: RefusalReason::Lost } => retry_after,
+        _ => panic!("{decision:?}"),
     }
 }
 
 /// Returns the knowledge of a group that has been silent since [`START`], and a time when it is lost.
-fn lost() -> (GroupHealth, Time) {
+fn lost_group() -> (GroupHealth, Time) {
     let mut health = GroupHealth::default();
-    let (ask, patience) = asked(health.admit(START, NEED));
-    assert_eq!(health.end(START + patience, ask, RequestEnd::TimedOut), None);
+    let (id, timeout) = expect_proceed(health.admit(START, REQUEST));
+    assert_eq!(health.end(START + timeout, id, RequestEnd::TimedOut), None);
     let now = START + LOST_AFTER;
     assert!(health.is_lost(now));
     (health, now)
@@ -36,33 +36,33 @@
 
 /// One caller comes after another while nobody leads, and each was held as if it were the first.
 #[test]
-fn admit_holds_for_rest_of_election() {
+fn admit_waits_for_rest_of_election() {
     let mut health = GroupHealth::default();
-    let (first, whole) = asked(health.admit(START, NEED));
-    assert!(whole <= LEFT / 4);
-    health.end(START + whole, first, RequestEnd::TimedOut);
-    let (_, rest) = asked(health.admit(START + whole, NEED));
-    assert!(rest <= LOST_AFTER - whole, "{rest:?}");
+    let (first, first_timeout) = expect_proceed(health.admit(START, REQUEST));
+    assert!(first_timeout <= TIME_LEFT / 4);
+    health.end(START + first_timeout, first, RequestEnd::TimedOut);
+    let (_, remaining) = expect_proceed(health.admit(START + first_timeout, REQUEST));
+    assert!(remaining <= LOST_AFTER - first_timeout, "{remaining:?}");
 }
 
 /// A caller has little time left. Held for a quarter of it, it would be refused by a group that is only
 /// busy; held for all of it, it could not come back.
 #[test]
-fn admit_short_of_time() {
+fn admit_with_little_time_left() {
     let mut health = GroupHealth::default();
-    let left = Duration::from_millis(300);
-    let (_, patience) = asked(health.admit(START, WaitRequest { time_left: left, ..NEED }));
-    assert!(patience > left / 3 && patience <= left / 2, "{patience:?}");
+    let time_left = Duration::from_millis(300);
+    let (_, timeout) = expect_proceed(health.admit(START, WaitRequest { time_left, ..REQUEST }));
+    assert!(timeout > time_left / 3 && timeout <= time_left / 2, "{timeout:?}");
 }
 
 /// The group is known to be lost, and callers were held all the same.
 #[test]
 fn admit_one_probe_once_lost() {
-    let (mut health, now) = lost();
-    asked(health.admit(now, NEED));
+    let (mut health, now) = lost_group();
+    expect_proceed(health.admit(now, REQUEST));
     for _ in 0..100 {
-        let after = refused(health.admit(now, NEED));
-        assert!(after > Duration::ZERO && after <= LEFT / 3, "{after:?}");
+        let retry_after = expect_refused(health.admit(now, REQUEST));
+        assert!(retry_after > Duration::ZERO && retry_after <= TIME_LEFT / 3, "{retry_after:?}");
     }
 }
 
@@ -72,57 +72,54 @@
     let mut health = GroupHealth::default();
     health.begin(START, 0);
     let now = START + LOST_AFTER;
-    asked(health.admit(now, NEED));
-    refused(health.admit(now, NEED));
+    expect_proceed(health.admit(now, REQUEST));
+    expect_refused(health.admit(now, REQUEST));
 }
 
 /// Somebody leads again, and callers were refused until the next probe was due.
 #[test]
 fn admit_probe_at_once_when_found() {
-    let (mut health, now) = lost();
-    let (probe, patience) = asked(health.admit(now, NEED));
-    let now = now + patience;
+    let (mut health, now) = lost_group();
+    let (probe, timeout) = expect_proceed(health.admit(now, REQUEST));
+    let now = now + timeout;
     health.end(now, probe, RequestEnd::TimedOut);
-    refused(health.admit(now, WaitRequest { time_left: LEFT, ..NEED }));
+    expect_refused(health.admit(now, WaitRequest { time_left: TIME_LEFT, ..REQUEST }));
     health.leader_found();
-    asked(health.admit(now, NEED));
+    expect_proceed(health.admit(now, REQUEST));
 }
 
 #[test]
 fn end_answered_admits_all() {
-    let (mut health, now) = lost();
-    let (probe, _) = asked(health.admit(now, NEED));
+    let (mut health, now) = lost_group();
+    let (probe, _) = expect_proceed(health.admit(now, REQUEST));
     let change = health.end(now, probe, RequestEnd::Answered);
     assert_eq!(change, None, "its loss was never told");
     for _ in 0..100 {
-        asked(health.admit(now, NEED));
+        expect_proceed(health.admit(now, REQUEST));
     }
 }
 
 #[test]
-fn end_tells_loss_and_return_once() {
-    let (mut health, now) = lost();
-    let asks: Vec<RequestId> = (0..3).map(|_| health.begin(now, 0)).collect();
-    assert_eq!(
-        health.end(now, asks[0], RequestEnd::TimedOut),
-        Some(HealthChange::Lost(LOST_AFTER))
-    );
-    assert_eq!(health.end(now, asks[1], RequestEnd::TimedOut), None);
+fn end_reports_loss_and_recovery_once() {
+    let (mut health, now) = lost_group();
+    let ids: Vec<RequestId> = (0..3).map(|_| health.begin(now, 0)).collect();
+    assert_eq!(health.end(now, ids[0], RequestEnd::TimedOut), Some(HealthChange::Lost(LOST_AFTER)));
+    assert_eq!(health.end(now, ids[1], RequestEnd::TimedOut), None);
     let back = now + LOST_AFTER;
-    let change = health.end(back, asks[2], RequestEnd::Answered);
+    let change = health.end(back, ids[2], RequestEnd::Answered);
     assert_eq!(change, Some(HealthChange::Recovered(LOST_AFTER * 2)));
 }
 
 /// Callers leave early while the group is well. Taken for silence, the next one would be refused.
 #[test]
-fn end_dropped_says_nothing() {
+fn end_cancelled_is_ignored() {
     let mut health = GroupHealth::default();
-    let (ask, _) = asked(health.admit(START, NEED));
-    health.end(START + Duration::from_millis(10), ask, RequestEnd::Cancelled);
+    let (id, _) = expect_proceed(health.admit(START, REQUEST));
+    health.end(START + Duration::from_millis(10), id, RequestEnd::Cancelled);
     let later = START + Duration::from_secs(60);
     assert_eq!(health.silence(later), Duration::ZERO);
-    let (_, patience) = asked(health.admit(later, NEED));
-    assert!(patience >= LEFT / 5, "{patience:?}");
+    let (_, timeout) = expect_proceed(health.admit(later, REQUEST));
+    assert!(timeout >= TIME_LEFT / 5, "{timeout:?}");
 }
 
 /// An ask that has waited since before the last answer is no sign of a longer silence.
@@ -142,16 +139,16 @@
 #[test]
 fn admit_bounds_bytes_and_count() {
     for bytes in [100, 1_000_000] {
-        let need = WaitRequest { bytes, ..NEED };
+        let request = WaitRequest { bytes, ..REQUEST };
         let mut health = GroupHealth::default();
         let admitted = (0..10_000)
-            .filter(|_| matches!(health.admit(START, need), Decision::Proceed { .. }))
+            .filter(|_| matches!(health.admit(START, request), Decision::Proceed { .. }))
             .count();
         assert!(admitted > 4, "{admitted} of {bytes}");
         assert!(admitted <= 1_000 && admitted * bytes <= 10_000_000, "{admitted} of {bytes}");
-        let reason = match health.admit(START, need) {
+        let reason = match health.admit(START, request) {
             Decision::Refuse { reason, .. } => reason,
-            admission @ Decision::Proceed { .. } => panic!("{admission:?}"),
+            decision @ Decision::Proceed { .. } => panic!("{decision:?}"),
         };
         assert_eq!(reason, RefusalReason::Crowded);
     }
@@ -159,12 +156,15 @@
 
 /// Callers who were refused in one moment come back in one moment, and are all held or refused again.
 #[test]
-fn pause_spreads_callers() {
-    let (health, now) = lost();
+fn retry_after_spreads_callers() {
+    let (health, now) = lost_group();
     for now in [START + LOST_AFTER / 2, now, now + LOST_AFTER] {
-        let pause = |spread| health.retry_after(now, WaitRequest { jitter: spread, ..NEED });
-        let (first, last) = (pause(0.0).min(pause(1.0)), pause(0.0).max(pause(1.0)));
+        let delay = |jitter| health.retry_after(now, WaitRequest { jitter, ..REQUEST });
+        let (first, last) = (delay(0.0).min(delay(1.0)), delay(0.0).max(delay(1.0)));
         assert!(last - first >= Duration::from_millis(80), "{first:?} to {last:?}");
-        assert!(first >= Duration::from_millis(100) && last <= LEFT / 3, "{first:?} to {last:?}");
+        assert!(
+            first >= Duration::from_millis(100) && last <= TIME_LEFT / 3,
+            "{first:?} to {last:?}"
+        );
     }
 }
--- a/crates/core/tests/policy_overload.rs
+++ b/crates/core/tests/policy_overload.rs
@@ -3,7 +3,7 @@
 use gypsumglade_core::policy::overload::{PoolLoad, PoolSlowdown, ProgramStatus, admit};
 use gypsumglade_core::prelude::*;
 
-fn standing(rank: u8, under_way: bool) -> ProgramStatus {
+fn status(rank: u8, under_way: bool) -> ProgramStatus {
     ProgramStatus { rank, under_way }
 }
 
@@ -13,30 +13,30 @@
 
 #[test]
 fn admit_new_with_room() {
-    assert_eq!(admit(load(50), standing(0, false), 0.0), Ok(()));
-    assert_eq!(admit(load(50), standing(1, false), 0.0), Ok(()));
+    assert_eq!(admit(load(50), status(0, false), 0.0), Ok(()));
+    assert_eq!(admit(load(50), status(1, false), 0.0), Ok(()));
 }
 
 #[test]
 fn admit_under_way_always() {
-    assert_eq!(admit(load(500), standing(5, true), 0.0), Ok(()));
+    assert_eq!(admit(load(500), status(5, true), 0.0), Ok(()));
 }
 
 #[test]
-fn admit_less_urgent_first_away() {
-    assert!(admit(load(85), standing(1, false), 0.0).is_err());
-    assert!(admit(load(85), standing(0, false), 0.0).is_ok());
+fn admit_refuses_less_urgent_first() {
+    assert!(admit(load(85), status(1, false), 0.0).is_err());
+    assert!(admit(load(85), status(0, false), 0.0).is_ok());
 }
 
 #[test]
 fn admit_never_below_half() {
-    assert!(admit(load(55), standing(9, false), 0.0).is_ok());
+    assert!(admit(load(55), status(9, false), 0.0).is_ok());
 }
 
 #[test]
-fn admit_spreads_returns() {
-    let soon = admit(load(200), standing(0, false), 0.0).expect_err("full");
-    let late = admit(load(200), standing(0, false), 1.0).expect_err("full");
+fn admit_spreads_retries() {
+    let soon = admit(load(200), status(0, false), 0.0).expect_err("full");
+    let late = admit(load(200), status(0, false), 1.0).expect_err("full");
     assert!(soon < late && late < Duration::from_secs(1));
 }
 
@@ -45,8 +45,8 @@
 #[test]
 fn admit_slow_engines() {
     let slow = PoolLoad { slowdown: 2.5, ..load(45) };
-    assert!(admit(slow, standing(0, false), 0.0).is_err());
-    assert!(admit(slow, standing(0, true), 0.0).is_ok());
+    assert!(admit(slow, status(0, false), 0.0).is_err());
+    assert!(admit(slow, status(0, true), 0.0).is_ok());
 }
 
 /// Engines were slow when their last streams ended, and now nothing runs. No stream ends any more that
@@ -55,40 +55,40 @@
 #[test]
 fn admit_idle_slow_engines() {
     let idle = PoolLoad { slowdown: 3.8, ..load(0) };
-    assert_eq!(admit(idle, standing(1, false), 0.0), Ok(()));
+    assert_eq!(admit(idle, status(1, false), 0.0), Ok(()));
 }
 
 #[test]
-fn pace_follows_burst() {
-    let mut pace = PoolSlowdown::default();
-    assert_eq!(pace.ratio(), 1.0);
+fn ratio_follows_burst() {
+    let mut slowdown = PoolSlowdown::default();
+    assert_eq!(slowdown.ratio(), 1.0);
     for _ in 0..50 {
-        pace.observe(Duration::from_millis(20));
+        slowdown.observe(Duration::from_millis(20));
     }
-    assert!(pace.ratio() < 1.05);
+    assert!(slowdown.ratio() < 1.05);
     for _ in 0..15 {
-        pace.observe(Duration::from_millis(50));
+        slowdown.observe(Duration::from_millis(50));
     }
-    assert!(pace.ratio() > 1.8, "{}", pace.ratio());
+    assert!(slowdown.ratio() > 1.8, "{}", slowdown.ratio());
     for _ in 0..40 {
-        pace.observe(Duration::from_millis(21));
+        slowdown.observe(Duration::from_millis(21));
     }
-    assert!(pace.ratio() < 1.2, "{}", pace.ratio());
+    assert!(slowdown.ratio() < 1.2, "{}", slowdown.ratio());
 }
 
 #[test]
-fn pace_forgets_faster_engines() {
-    let mut pace = PoolSlowdown::default();
-    pace.observe(Duration::from_millis(10));
+fn ratio_forgets_faster_engines() {
+    let mut slowdown = PoolSlowdown::default();
+    slowdown.observe(Duration::from_millis(10));
     for _ in 0..1_000 {
-        pace.observe(Duration::from_millis(30));
+        slowdown.observe(Duration::from_millis(30));
     }
-    assert!(pace.ratio() < 1.1, "{}", pace.ratio());
+    assert!(slowdown.ratio() < 1.1, "{}", slowdown.ratio());
 }
 
 #[test]
 fn admit_unknown_load() {
-    assert!(admit(PoolLoad::default(), standing(0, false), 0.0).is_ok());
+    assert!(admit(PoolLoad::default(), status(0, false), 0.0).is_ok());
 }
 
 /// A burst of twice what a pool can do, as ticks of 100 ms. Each program takes four turns of one
@@ -96,37 +96,37 @@
 /// the queue grows and nearly nobody is in time; with new programs turned away, those let in are.
 #[test]
 fn admit_replays_burst() {
-    let whole = replay(|_, _| true);
-    let bounded = replay(|load, under_way| admit(load, standing(0, under_way), 0.0).is_ok());
-    assert!(bounded > 2 * whole, "in time: {bounded} with admission, {whole} without");
+    let unbounded = replay(|_, _| true);
+    let bounded = replay(|load, under_way| admit(load, status(0, under_way), 0.0).is_ok());
+    assert!(bounded > 2 * unbounded, "in time: {bounded} with admission, {unbounded} without");
 }
 
 /// Returns how many programs end in time.
-fn replay(lets_in: impl Fn(PoolLoad, bool) -> bool) -> usize {
+fn replay(admits: impl Fn(PoolLoad, bool) -> bool) -> usize {
     const SLOTS: usize = 40;
     const ARRIVALS: usize = 20;
     const TURNS: usize = 4;
-    const AIM: usize = 8;
+    const MAX_TICKS: usize = 8;
     let mut waiting: Vec<(usize, usize)> = Vec::new();
     let mut in_time = 0;
     for tick in 0..60 {
         for _ in 0..ARRIVALS {
             let load = PoolLoad { calls: waiting.len() as u64, slots: SLOTS as u64, slowdown: 1.0 };
-            if lets_in(load, false) {
+            if admits(load, false) {
                 waiting.push((tick, TURNS));
             }
         }
         // First come, first served, as engines do without urgencies.
         let served = waiting.len().min(SLOTS);
-        let mut after: Vec<(usize, usize)> = waiting.split_off(served);
+        let mut next: Vec<(usize, usize)> = waiting.split_off(served);
         for (start, left) in waiting.drain(..) {
             match left {
-                1 if tick - start < AIM => in_time += 1,
+                1 if tick - start < MAX_TICKS => in_time += 1,
                 1 => {}
-                _ => after.push((start, left - 1)),
+                _ => next.push((start, left - 1)),
             }
         }
-        waiting = after;
+        waiting = next;
     }
     in_time
 }
@@ -135,41 +135,41 @@
 /// entry VM stood still for a moment, and when it went on, all events of a short stream were there at
 /// once: it seemed that engines generate in no time when they are idle.
 #[test]
-fn pace_ignores_stream_held_up() {
-    let mut pace = PoolSlowdown::default();
+fn ratio_ignores_delayed_stream() {
+    let mut slowdown = PoolSlowdown::default();
     for _ in 0..50 {
-        pace.observe(Duration::from_millis(20));
+        slowdown.observe(Duration::from_millis(20));
     }
-    pace.observe(Duration::from_micros(200));
+    slowdown.observe(Duration::from_micros(200));
     for _ in 0..10 {
-        pace.observe(Duration::from_millis(20));
+        slowdown.observe(Duration::from_millis(20));
     }
-    assert!(pace.ratio() < 1.2, "{}", pace.ratio());
+    assert!(slowdown.ratio() < 1.2, "{}", slowdown.ratio());
 }
 
 #[test]
-fn pace_learns_faster_engines() {
-    let mut pace = PoolSlowdown::default();
-    pace.observe(Duration::from_millis(60));
+fn ratio_learns_faster_engines() {
+    let mut slowdown = PoolSlowdown::default();
+    slowdown.observe(Duration::from_millis(60));
     for _ in 0..60 {
-        pace.observe(Duration::from_millis(20));
+        slowdown.observe(Duration::from_millis(20));
     }
-    assert!(pace.ratio() < 1.1, "{}", pace.ratio());
+    assert!(slowdown.ratio() < 1.1, "{}", slowdown.ratio());
 }
 
 /// Three times the usual callers press while two of nine engines have turned five times slower. Each VM
 /// turns new programs away with a third of the slots in use, though the other engines are hardly slower
 /// than alone.
 #[test]
-fn pace_few_slow_engines() {
-    let mut pace = PoolSlowdown::default();
+fn ratio_few_slow_engines() {
+    let mut slowdown = PoolSlowdown::default();
     for _ in 0..50 {
-        pace.observe(Duration::from_millis(20));
+        slowdown.observe(Duration::from_millis(20));
     }
     for stream in 0..90 {
         let slow = stream % 9 < 2;
-        pace.observe(Duration::from_millis(if slow { 130 } else { 26 }));
+        slowdown.observe(Duration::from_millis(if slow { 130 } else { 26 }));
     }
-    let slowed = PoolLoad { calls: 180, slots: 576, slowdown: pace.ratio() };
-    assert_eq!(admit(slowed, standing(0, false), 0.0), Ok(()), "{slowed:?}");
+    let slowed = PoolLoad { calls: 180, slots: 576, slowdown: slowdown.ratio() };
+    assert_eq!(admit(slowed, status(0, false), 0.0), Ok(()), "{slowed:?}");
 }
--- a/crates/core/tests/policy_registry.rs
+++ b/crates/core/tests/policy_registry.rs
@@ -87,10 +87,10 @@
 ///
 /// The model is the rule itself: the newest incarnation heard, whether it ever said that it
 /// leaves, and when it last spoke with a new sequence.
-fn play(mut registry: Registry, steps: &[Step]) -> Result<(), String> {
+fn check_steps(mut registry: Registry, steps: &[Step]) -> Result<(), String> {
     let model_id = ModelId::new("advice", "1");
     let mut now = at(1_000);
-    let (mut newest, mut heard, mut left, mut until) = (0, 0, false, Time::ZERO);
+    let (mut newest, mut last_sequence, mut has_left, mut lease_end) = (0, 0, false, Time::ZERO);
     for step in steps {
         match step {
             Step::Wait(millis) => now = now + Duration::from_millis(*millis),
@@ -98,26 +98,31 @@
             Step::Leave { incarnation } => {
                 registry.leave(now, "engine-a", *incarnation);
                 if *incarnation > newest {
-                    (newest, heard, until) = (*incarnation, 0, Time::ZERO);
+                    (newest, last_sequence, lease_end) = (*incarnation, 0, Time::ZERO);
                 }
-                left |= newest == *incarnation;
+                has_left |= newest == *incarnation;
             }
             Step::Announce { incarnation, sequence, leaving } => {
-                let news = Announcement { leaving: *leaving, ..engine(*incarnation, *sequence) };
-                registry.announce(now, news);
+                let announcement =
+                    Announcement { leaving: *leaving, ..engine(*incarnation, *sequence) };
+                registry.announce(now, announcement);
                 if *incarnation > newest {
-                    (newest, heard, left, until) = (*incarnation, 0, false, Time::ZERO);
+                    (newest, last_sequence, has_left, lease_end) =
+                        (*incarnation, 0, false, Time::ZERO);
                 }
-                if *incarnation == newest && *sequence > heard && !(left && until <= now) {
-                    heard = *sequence;
-                    left |= *leaving;
-                    until = now + Duration::from_secs(3);
+                if *incarnation == newest
+                    && *sequence > last_sequence
+                    && !(has_left && lease_end <= now)
+                {
+                    last_sequence = *sequence;
+                    has_left |= *leaving;
+                    lease_end = now + Duration::from_secs(3);
                 }
             }
         }
         let open =
             registry.candidates(&model_id).iter().any(|key| registry.is_available(now, *key));
-        if open && (left || until <= now) {
+        if open && (has_left || lease_end <= now) {
             return Err(format!("work at {now} after {step:?}"));
         }
     }
@@ -132,7 +137,7 @@
     // in any order; no order may open a closed endpoint.
     #[test]
     fn announce_any_order(steps in proptest::collection::vec(step(), 1..40)) {
-        prop_assert_eq!(play(Registry::default(), &steps), Ok(()));
+        prop_assert_eq!(check_steps(Registry::default(), &steps), Ok(()));
     }
 
     #[test]
@@ -152,8 +157,8 @@
 #[test]
 fn announce_lease_mutation() {
     let steps = [Step::Announce { incarnation: 1, sequence: 1, leaving: false }, Step::Wait(3_000)];
-    assert_eq!(play(Registry::default(), &steps), Ok(()));
-    assert!(play(without(|settings| settings.safeguards.lease = false), &steps).is_err());
+    assert_eq!(check_steps(Registry::default(), &steps), Ok(()));
+    assert!(check_steps(without(|settings| settings.safeguards.lease = false), &steps).is_err());
 }
 
 #[test]
@@ -162,8 +167,8 @@
         Step::Announce { incarnation: 1, sequence: 1, leaving: true },
         Step::Announce { incarnation: 1, sequence: 2, leaving: false },
     ];
-    assert_eq!(play(Registry::default(), &steps), Ok(()));
-    assert!(play(without(|settings| settings.safeguards.sticky = false), &steps).is_err());
+    assert_eq!(check_steps(Registry::default(), &steps), Ok(()));
+    assert!(check_steps(without(|settings| settings.safeguards.sticky = false), &steps).is_err());
 }
 
 #[test]
@@ -174,21 +179,21 @@
         Step::Announce { incarnation: 1, sequence: 9, leaving: false },
         Step::Wait(200),
     ];
-    assert_eq!(play(Registry::default(), &steps), Ok(()));
-    assert!(play(without(|settings| settings.safeguards.replay = false), &steps).is_err());
+    assert_eq!(check_steps(Registry::default(), &steps), Ok(()));
+    assert!(check_steps(without(|settings| settings.safeguards.replay = false), &steps).is_err());
 }
 
 #[test]
 fn announce_address_mutation() {
     // A second process takes a live endpoint's name from another address. Callers' calls must go
     // on to the first: the name is its own for as long as its lease runs.
-    let thief = || Announcement { address: "10.9.9.9:80".into(), ..engine(5, 1) };
+    let impostor = || Announcement { address: "10.9.9.9:80".into(), ..engine(5, 1) };
     let mut registry = Registry::default();
     registry.announce(at(0), engine(4, 1));
-    assert_eq!(registry.announce(at(10), thief()), Announced::Ignored(Ignored::AddressTaken));
+    assert_eq!(registry.announce(at(10), impostor()), Announced::Ignored(Ignored::AddressTaken));
     let mut open = without(|settings| settings.safeguards.address = false);
     open.announce(at(0), engine(4, 1));
-    assert!(matches!(open.announce(at(10), thief()), Announced::Replaced { .. }));
+    assert!(matches!(open.announce(at(10), impostor()), Announced::Replaced { .. }));
 }
 
 #[test]
@@ -250,8 +255,8 @@
         events: vec![CacheEvent::Filled { program, tokens: 50 }],
         age: Duration::from_secs(1),
     };
-    let news = Announcement { cache_events: filled(7, 0), ..engine(1, 1) };
-    let key = new_key(registry.announce(at(2_000), news));
+    let announcement = Announcement { cache_events: filled(7, 0), ..engine(1, 1) };
+    let key = new_key(registry.announce(at(2_000), announcement));
     let hint = registry.get(key).and_then(|endpoint| endpoint.hint(7));
     assert_eq!(hint.map(|hint| (hint.tokens, hint.at)), Some((50, at(1_000))));
     let after_gap = Announcement { cache_events: filled(8, 5), ..engine(1, 2) };
@@ -282,14 +287,14 @@
 
 /// Two VMs that know the same endpoints, of which VM 1 is the home.
 fn home_and_other(names: &[&str]) -> (Registry, Registry) {
-    let (mut near, mut far) = (Registry::default(), Registry::default());
+    let (mut local, mut remote) = (Registry::default(), Registry::default());
     for name in names {
-        near.announce(at(0), named(name, 1));
-        far.announce(at(0), named(name, 1));
+        local.announce(at(0), named(name, 1));
+        remote.announce(at(0), named(name, 1));
     }
-    near.assign_homes(&[VmId(1)]);
-    far.assign_homes(&[VmId(1)]);
-    (near, far)
+    local.assign_homes(&[VmId(1)]);
+    remote.assign_homes(&[VmId(1)]);
+    (local, remote)
 }
 
 fn number(sequence: u32) -> SummaryNumber {
@@ -299,50 +304,53 @@
 // A summary is held up for seconds behind a parted link while the endpoint's lease runs out. Taken
 // late, it would open an endpoint that may be gone; a later summary was heard, so it is ignored.
 #[test]
-fn take_summary_replay_ignored() {
-    let (mut near, mut far) = home_and_other(&["engine-a"]);
-    let early = near.summarise(at(0), VmId(1), number(1));
-    near.leave(at(100), "engine-a", 1);
-    let late = near.summarise(at(100), VmId(1), number(2));
-    assert_eq!(far.apply_summary(at(200), &late), Ok(()));
-    assert_eq!(far.apply_summary(at(2_900), &early), Ok(()));
-    let key = far.key("engine-a").expect("known");
-    assert_eq!(far.get(key).map(|endpoint| endpoint.lease_end), Some(at(3_000)));
+fn apply_summary_replay_ignored() {
+    let (mut local, mut remote) = home_and_other(&["engine-a"]);
+    let early = local.summarise(at(0), VmId(1), number(1));
+    local.leave(at(100), "engine-a", 1);
+    let late = local.summarise(at(100), VmId(1), number(2));
+    assert_eq!(remote.apply_summary(at(200), &late), Ok(()));
+    assert_eq!(remote.apply_summary(at(2_900), &early), Ok(()));
+    let key = remote.key("engine-a").expect("known");
+    assert_eq!(remote.get(key).map(|endpoint| endpoint.lease_end), Some(at(3_000)));
 }
 
 // An endpoint announces itself to its home only. The other VMs hear of it by summaries: without
 // them its lease ends there, and its load stays as it was first heard.
 #[test]
-fn take_summary_renews_and_reports() {
-    let (mut near, mut far) = home_and_other(&["engine-a", "engine-b"]);
+fn apply_summary_renews_and_reports() {
+    let (mut local, mut remote) = home_and_other(&["engine-a", "engine-b"]);
     let busy = Announcement { load: report(30, 0), ..named("engine-a", 2) };
-    near.announce(at(2_000), busy);
-    near.leave(at(2_000), "engine-b", 1);
-    let summary = near.summarise(at(2_000), VmId(1), number(1));
-    assert_eq!(far.apply_summary(at(2_100), &summary), Ok(()));
-    let (a, b) = (far.key("engine-a").expect("known"), far.key("engine-b").expect("known"));
-    assert_eq!((far.is_available(at(4_900), a), far.is_available(at(2_100), b)), (true, false));
-    assert_eq!(far.get(a).map(|endpoint| endpoint.load(at(2_100)).total), Some(30));
+    local.announce(at(2_000), busy);
+    local.leave(at(2_000), "engine-b", 1);
+    let summary = local.summarise(at(2_000), VmId(1), number(1));
+    assert_eq!(remote.apply_summary(at(2_100), &summary), Ok(()));
+    let (a, b) = (remote.key("engine-a").expect("known"), remote.key("engine-b").expect("known"));
+    assert_eq!(
+        (remote.is_available(at(4_900), a), remote.is_available(at(2_100), b)),
+        (true, false)
+    );
+    assert_eq!(remote.get(a).map(|endpoint| endpoint.load(at(2_100)).total), Some(30));
 }
 
 // The home sends its summary a moment before the endpoint renews its lease. Rounded down, what is
 // left of the lease says "leaving", and the other VMs never use the endpoint again.
 #[test]
 fn summarise_short_lease_is_not_leaving() {
-    let (near, mut far) = home_and_other(&["engine-a"]);
-    let summary = near.summarise(at(2_990), VmId(1), number(1));
-    assert_eq!(far.apply_summary(at(2_995), &summary), Ok(()));
-    let key = far.key("engine-a").expect("known");
-    assert!(far.is_available(at(2_999), key));
+    let (local, mut remote) = home_and_other(&["engine-a"]);
+    let summary = local.summarise(at(2_990), VmId(1), number(1));
+    assert_eq!(remote.apply_summary(at(2_995), &summary), Ok(()));
+    let key = remote.key("engine-a").expect("known");
+    assert!(remote.is_available(at(2_999), key));
 }
 
 #[test]
-fn take_summary_other_roster_refused() {
-    let (mut near, mut far) = home_and_other(&["engine-a", "engine-b"]);
-    near.announce(at(100), Announcement { incarnation: 2, ..named("engine-a", 1) });
-    near.assign_homes(&[VmId(1)]);
-    let summary = near.summarise(at(100), VmId(1), number(1));
-    let refused = far.apply_summary(at(200), &summary);
+fn apply_summary_other_roster_refused() {
+    let (mut local, mut remote) = home_and_other(&["engine-a", "engine-b"]);
+    local.announce(at(100), Announcement { incarnation: 2, ..named("engine-a", 1) });
+    local.assign_homes(&[VmId(1)]);
+    let summary = local.summarise(at(100), VmId(1), number(1));
+    let refused = remote.apply_summary(at(200), &summary);
     assert_eq!(refused.map_err(|error| error.home), Err(VmId(1)));
 }
 
@@ -352,7 +360,7 @@
 fn summarise_size_at_target() {
     let names: Vec<String> = (0..16).map(|index| format!("engine-{index}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
-    let (near, _) = home_and_other(&names);
-    let size = prost::Message::encoded_len(&near.summarise(at(0), VmId(1), number(100_000)));
+    let (local, _) = home_and_other(&names);
+    let size = prost::Message::encoded_len(&local.summarise(at(0), VmId(1), number(100_000)));
     assert_eq!(size, 68);
 }
--- a/crates/core/tests/policy_renewal.rs
+++ b/crates/core/tests/policy_renewal.rs
@@ -10,7 +10,7 @@
 /// of the endpoints first, then of the bundle, and asked whether the registry was to be told in the
 /// moment between the bundle and the lease on it: nothing could be told yet.
 #[test]
-fn is_due_until_told() {
+fn is_due_until_recorded() {
     let renewal = Renewal::default();
     assert!(!renewal.is_due(NOW, None));
     assert!(renewal.is_due(NOW, Some(FIRST)));
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn is_due_after_pause_and_news() {
+fn is_due_after_interval_and_on_request() {
     let mut renewal = Renewal::default();
     renewal.record(NOW, FIRST);
     assert!(renewal.is_due(NOW + Duration::from_secs(11), Some(FIRST)));
--- a/crates/core/tests/policy_retry.rs
+++ b/crates/core/tests/policy_retry.rs
@@ -6,7 +6,7 @@
 };
 use gypsumglade_core::prelude::*;
 
-fn ask(org: &str) -> RetryRequest {
+fn request(org: &str) -> RetryRequest {
     RetryRequest {
         org: org.into(),
         attempts: 1,
@@ -24,12 +24,12 @@
 }
 
 /// Sends calls that all fail, and returns how many retries they cause.
-fn storm(retries: &mut RetryPolicy, calls: u32) -> u32 {
+fn retry_storm(retries: &mut RetryPolicy, calls: u32) -> u32 {
     let org = OrgName::const_new("a");
     let mut sent = 0;
     for _ in 0..calls {
         retries.record_call(&org);
-        if matches!(retries.decide(Time::ZERO, &ask("a")), RetryDecision::At(_)) {
+        if matches!(retries.decide(Time::ZERO, &request("a")), RetryDecision::At(_)) {
             sent += 1;
         }
     }
@@ -40,13 +40,13 @@
 // which then fail too. The budget holds retries to a tenth of the calls plus one burst.
 #[test]
 fn decide_storm_stays_in_budget() {
-    let sent = storm(&mut RetryPolicy::new(RetrySettings::default(), 3), 1_000);
+    let sent = retry_storm(&mut RetryPolicy::new(RetrySettings::default(), 3), 1_000);
     assert!((100..=112).contains(&sent), "{sent} retries");
 }
 
 #[test]
 fn decide_storm_mutation() {
-    let sent = storm(&mut without(|settings| settings.safeguards.budget = false), 1_000);
+    let sent = retry_storm(&mut without(|settings| settings.safeguards.budget = false), 1_000);
     assert_eq!(sent, 1_000);
 }
 
@@ -54,9 +54,9 @@
 fn peak(retries: &mut RetryPolicy) -> usize {
     let mut counts = [0; 200];
     for index in 0..1_000 {
-        let advice = Some(Duration::from_secs(10));
-        let ask = RetryRequest { retry_after: advice, ..ask(&format!("org{index}")) };
-        if let RetryDecision::At(at) = retries.decide(Time::ZERO, &ask) {
+        let retry_after = Some(Duration::from_secs(10));
+        let request = RetryRequest { retry_after, ..request(&format!("org{index}")) };
+        if let RetryDecision::At(at) = retries.decide(Time::ZERO, &request) {
             counts[(at.as_millis() / 100) as usize] += 1;
         }
     }
@@ -66,27 +66,27 @@
 // A store comes back and told a thousand callers "in 10 s". Without jitter all of them return in
 // one instant and it goes down again.
 #[test]
-fn decide_return_is_spread() {
+fn decide_retries_are_spread() {
     assert!(peak(&mut RetryPolicy::new(RetrySettings::default(), 3)) < 50);
 }
 
 #[test]
-fn decide_return_mutation() {
+fn decide_spread_mutation() {
     assert_eq!(peak(&mut without(|settings| settings.safeguards.jitter = false)), 1_000);
 }
 
 // A deposit was sent and its answer lost. Run again, the customer pays twice.
 #[test]
 fn decide_unknown_not_repeatable() {
-    let ask = RetryRequest { repeatable: false, failure: Failure::Unknown, ..ask("a") };
-    let decision = RetryPolicy::new(RetrySettings::default(), 3).decide(Time::ZERO, &ask);
+    let request = RetryRequest { repeatable: false, failure: Failure::Unknown, ..request("a") };
+    let decision = RetryPolicy::new(RetrySettings::default(), 3).decide(Time::ZERO, &request);
     assert_eq!(decision, RetryDecision::Stop(StopReason::NotRepeatable));
 }
 
 #[test]
 fn decide_deadline_stops() {
-    let ask = RetryRequest { deadline: Some(Time::ZERO), ..ask("a") };
-    let decision = RetryPolicy::new(RetrySettings::default(), 3).decide(Time::ZERO, &ask);
+    let request = RetryRequest { deadline: Some(Time::ZERO), ..request("a") };
+    let decision = RetryPolicy::new(RetrySettings::default(), 3).decide(Time::ZERO, &request);
     assert_eq!(decision, RetryDecision::Stop(StopReason::Deadline));
 }
 
@@ -97,8 +97,8 @@
     let mut retries = RetryPolicy::new(RetrySettings::default(), 3);
     assert_eq!(retries.hedge(Time::ZERO, &org, false, usual), None);
     assert_eq!(retries.hedge(Time::ZERO, &org, true, usual), Some(Time::from_millis(300)));
-    let mut unsafe_copy = without(|settings| settings.safeguards.repeatable = false);
-    assert!(unsafe_copy.hedge(Time::ZERO, &org, false, usual).is_some());
+    let mut unguarded = without(|settings| settings.safeguards.repeatable = false);
+    assert!(unguarded.hedge(Time::ZERO, &org, false, usual).is_some());
 }
 
 fn pause(tool: &str, pressure: f64) -> RetentionRequest {
@@ -112,40 +112,40 @@
     }
 }
 
-fn learnt() -> RetentionPolicy {
-    let mut retain = RetentionPolicy::default();
+fn trained_policy() -> RetentionPolicy {
+    let mut policy = RetentionPolicy::default();
     for _ in 0..50 {
-        retain.record("search", Duration::from_millis(400));
-        retain.record("export", Duration::from_secs(400));
+        policy.record("search", Duration::from_millis(400));
+        policy.record("export", Duration::from_secs(400));
     }
-    retain
+    policy
 }
 
 #[test]
 fn decide_keeps_through_short_pause() {
-    let kept = learnt().decide(Time::ZERO, &pause("search", 1.0));
+    let kept = trained_policy().decide(Time::ZERO, &pause("search", 1.0));
     assert!(matches!(kept, Retention::Keep { .. }));
 }
 
 #[test]
 fn decide_drops_in_long_pause() {
-    assert_eq!(learnt().decide(Time::ZERO, &pause("export", 1.0)), Retention::Drop);
+    assert_eq!(trained_policy().decide(Time::ZERO, &pause("export", 1.0)), Retention::Drop);
 }
 
 #[test]
 fn decide_keeps_where_room_is_free() {
-    let kept = learnt().decide(Time::ZERO, &pause("export", 0.5));
+    let kept = trained_policy().decide(Time::ZERO, &pause("export", 0.5));
     assert!(matches!(kept, Retention::Keep { .. }));
 }
 
 #[test]
 fn decide_moves_when_cheaper_than_refill() {
-    let ask = RetentionRequest { move_time: Some(0.5), ..pause("export", 1.0) };
-    assert_eq!(learnt().decide(Time::ZERO, &ask), Retention::Move);
+    let request = RetentionRequest { move_time: Some(0.5), ..pause("export", 1.0) };
+    assert_eq!(trained_policy().decide(Time::ZERO, &request), Retention::Move);
 }
 
 #[test]
-fn call_counts_refill_as_waste() {
+fn record_call_counts_refill_as_waste() {
     let mut cache = CacheUse::default();
     cache.record_call(1_200, 1_000, 400);
     let expected = CacheUse { filled: 800, reused: 400, refilled: 600, dropped: 0 };
--- a/crates/core/tests/policy_route.rs
+++ b/crates/core/tests/policy_route.rs
@@ -70,7 +70,7 @@
     (registry, keys)
 }
 
-fn ask() -> RouteRequest {
+fn request() -> RouteRequest {
     RouteRequest {
         target: Target::Model(ModelId::new("advice", "1")),
         program: 9,
@@ -89,7 +89,7 @@
     }
 }
 
-fn ran_on(index: u32) -> Vec<LastRun> {
+fn last_run_on(index: u32) -> Vec<LastRun> {
     let endpoint = compact_str::format_compact!("engine-{index}");
     vec![LastRun { endpoint, tokens: 20_000, at: Time::from_millis(10_000) }]
 }
@@ -107,18 +107,18 @@
 #[test]
 fn choose_own_engine_while_cheaper() {
     let (mut registry, keys) = fleet(2);
-    let ask = RouteRequest { last_runs: ran_on(1), ..ask() };
+    let request = RouteRequest { last_runs: last_run_on(1), ..request() };
     fill(&mut registry, keys[1], 4);
-    let choice = router().choose(NOW, &registry, &ask).expect("open engines");
+    let choice = router().choose(NOW, &registry, &request).expect("open engines");
     assert_eq!((choice.endpoint, choice.prefix), (keys[1], Prefix::Resident(20_000)));
 }
 
 #[test]
-fn choose_gives_way_under_load() {
+fn choose_other_engine_under_load() {
     let (mut registry, keys) = fleet(2);
-    let ask = RouteRequest { last_runs: ran_on(1), ..ask() };
+    let request = RouteRequest { last_runs: last_run_on(1), ..request() };
     fill(&mut registry, keys[1], 60);
-    let choice = router().choose(NOW, &registry, &ask).expect("open engines");
+    let choice = router().choose(NOW, &registry, &request).expect("open engines");
     assert_eq!((choice.endpoint, choice.prefix), (keys[0], Prefix::Absent));
 }
 
@@ -127,30 +127,30 @@
     let (mut registry, keys) = fleet(3);
     fill(&mut registry, keys[0], 4);
     fill(&mut registry, keys[1], 4);
-    let choice = router().choose(NOW, &registry, &ask()).expect("open engines");
+    let choice = router().choose(NOW, &registry, &request()).expect("open engines");
     assert_ne!(choice.endpoint, keys[2]);
 }
 
 /// Routes a call away from a full engine over links of `rate` bytes a second within the region.
-fn leave_full_engine(rate: f64) -> Choice {
+fn choose_past_full_engine(rate: f64) -> Choice {
     let (mut registry, keys) = fleet(3);
     fill(&mut registry, keys[0], 100);
     let mut settings = RouteSettings { import: true, ..RouteSettings::default() };
     settings.links.region.rate = rate;
-    let ask = RouteRequest { last_runs: ran_on(0), ..ask() };
-    Router::new(settings, 1).choose(NOW, &registry, &ask).expect("open engines")
+    let request = RouteRequest { last_runs: last_run_on(0), ..request() };
+    Router::new(settings, 1).choose(NOW, &registry, &request).expect("open engines")
 }
 
 #[test]
 fn choose_imports_over_fast_link() {
-    let choice = leave_full_engine(12.5e9);
+    let choice = choose_past_full_engine(12.5e9);
     assert!(matches!(choice.prefix, Prefix::Import { tokens: 20_000, .. }));
     assert_eq!(choice.prefill_tokens, 500);
 }
 
 #[test]
 fn choose_refills_where_import_is_slower() {
-    let choice = leave_full_engine(1.25e9);
+    let choice = choose_past_full_engine(1.25e9);
     assert_eq!((choice.prefix, choice.prefill_tokens), (Prefix::Absent, 20_500));
 }
 
@@ -169,7 +169,7 @@
     }
     let now = Time::from_millis(20_600);
     registry.dispatched(now, keys[0], DispatchLoad::default());
-    let choice = router().choose(now, &registry, &ask()).expect("open engines");
+    let choice = router().choose(now, &registry, &request()).expect("open engines");
     assert_eq!(choice.endpoint, keys[1]);
 }
 
@@ -177,20 +177,20 @@
 fn choose_isolated_call_runs_alone() {
     let (mut registry, keys) = fleet(2);
     fill(&mut registry, keys[0], 1);
-    let ask = RouteRequest { isolate: true, ..ask() };
-    let choice = router().choose(NOW, &registry, &ask).expect("an idle engine");
+    let request = RouteRequest { isolate: true, ..request() };
+    let choice = router().choose(NOW, &registry, &request).expect("an idle engine");
     assert_eq!(choice.endpoint, keys[1]);
     registry.dispatched(NOW, keys[1], DispatchLoad { prefill_tokens: 0, isolated: true });
-    let normal = RouteRequest { isolate: false, last_runs: ran_on(1), ..ask.clone() };
-    let beside = router().choose(NOW, &registry, &normal).expect("the other engine");
-    assert_eq!(beside.endpoint, keys[0]);
-    let none = router().choose(NOW, &registry, &ask);
+    let normal = RouteRequest { isolate: false, last_runs: last_run_on(1), ..request.clone() };
+    let other = router().choose(NOW, &registry, &normal).expect("the other engine");
+    assert_eq!(other.endpoint, keys[0]);
+    let none = router().choose(NOW, &registry, &request);
     assert!(matches!(none, Err(RouteError::NoneAvailable { .. })));
 }
 
 #[test]
 fn choose_without_engines() {
-    let refused = router().choose(NOW, &Registry::default(), &ask());
+    let refused = router().choose(NOW, &Registry::default(), &request());
     assert!(matches!(refused, Err(RouteError::NoEndpoint { .. })));
 }
 
@@ -206,13 +206,13 @@
         seed in 0..1_000_u64,
     ) {
         let (mut registry, keys) = fleet(states.len() as u32);
-        let mut ask = ask();
+        let mut request = request();
         for (index, state) in states.iter().enumerate() {
             let name = compact_str::format_compact!("engine-{index}");
             match state {
                 0 => {}
                 1 => drop(registry.leave(NOW, &name, 1)),
-                2 => ask.excluded.push(name),
+                2 => request.excluded.push(name),
                 _ => for _ in 0..3 {
                     let call = registry.dispatched(NOW, keys[index], DispatchLoad::default());
                     registry.failed(NOW, call);
@@ -220,7 +220,7 @@
             }
         }
         let mut router = Router::new(RouteSettings { sample_size: sample, ..RouteSettings::default() }, seed);
-        let chosen = router.choose(NOW, &registry, &ask).ok().map(|choice| choice.endpoint);
+        let chosen = router.choose(NOW, &registry, &request).ok().map(|choice| choice.endpoint);
         let usable = |key: &EndpointKey| states[keys.iter().position(|k| k == key).unwrap()] == 0;
         prop_assert_eq!(chosen.is_some(), states.contains(&0));
         prop_assert!(chosen.iter().all(usable));
@@ -233,13 +233,13 @@
         let mut a = Router::new(settings.clone(), seed);
         let mut b = Router::new(settings, seed);
         for _ in 0..5 {
-            prop_assert_eq!(a.choose(NOW, &registry, &ask()), b.choose(NOW, &registry, &ask()));
+            prop_assert_eq!(a.choose(NOW, &registry, &request()), b.choose(NOW, &registry, &request()));
         }
     }
 }
 
 /// Sends 20 calls beside a busy engine, and returns how many the one that just came back got.
-fn sent_to_returned(settings: RegistrySettings) -> u32 {
+fn sent_to_recovered(settings: RegistrySettings) -> u32 {
     let mut registry = Registry::new(settings);
     registry.announce(Time::ZERO, engine(0, 0, 1));
     let busy = LoadReport { running: 40, ..LoadReport::default() };
@@ -247,7 +247,7 @@
     let back = key(registry.announce(NOW, engine(1, 1, 1)));
     let mut router = router();
     for _ in 0..20 {
-        let choice = router.choose(NOW, &registry, &ask()).expect("open engines");
+        let choice = router.choose(NOW, &registry, &request()).expect("open engines");
         registry.dispatched(NOW, choice.endpoint, DispatchLoad::default());
     }
     registry.get(back).map_or(0, |endpoint| endpoint.load(NOW).own)
@@ -256,34 +256,34 @@
 // A domain comes back with empty queues and is the cheapest for every VM at once. All of them send
 // it their backlog in the same second, and it goes down again.
 #[test]
-fn choose_slow_start_holds_back() {
-    assert_eq!(sent_to_returned(RegistrySettings::default()), 1);
+fn choose_slow_start_limits_calls() {
+    assert_eq!(sent_to_recovered(RegistrySettings::default()), 1);
 }
 
 #[test]
 fn choose_slow_start_mutation() {
     let mut settings = RegistrySettings::default();
     settings.health.min_share = 1.0;
-    assert_eq!(sent_to_returned(settings), 20);
+    assert_eq!(sent_to_recovered(settings), 20);
 }
 
 /// Two engines of 64 slots; the first runs most of what there is and holds the prompt's start.
-fn crowded(beside: u32, age: Duration) -> (Registry, Vec<EndpointKey>) {
+fn loaded_engines(others: u32, age: Duration) -> (Registry, Vec<EndpointKey>) {
     let mut registry = Registry::default();
-    let loads = [beside, 2];
+    let loads = [others, 2];
     for index in 0..loads.len() {
-        let mut news = engine(index as u32, 0, 1);
-        registry.announce(Time::ZERO, news.clone());
-        news.sequence = 2;
-        news.kind = EndpointKind::Engine {
+        let mut announcement = engine(index as u32, 0, 1);
+        registry.announce(Time::ZERO, announcement.clone());
+        announcement.sequence = 2;
+        announcement.kind = EndpointKind::Engine {
             models: vec![ModelId::new("advice", "1")],
             slots: 64,
             prefill_rate: 146_000.0,
             decode_rate: 1_000.0,
             cache_tokens: 800_000,
         };
-        news.load = None;
-        registry.announce(Time::from_millis(9_000), news);
+        announcement.load = None;
+        registry.announce(Time::from_millis(9_000), announcement);
     }
     let names = ["engine-0", "engine-1"];
     let keys: Vec<_> = names.iter().filter_map(|name| registry.key(name)).collect();
@@ -294,14 +294,14 @@
     (registry, keys)
 }
 
-fn batched() -> RouteRequest {
+fn batched_request() -> RouteRequest {
     RouteRequest {
         prompt_tokens: 14_280,
         prior_tokens: 0,
         expected_output: 255,
         batch: Some(BatchCost { base: 0.000_87, slope: 0.000_04 }),
         shared_prefixes: vec![SharedPrefix { hash: 7, tokens: 12_600 }],
-        ..ask()
+        ..request()
     }
 }
 
@@ -309,19 +309,19 @@
 /// idle: every new program goes to the engine that holds its shared prompt, since nothing tells that
 /// it generates more slowly with each call, long before its slots are full.
 #[test]
-fn choose_leaves_crowded_engine() {
-    let (registry, keys) = crowded(20, Duration::ZERO);
-    let choice = router().choose(NOW, &registry, &batched()).expect("open engines");
+fn choose_avoids_loaded_engine() {
+    let (registry, keys) = loaded_engines(20, Duration::ZERO);
+    let choice = router().choose(NOW, &registry, &batched_request()).expect("open engines");
     assert_eq!(choice.endpoint, keys[1]);
-    let unaware = RouteRequest { batch: None, ..batched() };
-    let choice = router().choose(NOW, &registry, &unaware).expect("open engines");
+    let without_batch = RouteRequest { batch: None, ..batched_request() };
+    let choice = router().choose(NOW, &registry, &without_batch).expect("open engines");
     assert_eq!(choice.endpoint, keys[0]);
 }
 
 #[test]
-fn choose_keeps_prefix_with_few_beside() {
-    let (registry, keys) = crowded(5, Duration::ZERO);
-    let choice = router().choose(NOW, &registry, &batched()).expect("open engines");
+fn choose_keeps_prefix_under_low_load() {
+    let (registry, keys) = loaded_engines(5, Duration::ZERO);
+    let choice = router().choose(NOW, &registry, &batched_request()).expect("open engines");
     assert_eq!(choice.endpoint, keys[0]);
 }
 
@@ -329,10 +329,10 @@
 /// idle, and none of them sees what the others have sent there since. A report that old says
 /// nothing of now, so the prompt's start decides again.
 #[test]
-fn choose_forgets_old_reports() {
-    let (registry, keys) = crowded(20, Duration::from_secs(4));
+fn choose_ignores_old_reports() {
+    let (registry, keys) = loaded_engines(20, Duration::from_secs(4));
     let settings = RouteSettings { service_time: 0.3, ..RouteSettings::default() };
-    let choice = Router::new(settings, 1).choose(NOW, &registry, &batched());
+    let choice = Router::new(settings, 1).choose(NOW, &registry, &batched_request());
     assert_eq!(choice.expect("open engines").endpoint, keys[0]);
 }
 
@@ -340,14 +340,14 @@
 /// that there are only a few are drawn for each decision, so the one that ran the program's last turn
 /// is mostly not among them, and every turn of a long program reads all that went before again.
 #[test]
-fn choose_finds_holder_outside_draw() {
+fn choose_finds_holder_outside_sample() {
     let (mut registry, keys) = fleet(96);
     registry.expect_prefix(NOW, keys[93], 7, 20_000);
     let shared = vec![SharedPrefix { hash: 7, tokens: 20_000 }];
-    let ask = RouteRequest { prior_tokens: 0, shared_prefixes: shared, ..ask() };
+    let request = RouteRequest { prior_tokens: 0, shared_prefixes: shared, ..request() };
     let settings = RouteSettings { sample_size: 2, ..RouteSettings::default() };
     for seed in 0..20 {
-        let choice = Router::new(settings.clone(), seed).choose(NOW, &registry, &ask);
+        let choice = Router::new(settings.clone(), seed).choose(NOW, &registry, &request);
         assert_eq!(choice.expect("open engines").endpoint, keys[93]);
     }
 }
@@ -360,7 +360,7 @@
     registry.expect_prefix(NOW, keys[93], 7, 20_000);
     registry.leave(NOW, "engine-93", 1);
     let shared = vec![SharedPrefix { hash: 7, tokens: 20_000 }];
-    let ask = RouteRequest { prior_tokens: 0, shared_prefixes: shared, ..ask() };
-    let choice = router().choose(NOW, &registry, &ask).expect("open engines");
+    let request = RouteRequest { prior_tokens: 0, shared_prefixes: shared, ..request() };
+    let choice = router().choose(NOW, &registry, &request).expect("open engines");
     assert_ne!(choice.endpoint, keys[93]);
 }
--- a/crates/core/tests/policy_stall.rs
+++ b/crates/core/tests/policy_stall.rs
@@ -6,38 +6,38 @@
 #[test]
 fn stalls_unchanged_while_ticking() {
     let mut now = Time::from_millis(5_000);
-    let mut watch = StallDetector::new(now);
-    let before = watch.stalls(now);
+    let mut detector = StallDetector::new(now);
+    let before = detector.stalls(now);
     for _ in 0..100 {
         // A busy processor comes to it late.
         now = now + TICK + Duration::from_millis(60);
-        watch.tick(now);
+        detector.tick(now);
     }
-    assert_eq!(watch.stalls(now), before);
+    assert_eq!(detector.stalls(now), before);
 }
 
 /// A VM is suspended for six seconds with streams under way. When it goes on, the streams' events are
 /// all there and the streams end before the clock is looked at again. Their times say nothing of the
 /// engines, and must not be learnt from; those of later streams do.
 #[test]
-fn stalls_counts_stand_before_next_look() {
+fn stalls_counts_pause_before_next_tick() {
     let start = Time::from_millis(5_000);
-    let mut watch = StallDetector::new(start);
-    let before = watch.stalls(start);
-    let back = start + Duration::from_secs(6);
-    assert_ne!(watch.stalls(back), before);
-    watch.tick(back);
-    let after = watch.stalls(back);
+    let mut detector = StallDetector::new(start);
+    let before = detector.stalls(start);
+    let resumed = start + Duration::from_secs(6);
+    assert_ne!(detector.stalls(resumed), before);
+    detector.tick(resumed);
+    let after = detector.stalls(resumed);
     assert_ne!(after, before);
-    watch.tick(back + TICK);
-    assert_eq!(watch.stalls(back + TICK), after);
+    detector.tick(resumed + TICK);
+    assert_eq!(detector.stalls(resumed + TICK), after);
 }
 
 #[test]
-fn stalls_survives_clock_that_goes_back() {
+fn stalls_ignores_backward_clock() {
     let start = Time::from_millis(5_000);
-    let mut watch = StallDetector::new(start);
-    let before = watch.stalls(start);
-    watch.tick(Time::from_millis(1_000));
-    assert_eq!(watch.stalls(Time::from_millis(1_050)), before);
+    let mut detector = StallDetector::new(start);
+    let before = detector.stalls(start);
+    detector.tick(Time::from_millis(1_000));
+    assert_eq!(detector.stalls(Time::from_millis(1_050)), before);
 }
--- a/crates/core/tests/program_ends.rs
+++ b/crates/core/tests/program_ends.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn end_stops_releases_to_an_endpoint_that_is_gone() {
+fn end_stops_releases_to_removed_endpoint() {
     let mut group = Group::new(1);
     group.run_turn("p", "k", "a", "b");
     group.ask(ENTRY, end("p"));
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn end_is_released_where_the_turn_was_only_started() {
+fn end_releases_endpoint_of_started_turn() {
     // The entry VM dies in the middle of the turn, and the caller's program is idle until it
     // ends. Only the group knows which engine holds its memory: it was told before the first byte.
     let mut group = Group::new(1);
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn end_releases_only_when_nothing_runs_any_more() {
+fn end_releases_after_running_turn_settles() {
     // The turn goes on at the engine after the program's end. Released at once, the engine would
     // confirm, fill memory again for the rest of the turn, and keep it. So the release waits for
     // the settle.
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn end_by_deadline_counts_on_over_leader_changes() {
+fn end_by_deadline_continues_across_leader_changes() {
     // Each leader has its own clock, with a start of its own. The group's time goes on where the
     // last entry left it, so leader changes neither end a program early nor let it live for good.
     let mut group = Group::new(3);
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn end_by_budget_frees_a_loop_without_end() {
+fn end_by_budget_releases_looping_program() {
     // A looping program spends its last call. It can never be granted another, so it ends at once
     // and its engine memory is released, while the last answer stays on record.
     let mut group = Group::new(1);
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn audit_spares_a_program_whose_dispatch_still_runs() {
+fn audit_skips_program_with_running_dispatch() {
     // A program ends while its turn runs. Freed now, the engine would file the prefix again at
     // the turn's end; the audit names the memory only once the turn is settled.
     let mut group = Group::new(1);
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn retention_keeps_then_forgets_ended_programs() {
+fn retention_keeps_then_removes_ended_programs() {
     let mut group = Group::new(1);
     group.run_turn("p", "k", "a", "b");
     group.ask(ENTRY, end("p"));
--- a/crates/core/tests/program_turns.rs
+++ b/crates/core/tests/program_turns.rs
@@ -12,7 +12,7 @@
     group.run_turn("p", "k1", "a", "b");
     group.run_turn("p", "k2", "c", "d");
     let expected = messages(&[user("a"), assistant("b"), user("c"), assistant("d")]);
-    assert_eq!(sorted(&group.history("p")), sorted(std::str::from_utf8(&expected).unwrap()));
+    assert_eq!(parsed(&group.history("p")), parsed(std::str::from_utf8(&expected).unwrap()));
 }
 
 #[test]
@@ -21,12 +21,12 @@
     group.run_turn("p", "k1", "a", "b");
     let whole = [user("a"), assistant("b"), user("c")];
     let grant = group.grant(turn("p", "k2", &whole));
-    assert_eq!(sorted(std::str::from_utf8(&grant.history).unwrap()).len(), 3);
+    assert_eq!(parsed(std::str::from_utf8(&grant.history).unwrap()).len(), 3);
     assert_eq!(grant.turn, 2);
 }
 
 #[test]
-fn turn_echoed_with_decorations_is_the_same_history() {
+fn turn_with_equivalent_json_matches_history() {
     // A client library sends the engine's answer back with nulls and empty lists dropped or
     // added. Compared byte for byte, the caller would be refused for its own history.
     let mut group = Group::new(1);
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn turn_contradicting_history_names_the_place() {
+fn turn_conflicting_history_reports_position() {
     // The caller sends a whole history whose answer differs from the stored one. Appending it
     // would mix two conversations, so it is refused with the place where the two part.
     let mut group = Group::new(1);
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn turn_crossed_waits_for_the_earlier() {
+fn turn_out_of_order_waits_for_earlier() {
     // Turn 2 overtakes turn 1 on the way from the caller. It waits, and is granted only when
     // turn 1 is done, with turn 1 in its history.
     let mut group = Group::new(1);
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn turn_parked_past_its_deadline_is_answered() {
+fn turn_queued_past_deadline_is_refused() {
     let mut group = Group::new(1);
     group.grant(turn("p", "k1", &[user("a")]));
     let mut second = begin_turn("p", "k2", &[user("c")]);
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn turn_joined_past_its_deadline_is_not_called_unrun() {
+fn turn_joined_past_deadline_is_unknown() {
     // The resend of a running turn runs out of time before the turn is done. Telling its caller
     // that the call was not run would be untrue: it is running.
     let mut group = Group::new(1);
@@ -153,6 +153,6 @@
     Body::BeginTurn(begin)
 }
 
-fn sorted(json: &str) -> Vec<serde_json::Value> {
+fn parsed(json: &str) -> Vec<serde_json::Value> {
     serde_json::from_str(json).expect("a JSON array")
 }
--- a/crates/core/tests/quarantine_property.rs
+++ b/crates/core/tests/quarantine_property.rs
@@ -27,56 +27,56 @@
 #[derive(Clone, Copy, Debug)]
 enum Op {
     /// A program's caller sends its request, again if need be.
-    Ask { program: usize },
+    Request { program: usize },
     /// A granted request is sent to an engine, or to one of its own when it must run alone.
     Send { program: usize, engine: usize },
     /// A harmless request completes.
     Finish { program: usize },
     /// A bad request kills its engine, and every request there is reported as crashed.
-    Kill { program: usize },
+    Crash { program: usize },
     /// Another replica leads; what the last leader was told of engines is gone.
-    Lead { to: usize },
+    ChangeLeader { to: usize },
 }
 
 /// A granted request, and the engine it runs on once it is sent.
-struct Flight {
+struct InFlight {
     grant: wire::Grant,
     engine: Option<String>,
 }
 
 /// Engines, callers and the group between them.
-struct Fleet {
+struct Simulation {
     group: Group,
     waiting: BTreeMap<RequestToken, usize>,
-    flights: BTreeMap<usize, Flight>,
+    in_flight: BTreeMap<usize, InFlight>,
     attempts: u32,
-    deaths: usize,
+    crashes: usize,
     /// Bad requests in flight when the first engine died, and leader changes since.
-    beside: usize,
+    bad_elsewhere: usize,
     violations: Vec<String>,
 }
 
-impl Fleet {
-    fn new() -> Fleet {
-        Fleet {
+impl Simulation {
+    fn new() -> Simulation {
+        Simulation {
             group: Group::new(3),
             waiting: BTreeMap::new(),
-            flights: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             attempts: 0,
-            deaths: 0,
-            beside: 0,
+            crashes: 0,
+            bad_elsewhere: 0,
             violations: vec![],
         }
     }
 
     fn perform(&mut self, op: Op) {
         match op {
-            Op::Ask { program } => self.ask(program),
+            Op::Request { program } => self.request(program),
             Op::Send { program, engine } => self.send(program, engine),
             Op::Finish { program } if !is_bad(program) => self.finish(program),
-            Op::Kill { program } if is_bad(program) => self.kill(program),
-            Op::Finish { .. } | Op::Kill { .. } => {}
-            Op::Lead { to } => {
+            Op::Crash { program } if is_bad(program) => self.crash(program),
+            Op::Finish { .. } | Op::Crash { .. } => {}
+            Op::ChangeLeader { to } => {
                 self.waiting.clear();
                 self.group.change_leader(to, Fate::Kept);
             }
@@ -84,9 +84,9 @@
         self.deliver();
     }
 
-    fn ask(&mut self, program: usize) {
+    fn request(&mut self, program: usize) {
         let asked = self.waiting.values().any(|waiting| *waiting == program);
-        if asked || self.flights.contains_key(&program) {
+        if asked || self.in_flight.contains_key(&program) {
             return;
         }
         let text =
@@ -99,7 +99,7 @@
     fn send(&mut self, program: usize, engine: usize) {
         self.attempts += 1;
         let alone = format!("own{}", self.attempts);
-        let Some(flight) = self.flights.get_mut(&program) else { return };
+        let Some(flight) = self.in_flight.get_mut(&program) else { return };
         if flight.engine.is_some() {
             return;
         }
@@ -110,31 +110,31 @@
     }
 
     fn finish(&mut self, program: usize) {
-        if self.flights.get(&program).is_none_or(|flight| flight.engine.is_none()) {
+        if self.in_flight.get(&program).is_none_or(|flight| flight.engine.is_none()) {
             return;
         }
-        let Some(flight) = self.flights.remove(&program) else { return };
+        let Some(flight) = self.in_flight.remove(&program) else { return };
         let settle = done(&name_of(program), &flight.grant.dispatch, &assistant("fine"));
         self.group.send(ENTRY, settle);
     }
 
-    fn kill(&mut self, program: usize) {
-        let Some(engine) = self.flights.get(&program).and_then(|f| f.engine.clone()) else {
+    fn crash(&mut self, program: usize) {
+        let Some(engine) = self.in_flight.get(&program).and_then(|f| f.engine.clone()) else {
             return;
         };
-        self.deaths += 1;
-        let hit: BTreeSet<usize> = self
-            .flights
+        self.crashes += 1;
+        let affected: BTreeSet<usize> = self
+            .in_flight
             .iter()
             .filter(|(_, flight)| flight.engine.as_ref() == Some(&engine))
             .map(|(program, _)| *program)
             .collect();
-        if self.deaths == 1 {
-            let bad = self.flights.keys().filter(|p| is_bad(**p) && !hit.contains(*p));
-            self.beside = bad.count();
+        if self.crashes == 1 {
+            let bad = self.in_flight.keys().filter(|p| is_bad(**p) && !affected.contains(*p));
+            self.bad_elsewhere = bad.count();
         }
-        for program in hit {
-            let Some(flight) = self.flights.remove(&program) else { continue };
+        for program in affected {
+            let Some(flight) = self.in_flight.remove(&program) else { continue };
             let report = crashed(&name_of(program), &flight.grant.dispatch, &engine);
             self.group.send(ENTRY, report);
         }
@@ -147,7 +147,7 @@
             let Some(program) = self.waiting.remove(&token) else { continue };
             match reply.body {
                 Some(ReplyBody::Grant(grant)) => {
-                    self.flights.insert(program, Flight { grant, engine: None });
+                    self.in_flight.insert(program, InFlight { grant, engine: None });
                 }
                 Some(ReplyBody::Refused(refused))
                     if refused.code() == Refusal::Quarantined && !is_bad(program) =>
@@ -157,24 +157,24 @@
                 _ => {}
             }
         }
-        let bound = 2 + self.beside;
-        if self.deaths > bound {
-            self.violations.push(format!("{} engines died, bound {bound}", self.deaths));
+        let bound = 2 + self.bad_elsewhere;
+        if self.crashes > bound {
+            self.violations.push(format!("{} engines died, bound {bound}", self.crashes));
         }
     }
 }
 
 #[test]
-fn bad_request_costs_two_engines_and_hurts_nobody_else() {
+fn bad_request_crashes_few_engines_and_quarantines_no_other() {
     // Three programs send the same bad request again and again, six send harmless ones; they
     // share three engines, and leaders change. Two engines are lost, and one more for each copy
     // that was in flight elsewhere when the first died. No harmless request is quarantined.
     let mut runner = TestRunner::new(fixed(SEED, cases(CASES)));
     let ops = prop::collection::vec(any_op(), 1..150);
     let result = runner.run(&ops, |ops| {
-        let mut fleet = Fleet::new();
-        ops.into_iter().for_each(|op| fleet.perform(op));
-        prop_assert!(fleet.violations.is_empty(), "{:?}", fleet.violations);
+        let mut simulation = Simulation::new();
+        ops.into_iter().for_each(|op| simulation.perform(op));
+        prop_assert!(simulation.violations.is_empty(), "{:?}", simulation.violations);
         Ok(())
     });
     result.unwrap_or_else(|failure| panic!("{failure}"));
@@ -191,11 +191,11 @@
 fn any_op() -> impl Strategy<Value = Op> {
     let program = 0..PROGRAMS;
     prop_oneof![
-        4 => program.clone().prop_map(|program| Op::Ask { program }),
+        4 => program.clone().prop_map(|program| Op::Request { program }),
         4 => (program.clone(), 0..ENGINES)
             .prop_map(|(program, engine)| Op::Send { program, engine }),
         2 => program.clone().prop_map(|program| Op::Finish { program }),
-        2 => program.prop_map(|program| Op::Kill { program }),
-        1 => (0..3_usize).prop_map(|to| Op::Lead { to }),
+        2 => program.prop_map(|program| Op::Crash { program }),
+        1 => (0..3_usize).prop_map(|to| Op::ChangeLeader { to }),
     ]
 }
--- a/crates/core/tests/quarantine_scores.rs
+++ b/crates/core/tests/quarantine_scores.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn crash_of_an_engine_makes_all_its_requests_suspect_and_clears_the_innocent() {
+fn crash_suspects_all_requests_and_clears_those_that_complete() {
     // Three requests share an engine when it dies. Each is suspect and runs alone next time; the
     // two innocent complete and are cleared, the guilty one kills again and is quarantined.
     let mut group = Group::new(1);
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn suspect_that_completes_lets_the_waiting_go() {
+fn suspect_that_completes_releases_waiting_requests() {
     let mut group = Group::new(1);
     let grant = group.grant(turn("p", "k", &[user("harmless")]));
     group.ask(ENTRY, crashed("p", &grant.dispatch, "e1"));
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn quarantine_is_told_to_other_groups() {
+fn quarantine_is_shared_with_other_groups() {
     // Another group has never seen the request. It learns the score by way of the control group
     // and refuses the request before it costs a third engine.
     let mut first = Group::new(1);
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn quarantine_is_lifted_by_a_bundle_and_not_taken_over_again() {
+fn quarantine_lifted_by_bundle_stays_lifted() {
     // The operators lift the digest with a bundle. Gossip of the old score that is still under way
     // must not bring the quarantine back.
     let mut group = Group::new(1);
--- a/crates/core/tests/scenario_policy.rs
+++ b/crates/core/tests/scenario_policy.rs
@@ -28,7 +28,7 @@
 type Outcome = Result<String, Box<dyn Error>>;
 
 /// One decision point and the calls it has in flight.
-struct Point {
+struct Scenario {
     now: Time,
     registry: Registry,
     router: Router,
@@ -72,13 +72,13 @@
     }
 }
 
-impl Point {
-    fn new() -> Point {
+impl Scenario {
+    fn new() -> Scenario {
         let mut admission = AdmissionSettings { reserve: 0.0, ..AdmissionSettings::default() };
         admission.limit.start = 2.0;
         admission.limit.max = 2.0;
         admission.org_queue = 4;
-        Point {
+        Scenario {
             now: Time::ZERO,
             registry: Registry::default(),
             router: Router::new(RouteSettings::default(), 1),
@@ -103,7 +103,7 @@
         let age = Duration::from_millis(args.number("age", 0)?);
         let running = args.number("running", 0)? as u32;
         for name in args.names.iter().filter(|name| **name != "leaving") {
-            let news = Announcement {
+            let announcement = Announcement {
                 name: (*name).into(),
                 incarnation: args.number("incarnation", 1)?,
                 sequence: self.sequence,
@@ -123,7 +123,7 @@
                 load: Some(LoadReport { running, waiting: 0, cached_tokens: 0, age }),
                 cache_events: CacheEvents::default(),
             };
-            self.registry.announce(self.now, news);
+            self.registry.announce(self.now, announcement);
         }
         Ok(String::new())
     }
@@ -132,8 +132,8 @@
     fn send(&mut self, args: &Args<'_>) -> Outcome {
         let mut counts: BTreeMap<CompactString, u32> = BTreeMap::new();
         for _ in 0..args.number("count", 1)? {
-            let ask = self.ask(args)?;
-            let label = match self.router.choose(self.now, &self.registry, &ask) {
+            let request = self.request(args)?;
+            let label = match self.router.choose(self.now, &self.registry, &request) {
                 Ok(choice) => {
                     let load =
                         DispatchLoad { prefill_tokens: choice.prefill_tokens, isolated: false };
@@ -160,7 +160,7 @@
         Ok(text)
     }
 
-    fn ask(&self, args: &Args<'_>) -> Result<RouteRequest, Box<dyn Error>> {
+    fn request(&self, args: &Args<'_>) -> Result<RouteRequest, Box<dyn Error>> {
         let model = args.keys.get("model").copied().unwrap_or("advice");
         let prior = args.number("prior", 0)?;
         let run = |name: &&str| LastRun { endpoint: (*name).into(), tokens: prior, at: self.now };
@@ -205,7 +205,7 @@
         let mut times = Vec::new();
         for _ in 0..args.number("count", 1)? {
             self.retries.record_call(&org);
-            let ask = RetryRequest {
+            let request = RetryRequest {
                 org: org.clone(),
                 attempts: 1,
                 repeatable: true,
@@ -213,7 +213,7 @@
                 deadline: None,
                 retry_after: (advice > 0).then_some(Duration::from_millis(advice)),
             };
-            if let RetryDecision::At(at) = self.retries.decide(self.now, &ask) {
+            if let RetryDecision::At(at) = self.retries.decide(self.now, &request) {
                 times.push(at.as_millis());
             }
         }
@@ -221,12 +221,12 @@
         Ok(format!("{} retried, {first:?} to {last:?} ms\n", times.len()))
     }
 
-    fn offer(&mut self, args: &Args<'_>) -> Outcome {
+    fn admit(&mut self, args: &Args<'_>) -> Outcome {
         let org = args.first()?;
         let deadline = args.number("deadline", 0)?;
         let mut text = String::new();
         for _ in 0..args.number("count", 1)? {
-            let offer = AdmissionRequest {
+            let request = AdmissionRequest {
                 org: org.into(),
                 class: if args.has("urgent") { Class::Urgent } else { Class::Normal },
                 under_way: !args.has("new"),
@@ -234,7 +234,7 @@
                 deadline: (deadline > 0).then(|| self.now + Duration::from_millis(deadline)),
                 service_time: Duration::from_secs(1),
             };
-            let said = match self.admission.admit(self.now, offer) {
+            let outcome = match self.admission.admit(self.now, request) {
                 AdmissionDecision::Now(ticket) => {
                     self.tickets.insert(ticket, org.into());
                     self.running.push(ticket);
@@ -248,7 +248,7 @@
                     format!("not run: {reason}; retry after {} ms", retry_after.as_millis())
                 }
             };
-            writeln!(text, "{org} {said}")?;
+            writeln!(text, "{org} {outcome}")?;
         }
         Ok(text)
     }
@@ -269,15 +269,15 @@
         Ok(format!("{}\n", names.join(" ")))
     }
 
-    fn give_up(&mut self) -> Outcome {
+    fn expire(&mut self) -> Outcome {
         let mut text = String::new();
-        for given in self.admission.expire(self.now) {
-            let org = &self.tickets[&given.ticket];
+        for expired in self.admission.expire(self.now) {
+            let org = &self.tickets[&expired.ticket];
             writeln!(
                 text,
                 "{org} not run: {}; retry after {} ms",
-                given.reason,
-                given.retry_after.as_millis()
+                expired.reason,
+                expired.retry_after.as_millis()
             )?;
         }
         Ok(text)
@@ -288,7 +288,7 @@
     error.to_compact_string()
 }
 
-impl Runner for Point {
+impl Runner for Scenario {
     type Command = Command;
 
     fn run(&mut self, command: &Command, _context: &Context) -> Outcome {
@@ -308,9 +308,9 @@
             "finish" => self.end(&args, false),
             "fail" => self.end(&args, true),
             "retry" => self.retry(&args),
-            "offer" => self.offer(&args),
+            "offer" => self.admit(&args),
             "release" => self.release(&args),
-            "give-up" => self.give_up(),
+            "give-up" => self.expire(),
             other => Err(format!("unknown command {other}").into()),
         }
     }
@@ -318,7 +318,7 @@
 
 fn script(name: &str) {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/../../scenarios/policy");
-    goldenscript::run(&mut Point::new(), format!("{folder}/{name}")).expect("script");
+    goldenscript::run(&mut Scenario::new(), format!("{folder}/{name}")).expect("script");
 }
 
 #[test]
--- a/crates/core/tests/scenario_program.rs
+++ b/crates/core/tests/scenario_program.rs
@@ -70,7 +70,7 @@
     /// The holder of the latest grant of a key tells its outcome.
     Settle {
         program: String,
-        outcome: Told,
+        outcome: SettleOutcome,
         #[arg(key)]
         key: String,
         #[arg(key, optional)]
@@ -127,20 +127,20 @@
 
 /// What a holder tells of its dispatch.
 #[derive(Clone, Copy, Debug)]
-enum Told {
+enum SettleOutcome {
     Done,
     NotRun,
     Crashed,
 }
 
-impl std::str::FromStr for Told {
+impl std::str::FromStr for SettleOutcome {
     type Err = String;
 
-    fn from_str(text: &str) -> Result<Told, String> {
+    fn from_str(text: &str) -> Result<SettleOutcome, String> {
         match text {
-            "done" => Ok(Told::Done),
-            "not-run" => Ok(Told::NotRun),
-            "crashed" => Ok(Told::Crashed),
+            "done" => Ok(SettleOutcome::Done),
+            "not-run" => Ok(SettleOutcome::NotRun),
+            "crashed" => Ok(SettleOutcome::Crashed),
             other => Err(format!("unknown outcome {other}: done, not-run or crashed")),
         }
     }
@@ -170,11 +170,11 @@
     group: Group,
     grants: BTreeMap<(String, String), String>,
     /// Requests whose reply was not printed yet.
-    open: BTreeMap<RequestToken, Asked>,
+    pending: BTreeMap<RequestToken, PendingRequest>,
 }
 
 /// A request as the output names it.
-struct Asked {
+struct PendingRequest {
     line: String,
     program: String,
     key: String,
@@ -182,7 +182,7 @@
 
 impl Scenario {
     fn new() -> Scenario {
-        Scenario { group: Group::new(1), grants: BTreeMap::new(), open: BTreeMap::new() }
+        Scenario { group: Group::new(1), grants: BTreeMap::new(), pending: BTreeMap::new() }
     }
 
     fn ask(&mut self, verb: &str, program: &str, key: &str, vm: VmId, body: Body) {
@@ -192,8 +192,8 @@
         } else {
             format!("{verb} {program} {key}")
         };
-        let asked = Asked { line, program: program.into(), key: key.into() };
-        self.open.insert(token, asked);
+        let asked = PendingRequest { line, program: program.into(), key: key.into() };
+        self.pending.insert(token, asked);
     }
 
     fn dispatch(&self, program: &str, key: &str) -> String {
@@ -209,9 +209,9 @@
         let endpoint = endpoint.as_deref().unwrap_or("e1");
         let answer = answer.as_deref().unwrap_or_default();
         let body = match outcome {
-            Told::Done => done(program, &dispatch, &assistant(answer)),
-            Told::NotRun => not_run(program, &dispatch),
-            Told::Crashed => crashed(program, &dispatch, endpoint),
+            SettleOutcome::Done => done(program, &dispatch, &assistant(answer)),
+            SettleOutcome::NotRun => not_run(program, &dispatch),
+            SettleOutcome::Crashed => crashed(program, &dispatch, endpoint),
         };
         let Body::Settle(mut settle) = body else { return Err("no settle".into()) };
         settle.endpoint = endpoint.to_owned();
@@ -333,14 +333,14 @@
     fn print(&mut self, before: &[RequestToken]) -> Result<String, std::fmt::Error> {
         let mut out = String::new();
         for (token, reply) in std::mem::take(&mut self.group.replies) {
-            let Some(asked) = self.open.remove(&token) else { continue };
+            let Some(asked) = self.pending.remove(&token) else { continue };
             if let Some(ReplyBody::Grant(grant)) = &reply.body {
                 let key = (asked.program.clone(), asked.key.clone());
                 self.grants.insert(key, grant.dispatch.clone());
             }
             writeln!(out, "{}: {}", asked.line, describe(reply.body))?;
         }
-        for (token, asked) in &self.open {
+        for (token, asked) in &self.pending {
             if !before.contains(token) {
                 writeln!(out, "{}: waits", asked.line)?;
             }
@@ -368,7 +368,7 @@
     type Command = Line;
 
     fn run(&mut self, line: &Line, _: &goldenscript::Context) -> Result<String, Box<dyn Error>> {
-        let before: Vec<RequestToken> = self.open.keys().copied().collect();
+        let before: Vec<RequestToken> = self.pending.keys().copied().collect();
         let mut out = self.perform(line)?;
         if !out.is_empty() {
             out.push('\n');
