--- a/crates/core/tests/policy_admission.rs
+++ b/crates/core/tests/policy_admission.rs
@@ -1,4 +1,4 @@
-//! Admission: fairness, starvation bounds, early shedding and the limit.
+//! Tests of admission: fair queueing, starvation bounds, load shedding and the concurrency limit.
 
 use gypsumglade_core::policy::Class;
 use gypsumglade_core::policy::admission::{
@@ -24,7 +24,7 @@
     Time::from_millis(millis)
 }
 
-/// One place, no reserve, so that the order of starts is the order of decisions.
+/// Allows one call at a time without a reserve, so that calls start in the order of the decisions.
 fn settings() -> AdmissionSettings {
     let limit = LimitSettings { start: 1.0, min: 1.0, max: 1.0, ..LimitSettings::default() };
     let patience = Duration::from_secs(3_600);
@@ -49,7 +49,7 @@
     }
 }
 
-/// Ends running calls one at a time and returns the order in which the waiting ones started.
+/// Releases running calls one at a time and returns the waiting calls in the order of their start.
 fn start_order(admission: &mut Admission, first: Ticket) -> Vec<Ticket> {
     let mut order = Vec::new();
     let mut running = first;
@@ -66,8 +66,8 @@
 proptest! {
     #![proptest_config(config())]
 
-    // One organisation floods. Without turns, a caller of another waits behind the whole flood.
-    // With them, it waits for its own calls and for as many of each other organisation.
+    // One organisation sends many calls at once. A call of another one waits only for earlier calls
+    // of its own organisation and for as many of each other organisation.
     #[test]
     fn admit_flood_is_fair(flood in 1..200_u32, others in 1..8_u32, each in 1..6_u32) {
         let mut admission = Admission::new(settings());
@@ -75,26 +75,27 @@
         for _ in 0..flood {
             admit(&mut admission, at(0), request("flood"));
         }
-        let mut other_tickets = Vec::new();
+        let mut tickets = Vec::new();
         for org in 0..others {
             for _ in 0..each {
                 let request = request(&format!("org{org}"));
-                other_tickets.push(admit(&mut admission, at(0), request));
+                tickets.push(admit(&mut admission, at(0), request));
             }
         }
         let order = start_order(&mut admission, first);
-        let last = order.iter().rposition(|ticket| other_tickets.contains(ticket)).expect("all start");
+        let last = order.iter().rposition(|ticket| tickets.contains(ticket)).expect("all started");
         prop_assert!(last <= (each * (others + 1)) as usize);
         prop_assert_eq!(order.len(), (flood + others * each) as usize);
     }
 
-    // Urgent calls, or programs under way, arrive without end. The first caller of the last band
-    // must still start, after a number of starts that is known beforehand.
+    // Urgent calls and programs under way keep arriving. A waiting call of a new program must still
+    // start after a bounded number of other calls.
     #[test]
     fn release_starvation_bound(urgencies in proptest::collection::vec(proptest::bool::ANY, 700)) {
         let mut admission = Admission::new(settings());
         let mut running = admit(&mut admission, at(0), request("a"));
-        let new = admit(&mut admission, at(0), AdmissionRequest { under_way: false, ..request("b") });
+        let new =
+            admit(&mut admission, at(0), AdmissionRequest { under_way: false, ..request("b") });
         let mut count = 0;
         for urgent in urgencies {
             let class = if urgent { Class::Urgent } else { Class::Normal };
@@ -107,7 +108,7 @@
                 break;
             }
             if admission.waiting() > 200 {
-                // Keep the flood within the organisation's queue.
+                // Keeps the calls within the queue limit of the organisation.
                 let more = admission.release(at(2), running);
                 running = more[0];
                 count += 1;
@@ -121,7 +122,7 @@
         prop_assert!(count <= (bounds.urgent_run + 1) * (bounds.under_way_run + 1));
     }
 
-    // Every offer is answered once: started, shed or given up, whatever the order of events.
+    // Each call is started, cancelled or expired exactly once, or shed, in any order of events.
     #[test]
     fn admit_every_ticket_settles(steps in proptest::collection::vec(0..6_u8, 1..200)) {
         let mut admission = Admission::new(AdmissionSettings { org_queue: 8, ..settings() });
@@ -133,7 +134,9 @@
             match step {
                 0..=2 => {
                     let deadline = Some(now + Duration::from_secs(u64::from(*step) * 5 + 2));
-                    match admission.admit(now, AdmissionRequest { deadline, ..request(["a", "b"][index % 2]) }) {
+                    match admission
+                        .admit(now, AdmissionRequest { deadline, ..request(["a", "b"][index % 2]) })
+                    {
                         AdmissionDecision::Now(ticket) => running.push(ticket),
                         AdmissionDecision::Queued(ticket) => waiting.push(ticket),
                         AdmissionDecision::Shed { retry_after, .. } => prop_assert!(retry_after >= Duration::from_secs(1)),
@@ -157,8 +160,8 @@
     }
 }
 
-// An organisation of long calls must not get more seconds than one of short calls: both have calls
-// waiting all the time, and after many starts their seconds are equal up to one call.
+// Organisations share service time, not numbers of calls: with calls of both waiting all the time,
+// their sums of seconds differ by at most one call.
 #[test]
 fn release_shares_by_seconds() {
     let mut admission = Admission::new(settings());
@@ -216,8 +219,8 @@
     assert_eq!(start_order(&mut admission, first), vec![urgent, under_way, new]);
 }
 
-// A caller waits for a call that cannot make its deadline, and hears so only at the deadline, when
-// it is too late to go elsewhere. It must hear at once, with a time to come back.
+// A call that can't finish before its deadline is refused at once with a retry delay, not only when
+// its deadline has passed.
 #[test]
 fn admit_deadline_shed_at_once() {
     let mut admission = Admission::new(settings());
@@ -293,8 +296,8 @@
     assert_eq!(admission.expire(at(2_500)).first().map(|expired| expired.ticket), Some(ticket));
 }
 
-// All engines of a model go and come back. A limit that has to grow step by step from its least
-// would shed callers for minutes while the engines are idle.
+// The limit follows the capacity at once when all engines of a model return. If it grew step by
+// step, calls would be shed while engines are idle.
 #[test]
 fn resize_follows_capacity() {
     let limit = LimitSettings { min: 2.0, ..LimitSettings::default() };
@@ -307,8 +310,8 @@
     assert_eq!(admission.limit(), 40);
 }
 
-// A caller is told when to come back, does so, and is refused again and again: the advice was a
-// guess. With calls ending at a steady rate, a caller that comes back when told is let in or queued.
+// A caller that returns after the retry delay is admitted or queued if calls end at a steady rate;
+// otherwise it would be refused again and again.
 #[test]
 fn admit_retry_after_is_sufficient() {
     for waiting in 1..30 {
@@ -323,7 +326,7 @@
         };
         let AdmissionDecision::Shed { retry_after, .. } = admission.admit(at(0), in_time(at(0)))
         else {
-            panic!("{waiting} calls fit before the deadline");
+            panic!("not shed behind {waiting} waiting calls");
         };
         let mut now = at(0);
         while now < at(0) + retry_after {
--- a/crates/core/tests/policy_attempt_timeout.rs
+++ b/crates/core/tests/policy_attempt_timeout.rs
@@ -1,4 +1,4 @@
-//! How long an answer is waited for.
+//! Tests of the timeout of an attempt.
 
 use gypsumglade_core::policy::attempt_timeout::ResponseTime;
 use gypsumglade_core::prelude::*;
@@ -15,8 +15,8 @@
     time
 }
 
-/// An endpoint runs a lookup and its answer is lost. Waited for until its time is over, the caller's
-/// program fails; asked again elsewhere after a few times what lookups take, it goes on.
+/// The answer of a lookup is lost. The attempt times out after a few usual response times, so that
+/// time is left for another endpoint.
 #[test]
 fn attempt_timeout_leaves_time_for_another() {
     let timeout = observed(50).attempt_timeout(TIME_LEFT, 1);
@@ -34,8 +34,8 @@
     assert_eq!(ResponseTime::default().attempt_timeout(TIME_LEFT, 2), TIME_LEFT / 3);
 }
 
-/// Endpoints are loaded and all answers slow. Sent once more after the time that they took when idle,
-/// calls would double the load that slows them.
+/// The timeout follows slow answers of loaded endpoints. With the timeout of idle endpoints,
+/// further attempts would double their load.
 #[test]
 fn attempt_timeout_grows_with_load() {
     let mut time = observed(20);
--- a/crates/core/tests/policy_batch.rs
+++ b/crates/core/tests/policy_batch.rs
@@ -1,8 +1,9 @@
-//! How much slower engines are found to be for each request that they run.
+//! Tests of the estimates of decode and prefill speed.
 
 use gypsumglade_core::policy::batch::{BatchFit, PrefillFit};
 
-/// A token's seconds on an engine like the users': 0.87 ms alone, 0.04 ms for each further request.
+/// Returns the seconds per token beside `others` requests: 0.87 ms alone, and 0.04 ms more for each
+/// other request.
 fn token_seconds(others: f64) -> f64 {
     0.000_87 + 0.000_04 * others
 }
@@ -19,7 +20,7 @@
         let others = f64::from(round % 20);
         fit.observe(others, token_seconds(others));
     }
-    let cost = fit.cost(64).expect("streams were seen");
+    let cost = fit.cost(64).expect("streams were observed");
     assert!((cost.base - 0.000_87).abs() < 0.000_02, "{cost:?}");
     assert!((cost.slope - 0.000_04).abs() < 0.000_002, "{cost:?}");
 }
@@ -30,13 +31,13 @@
     for _ in 0..50 {
         fit.observe(4.0, token_seconds(4.0));
     }
-    let cost = fit.cost(64).expect("streams were seen");
-    // Twice as long with 64 beside as alone.
+    let cost = fit.cost(64).expect("streams were observed");
+    // The prior: twice as long per token with 64 other requests as alone.
     assert!((cost.slope * 64.0 / cost.base - 1.0).abs() < 0.05, "{cost:?}");
 }
 
-/// A pool's engines turn slow for a while for reasons of their own while they are idle, so that
-/// few requests go with long times. More requests must never seem to make an engine faster.
+/// Idle engines may be slow for other reasons, so that low load goes with long times. The estimate
+/// must not conclude that load makes engines faster.
 #[test]
 fn cost_never_falls_with_load() {
     let mut fit = BatchFit::default();
@@ -44,11 +45,11 @@
         let others = f64::from(round % 10);
         fit.observe(others, 0.004 - 0.000_3 * others);
     }
-    let cost = fit.cost(64).expect("streams were seen");
+    let cost = fit.cost(64).expect("streams were observed");
     assert!(cost.slope >= 0.0 && cost.base > 0.0, "{cost:?}");
 }
 
-/// A prompt's first event on an engine like the users': 30 ms, and 1 ms for each 50 tokens to read.
+/// Returns the seconds to the first event: 30 ms, and 1 ms for each 50 uncached tokens.
 fn first_event_seconds(uncached: f64) -> f64 {
     0.030 + uncached / 50_000.0
 }
@@ -65,12 +66,12 @@
         let uncached = f64::from(round % 10) * 400.0;
         fit.observe(uncached, first_event_seconds(uncached));
     }
-    let token = fit.token_time().expect("streams were seen");
+    let token = fit.token_time().expect("streams were observed");
     assert!((token * 50_000.0 - 1.0).abs() < 0.05, "{token}");
 }
 
-/// Engines are replaced by ones that read five times more slowly. Placed by the old speed, prompts
-/// go where they must be read again because it seems to cost nothing.
+/// Engines are replaced by ones with a fifth of the prefill speed. With the old estimate, prompts
+/// would be sent to engines that have to prefill them again.
 #[test]
 fn token_time_follows_slower_engines() {
     let mut fit = PrefillFit::default();
@@ -82,12 +83,11 @@
         let uncached = f64::from(round % 10) * 400.0;
         fit.observe(uncached, 0.030 + uncached / 10_000.0);
     }
-    let token = fit.token_time().expect("streams were seen");
+    let token = fit.token_time().expect("streams were observed");
     assert!((token * 10_000.0 - 1.0).abs() < 0.2, "{token}");
 }
 
-/// Events that were held up come all at once, or clocks jump: figures that can't be are passed over,
-/// and no figure makes reading cost less than nothing or without end.
+/// Delayed events and clock jumps give impossible times, which must not change the estimate.
 #[test]
 fn token_time_ignores_invalid_streams() {
     let mut fit = PrefillFit::default();
@@ -99,19 +99,19 @@
         fit.observe(500.0, invalid);
     }
     fit.observe(f64::NAN, 0.1);
-    let token = fit.token_time().expect("streams were seen");
+    let token = fit.token_time().expect("streams were observed");
     assert!((token * 50_000.0 - 1.0).abs() < 0.05, "{token}");
 }
 
-/// Returns how many times longer than alone a token takes beside this many, as streams showed.
+/// Returns the estimated time per token beside `others` requests, relative to that of a request
+/// that runs alone.
 fn slowdown(fit: &BatchFit, others: f64) -> f64 {
-    let cost = fit.cost(64).expect("streams were seen");
+    let cost = fit.cost(64).expect("streams were observed");
     cost.token_time(others) / cost.token_time(0.0)
 }
 
-/// Callers of two entry VMs are turned away for twenty seconds while the engines stand nearly idle. An
-/// entry VM stood still for a moment, and when it went on, all events of a short stream were there at
-/// once: it seemed that engines generate in no time when they are idle.
+/// After a pause of the entry VM, the delayed events of a stream arrive at once and look extremely
+/// fast. One such stream must not make the pool seem overloaded.
 #[test]
 fn slowdown_ignores_delayed_stream() {
     let mut fit = BatchFit::default();
@@ -145,8 +145,8 @@
     assert!(slowdown(&fit, 3.0) < 1.1, "{}", slowdown(&fit, 3.0));
 }
 
-/// A burst fills engines with 30 requests each, which makes their tokens take two and a half times as
-/// long; after it they are as before. Taken late, the burst is over before anyone is turned away.
+/// A burst with 30 requests on each engine makes tokens take two and a half times as long. The
+/// estimate has to rise within the burst and fall after it.
 #[test]
 fn slowdown_follows_burst() {
     let mut fit = BatchFit::default();
--- a/crates/core/tests/policy_group_health.rs
+++ b/crates/core/tests/policy_group_health.rs
@@ -1,4 +1,4 @@
-//! Who may wait for a replicated group, and for how long.
+//! Tests of the admission of callers that wait for a replicated group.
 
 use gypsumglade_core::policy::group_health::{
     Decision, GroupHealth, HealthChange, LOST_AFTER, RefusalReason, RequestEnd, RequestId,
@@ -24,7 +24,8 @@
     }
 }
 
-/// Returns the knowledge of a group that has been silent since [`START`], and a time when it is lost.
+/// Returns the health of a group that hasn't answered since [`START`], and a time at which it
+/// counts as lost.
 fn lost_group() -> (GroupHealth, Time) {
     let mut health = GroupHealth::default();
     let (id, timeout) = expect_proceed(health.admit(START, REQUEST));
@@ -34,7 +35,8 @@
     (health, now)
 }
 
-/// One caller comes after another while nobody leads, and each was held as if it were the first.
+/// Callers that arrive during an election wait only for the rest of it, not for a whole election
+/// each.
 #[test]
 fn admit_waits_for_rest_of_election() {
     let mut health = GroupHealth::default();
@@ -45,8 +47,8 @@
     assert!(remaining <= LOST_AFTER - first_timeout, "{remaining:?}");
 }
 
-/// A caller has little time left. Held for a quarter of it, it would be refused by a group that is only
-/// busy; held for all of it, it could not come back.
+/// A caller with little time left waits long enough for an answer of a busy group, and keeps time
+/// for a retry.
 #[test]
 fn admit_with_little_time_left() {
     let mut health = GroupHealth::default();
@@ -55,7 +57,7 @@
     assert!(timeout > time_left / 3 && timeout <= time_left / 2, "{timeout:?}");
 }
 
-/// The group is known to be lost, and callers were held all the same.
+/// Callers of a lost group are refused at once, except for one probe.
 #[test]
 fn admit_one_probe_once_lost() {
     let (mut health, now) = lost_group();
@@ -66,7 +68,8 @@
     }
 }
 
-/// A caller finds no answer. Those who come while it waits must know of the silence as well.
+/// A request that is still waiting counts towards the silence, so later callers are refused as
+/// well.
 #[test]
 fn admit_refused_while_first_still_waits() {
     let mut health = GroupHealth::default();
@@ -76,7 +79,8 @@
     expect_refused(health.admit(now, REQUEST));
 }
 
-/// Somebody leads again, and callers were refused until the next probe was due.
+/// When a leader is found, the next caller probes the group at once instead of after the probe
+/// interval.
 #[test]
 fn admit_probe_at_once_when_found() {
     let (mut health, now) = lost_group();
@@ -93,7 +97,7 @@
     let (mut health, now) = lost_group();
     let (probe, _) = expect_proceed(health.admit(now, REQUEST));
     let change = health.end(now, probe, RequestEnd::Answered);
-    assert_eq!(change, None, "its loss was never told");
+    assert_eq!(change, None, "the loss was not reported");
     for _ in 0..100 {
         expect_proceed(health.admit(now, REQUEST));
     }
@@ -110,7 +114,8 @@
     assert_eq!(change, Some(HealthChange::Recovered(LOST_AFTER * 2)));
 }
 
-/// Callers leave early while the group is well. Taken for silence, the next one would be refused.
+/// A cancelled request tells nothing about the group. If it counted as silence, later callers would
+/// be refused.
 #[test]
 fn end_cancelled_is_ignored() {
     let mut health = GroupHealth::default();
@@ -122,7 +127,7 @@
     assert!(timeout >= TIME_LEFT / 5, "{timeout:?}");
 }
 
-/// An ask that has waited since before the last answer is no sign of a longer silence.
+/// A request that was sent before the last answer doesn't make the silence longer.
 #[test]
 fn silence_counts_from_last_answer() {
     let mut health = GroupHealth::default();
@@ -134,8 +139,8 @@
     assert!(!health.is_lost(late + Duration::from_millis(500)));
 }
 
-/// Callers with large prompts pile up before the silence is known. Their bytes and their number are
-/// bounded, or the process ends for its memory.
+/// Callers with large prompts arrive before the group counts as lost. Their number and bytes are
+/// limited, so that the process doesn't run out of memory.
 #[test]
 fn admit_bounds_bytes_and_count() {
     for bytes in [100, 1_000_000] {
@@ -154,7 +159,8 @@
     }
 }
 
-/// Callers who were refused in one moment come back in one moment, and are all held or refused again.
+/// Retry delays are spread, so that callers that were refused at the same time don't return at the
+/// same time.
 #[test]
 fn retry_after_spreads_callers() {
     let (health, now) = lost_group();
--- a/crates/core/tests/policy_mechanism.rs
+++ b/crates/core/tests/policy_mechanism.rs
@@ -1,4 +1,4 @@
-//! Switching mechanisms off, one by one.
+//! Tests of switching off single mechanisms.
 
 use gypsumglade_core::policy::mechanism::{Mechanism, Mechanisms};
 
@@ -7,7 +7,8 @@
     assert!(Mechanism::ALL.iter().all(|mechanism| Mechanisms::default().has(*mechanism)));
 }
 
-/// An ablation that switches off more than it names, or nothing, tells a wrong worth.
+/// An ablation must switch off exactly the named mechanism, or it would measure the effect of
+/// another one.
 #[test]
 fn without_only_those_named() {
     for off in Mechanism::ALL {
--- a/crates/core/tests/policy_overload.rs
+++ b/crates/core/tests/policy_overload.rs
@@ -1,4 +1,4 @@
-//! Which turns get an engine when there is more work than can be done in time.
+//! Tests of overload control: the slowdown estimate and the admission of turns.
 
 use gypsumglade_core::policy::overload::{PoolLoad, PoolSlowdown, ProgramStatus, admit};
 use gypsumglade_core::prelude::*;
@@ -35,13 +35,13 @@
 
 #[test]
 fn admit_spreads_retries() {
-    let soon = admit(load(200), status(0, false), 0.0).expect_err("full");
-    let late = admit(load(200), status(0, false), 1.0).expect_err("full");
+    let soon = admit(load(200), status(0, false), 0.0).expect_err("the pool is full");
+    let late = admit(load(200), status(0, false), 1.0).expect_err("the pool is full");
     assert!(soon < late && late < Duration::from_secs(1));
 }
 
-/// Engines of 64 slots are half full and twice as slow as alone: every program in them ends late,
-/// though there are slots for many more.
+/// New programs are refused while engines are slow, even if slots are free, since all programs on
+/// these engines would end late.
 #[test]
 fn admit_slow_engines() {
     let slow = PoolLoad { slowdown: 2.5, ..load(45) };
@@ -49,9 +49,8 @@
     assert!(admit(slow, status(0, true), 0.0).is_ok());
 }
 
-/// Engines were slow when their last streams ended, and now nothing runs. No stream ends any more that
-/// could show them faster, so a process that goes by the last pace turns every new program away for
-/// good.
+/// Idle engines give no new samples that could correct an old slowdown. New programs must be
+/// admitted nevertheless.
 #[test]
 fn admit_idle_slow_engines() {
     let idle = PoolLoad { slowdown: 3.8, ..load(0) };
@@ -91,9 +90,9 @@
     assert!(admit(PoolLoad::default(), status(0, false), 0.0).is_ok());
 }
 
-/// A burst of twice what a pool can do, as ticks of 100 ms. Each program takes four turns of one
-/// tick; a slot runs one turn a tick, and a program is in time within eight ticks. Taken in whole,
-/// the queue grows and nearly nobody is in time; with new programs turned away, those let in are.
+/// A burst of twice the capacity, in ticks of 100 ms. Each program takes four turns of one tick, a
+/// slot runs one turn per tick, and a program is in time within eight ticks. If everything is
+/// admitted, the queue grows and few programs are in time.
 #[test]
 fn admit_replays_burst() {
     let unbounded = replay(|_, _| true);
@@ -101,7 +100,7 @@
     assert!(bounded > 2 * unbounded, "in time: {bounded} with admission, {unbounded} without");
 }
 
-/// Returns how many programs end in time.
+/// Returns the number of programs that end in time.
 fn replay(admits: impl Fn(PoolLoad, bool) -> bool) -> usize {
     const SLOTS: usize = 40;
     const ARRIVALS: usize = 20;
@@ -116,7 +115,7 @@
                 waiting.push((tick, TURNS));
             }
         }
-        // First come, first served, as engines do without urgencies.
+        // Engines run requests in the order of arrival.
         let served = waiting.len().min(SLOTS);
         let mut next: Vec<(usize, usize)> = waiting.split_off(served);
         for (start, left) in waiting.drain(..) {
@@ -131,9 +130,8 @@
     in_time
 }
 
-/// Callers of two entry VMs are turned away for twenty seconds while the engines stand nearly idle. An
-/// entry VM stood still for a moment, and when it went on, all events of a short stream were there at
-/// once: it seemed that engines generate in no time when they are idle.
+/// After a pause of the entry VM, the delayed events of a stream arrive at once and look extremely
+/// fast. One such stream must not make the pool seem overloaded.
 #[test]
 fn ratio_ignores_delayed_stream() {
     let mut slowdown = PoolSlowdown::default();
@@ -157,9 +155,8 @@
     assert!(slowdown.ratio() < 1.1, "{}", slowdown.ratio());
 }
 
-/// Three times the usual callers press while two of nine engines have turned five times slower. Each VM
-/// turns new programs away with a third of the slots in use, though the other engines are hardly slower
-/// than alone.
+/// Two of nine engines are five times slower under high load. They must not cause new programs to
+/// be refused while the other engines are nearly as fast as when idle.
 #[test]
 fn ratio_few_slow_engines() {
     let mut slowdown = PoolSlowdown::default();
--- a/crates/core/tests/policy_registry.rs
+++ b/crates/core/tests/policy_registry.rs
@@ -1,4 +1,4 @@
-//! Properties and mutations of the endpoint registry.
+//! Tests of the endpoint registry: properties, and mutations that switch off a safeguard.
 
 use gypsumglade_core::policy::registry::{
     Announced, Announcement, CacheEvent, CacheEvents, DispatchLoad, EndpointKind, Ignored,
@@ -83,10 +83,10 @@
     ]
 }
 
-/// Plays steps and returns the first moment at which work would go where it must not.
+/// Runs steps and returns an error if a closed endpoint is offered for new work.
 ///
-/// The model is the rule itself: the newest incarnation heard, whether it ever said that it
-/// leaves, and when it last spoke with a new sequence.
+/// The expected state is the newest incarnation, whether it announced that it leaves, and the lease
+/// after its last announcement with a new sequence number.
 fn check_steps(mut registry: Registry, steps: &[Step]) -> Result<(), String> {
     let model_id = ModelId::new("advice", "1");
     let mut now = at(1_000);
@@ -123,7 +123,7 @@
         let open =
             registry.candidates(&model_id).iter().any(|key| registry.is_available(now, *key));
         if open && (has_left || lease_end <= now) {
-            return Err(format!("work at {now} after {step:?}"));
+            return Err(format!("available at {now} after {step:?}"));
         }
     }
     Ok(())
@@ -132,9 +132,8 @@
 proptest! {
     #![proptest_config(config())]
 
-    // A caller's turn hangs when it is sent to an endpoint that said it leaves, or whose lease ran
-    // out because the news of leaving was lost. Announcements, replays and old incarnations arrive
-    // in any order; no order may open a closed endpoint.
+    // Announcements, replays and old incarnations arrive in any order. None may open an endpoint
+    // that leaves or whose lease has expired, because turns sent there would hang.
     #[test]
     fn announce_any_order(steps in proptest::collection::vec(step(), 1..40)) {
         prop_assert_eq!(check_steps(Registry::default(), &steps), Ok(()));
@@ -185,8 +184,8 @@
 
 #[test]
 fn announce_address_mutation() {
-    // A second process takes a live endpoint's name from another address. Callers' calls must go
-    // on to the first: the name is its own for as long as its lease runs.
+    // A second process announces a live endpoint's name from another address. The name keeps its
+    // address until its lease expires.
     let impostor = || Announcement { address: "10.9.9.9:80".into(), ..engine(5, 1) };
     let mut registry = Registry::default();
     registry.announce(at(0), engine(4, 1));
@@ -215,9 +214,8 @@
     assert_eq!(registry.get(new).map(|endpoint| endpoint.load(at(3)).own), Some(0));
 }
 
-// A burst arrives between two load reports. Each call sees the same old report of an idle engine
-// and goes there, and the last one waits for all the others. Own calls sent since the report was
-// written must count on top of it, and those sent before must not count twice.
+// Calls sent after a load report was written are added to the reported load. Otherwise all calls of
+// a burst would go to the same idle engine. Calls sent before the report must not count twice.
 #[test]
 fn load_report_corrected() {
     let mut registry = Registry::default();
@@ -229,7 +227,7 @@
     assert_eq!(load.map(|load| (load.total, load.own)), Some((4, 2)));
 }
 
-// The page on capacity counts on this figure: docs/design/registry.md.
+// The capacity estimate in docs/design/registry.md uses this size.
 #[test]
 fn endpoint_state_size() {
     let size = std::mem::size_of::<gypsumglade_core::policy::registry::Endpoint>();
@@ -273,7 +271,8 @@
         let call = registry.dispatched(at(1), key, DispatchLoad::default());
         registry.failed(at(2), call);
     }
-    let health = registry.get(key).map(|endpoint| endpoint.health.clone()).expect("known");
+    let health =
+        registry.get(key).map(|endpoint| endpoint.health.clone()).expect("the endpoint is known");
     let back = at(2) + settings.base_ejection;
     assert!(health.is_ejected(at(3)));
     assert!(!health.is_ejected(back));
@@ -285,7 +284,7 @@
     Announcement { name: name.into(), load: report(12, 0), ..engine(1, sequence) }
 }
 
-/// Two VMs that know the same endpoints, of which VM 1 is the home.
+/// Returns the registries of the home VM of the named endpoints, which is VM 1, and of another VM.
 fn home_and_other(names: &[&str]) -> (Registry, Registry) {
     let (mut local, mut remote) = (Registry::default(), Registry::default());
     for name in names {
@@ -301,8 +300,8 @@
     SummaryNumber { incarnation: 3, sequence }
 }
 
-// A summary is held up for seconds behind a parted link while the endpoint's lease runs out. Taken
-// late, it would open an endpoint that may be gone; a later summary was heard, so it is ignored.
+// A delayed summary that arrives after a later one is ignored. Otherwise it would extend the lease
+// of an endpoint that may be gone.
 #[test]
 fn apply_summary_replay_ignored() {
     let (mut local, mut remote) = home_and_other(&["engine-a"]);
@@ -311,12 +310,12 @@
     let late = local.summarise(at(100), VmId(1), number(2));
     assert_eq!(remote.apply_summary(at(200), &late), Ok(()));
     assert_eq!(remote.apply_summary(at(2_900), &early), Ok(()));
-    let key = remote.key("engine-a").expect("known");
+    let key = remote.key("engine-a").expect("the endpoint is known");
     assert_eq!(remote.get(key).map(|endpoint| endpoint.lease_end), Some(at(3_000)));
 }
 
-// An endpoint announces itself to its home only. The other VMs hear of it by summaries: without
-// them its lease ends there, and its load stays as it was first heard.
+// An endpoint announces itself to its home VM only. Summaries renew its lease and update its load
+// on the other VMs.
 #[test]
 fn apply_summary_renews_and_reports() {
     let (mut local, mut remote) = home_and_other(&["engine-a", "engine-b"]);
@@ -325,7 +324,10 @@
     local.leave(at(2_000), "engine-b", 1);
     let summary = local.summarise(at(2_000), VmId(1), number(1));
     assert_eq!(remote.apply_summary(at(2_100), &summary), Ok(()));
-    let (a, b) = (remote.key("engine-a").expect("known"), remote.key("engine-b").expect("known"));
+    let (a, b) = (
+        remote.key("engine-a").expect("the endpoint is known"),
+        remote.key("engine-b").expect("the endpoint is known"),
+    );
     assert_eq!(
         (remote.is_available(at(4_900), a), remote.is_available(at(2_100), b)),
         (true, false)
@@ -333,14 +335,14 @@
     assert_eq!(remote.get(a).map(|endpoint| endpoint.load(at(2_100)).total), Some(30));
 }
 
-// The home sends its summary a moment before the endpoint renews its lease. Rounded down, what is
-// left of the lease says "leaving", and the other VMs never use the endpoint again.
+// A lease that is about to expire must not be rounded down to zero, which means that the endpoint
+// leaves. The other VMs would stop using it.
 #[test]
 fn summarise_short_lease_is_not_leaving() {
     let (local, mut remote) = home_and_other(&["engine-a"]);
     let summary = local.summarise(at(2_990), VmId(1), number(1));
     assert_eq!(remote.apply_summary(at(2_995), &summary), Ok(()));
-    let key = remote.key("engine-a").expect("known");
+    let key = remote.key("engine-a").expect("the endpoint is known");
     assert!(remote.is_available(at(2_999), key));
 }
 
@@ -354,8 +356,8 @@
     assert_eq!(refused.map_err(|error| error.home), Err(VmId(1)));
 }
 
-// The bound of 10 KB/s a VM at 390 VMs and 5,900 endpoints rests on this size:
-// docs/design/registry.md works it out.
+// The limit of 10 KB/s per VM at 390 VMs and 5,900 endpoints in docs/design/registry.md depends on
+// this size.
 #[test]
 fn summarise_size_at_target() {
     let names: Vec<String> = (0..16).map(|index| format!("engine-{index}")).collect();
--- a/crates/core/tests/policy_renewal.rs
+++ b/crates/core/tests/policy_renewal.rs
@@ -1,4 +1,4 @@
-//! When the registry is told again of the endpoints.
+//! Tests of when endpoints are announced to the registry again.
 
 use gypsumglade_core::policy::registry::Renewal;
 use gypsumglade_core::prelude::*;
@@ -6,9 +6,8 @@
 const NOW: Time = Time::from_millis(1_000);
 const FIRST: RevisionNumber = RevisionNumber(15);
 
-/// Callers of an entry VM that has just started get nothing but refusals for ten seconds. It learnt
-/// of the endpoints first, then of the bundle, and asked whether the registry was to be told in the
-/// moment between the bundle and the lease on it: nothing could be told yet.
+/// A renewal stays due until it is recorded. If asking alone counted as done, the registry of an
+/// entry VM that has just started would stay empty until the next interval.
 #[test]
 fn is_due_until_recorded() {
     let renewal = Renewal::default();
--- a/crates/core/tests/policy_retry.rs
+++ b/crates/core/tests/policy_retry.rs
@@ -1,4 +1,4 @@
-//! Retries and retention: budgets, jitter, hedges, and prefix memory in pauses.
+//! Tests of retry budgets, jitter and hedges, and of the retention of prompt caches during pauses.
 
 use gypsumglade_core::policy::retention::{CacheUse, Retention, RetentionPolicy, RetentionRequest};
 use gypsumglade_core::policy::retry::{
@@ -23,7 +23,7 @@
     RetryPolicy::new(settings, 3)
 }
 
-/// Sends calls that all fail, and returns how many retries they cause.
+/// Returns the number of retries that failing calls cause.
 fn retry_storm(retries: &mut RetryPolicy, calls: u32) -> u32 {
     let org = OrgName::const_new("a");
     let mut sent = 0;
@@ -36,8 +36,8 @@
     sent
 }
 
-// A domain is gone and every call fails. Each retry is a call more for the domains that are left,
-// which then fail too. The budget holds retries to a tenth of the calls plus one burst.
+// After the loss of a failure domain every call fails, and retries could overload the other
+// domains. The budget limits them to a tenth of the calls plus one burst.
 #[test]
 fn decide_storm_stays_in_budget() {
     let sent = retry_storm(&mut RetryPolicy::new(RetrySettings::default(), 3), 1_000);
@@ -50,7 +50,7 @@
     assert_eq!(sent, 1_000);
 }
 
-/// Returns the most calls that come back within one of a hundred equal parts of ten seconds.
+/// Returns the largest number of retries within an interval of 100 ms.
 fn peak(retries: &mut RetryPolicy) -> usize {
     let mut counts = [0; 200];
     for index in 0..1_000 {
@@ -63,8 +63,8 @@
     counts.into_iter().max().unwrap_or(0)
 }
 
-// A store comes back and told a thousand callers "in 10 s". Without jitter all of them return in
-// one instant and it goes down again.
+// A thousand callers get the same retry delay. Without jitter all of them return at the same time
+// and overload the store again.
 #[test]
 fn decide_retries_are_spread() {
     assert!(peak(&mut RetryPolicy::new(RetrySettings::default(), 3)) < 50);
@@ -75,7 +75,7 @@
     assert_eq!(peak(&mut without(|settings| settings.safeguards.jitter = false)), 1_000);
 }
 
-// A deposit was sent and its answer lost. Run again, the customer pays twice.
+// The answer of a deposit is lost. A second attempt could charge the customer twice.
 #[test]
 fn decide_unknown_not_repeatable() {
     let request = RetryRequest { repeatable: false, failure: Failure::Unknown, ..request("a") };
--- a/crates/core/tests/policy_route.rs
+++ b/crates/core/tests/policy_route.rs
@@ -1,4 +1,4 @@
-//! Endpoint choice: what each term of the cost decides, and what may never be chosen.
+//! Tests of routing: the effect of each cost term, and endpoints that must not be chosen.
 
 use gypsumglade_core::policy::Class;
 use gypsumglade_core::policy::batch::BatchCost;
@@ -14,7 +14,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 
-/// Late enough that endpoints announced at zero are past their slow start.
+/// Time at which endpoints that were announced at zero have completed their slow start.
 const NOW: Time = Time::from_millis(11_000);
 
 fn config() -> Config {
@@ -109,7 +109,7 @@
     let (mut registry, keys) = fleet(2);
     let request = RouteRequest { last_runs: last_run_on(1), ..request() };
     fill(&mut registry, keys[1], 4);
-    let choice = router().choose(NOW, &registry, &request).expect("open engines");
+    let choice = router().choose(NOW, &registry, &request).expect("an engine is available");
     assert_eq!((choice.endpoint, choice.prefix), (keys[1], Prefix::Resident(20_000)));
 }
 
@@ -118,7 +118,7 @@
     let (mut registry, keys) = fleet(2);
     let request = RouteRequest { last_runs: last_run_on(1), ..request() };
     fill(&mut registry, keys[1], 60);
-    let choice = router().choose(NOW, &registry, &request).expect("open engines");
+    let choice = router().choose(NOW, &registry, &request).expect("an engine is available");
     assert_eq!((choice.endpoint, choice.prefix), (keys[0], Prefix::Absent));
 }
 
@@ -127,18 +127,19 @@
     let (mut registry, keys) = fleet(3);
     fill(&mut registry, keys[0], 4);
     fill(&mut registry, keys[1], 4);
-    let choice = router().choose(NOW, &registry, &request()).expect("open engines");
+    let choice = router().choose(NOW, &registry, &request()).expect("an engine is available");
     assert_ne!(choice.endpoint, keys[2]);
 }
 
-/// Routes a call away from a full engine over links of `rate` bytes a second within the region.
+/// Routes a call away from a full engine, with `rate` bytes per second between engines of the
+/// region.
 fn choose_past_full_engine(rate: f64) -> Choice {
     let (mut registry, keys) = fleet(3);
     fill(&mut registry, keys[0], 100);
     let mut settings = RouteSettings { import: true, ..RouteSettings::default() };
     settings.links.region.rate = rate;
     let request = RouteRequest { last_runs: last_run_on(0), ..request() };
-    Router::new(settings, 1).choose(NOW, &registry, &request).expect("open engines")
+    Router::new(settings, 1).choose(NOW, &registry, &request).expect("an engine is available")
 }
 
 #[test]
@@ -154,8 +155,8 @@
     assert_eq!((choice.prefix, choice.prefill_tokens), (Prefix::Absent, 20_500));
 }
 
-// One engine's reports freeze while it looks idle. Every VM that trusts them sends it the next
-// call, until it falls over. An old report must not make it look better than its fresh peers.
+// The load reports of an engine stop while it looks idle. The old report must not make it preferred
+// over engines with current reports, or all VMs would send their calls there.
 #[test]
 fn choose_frozen_report_is_no_advantage() {
     let (mut registry, keys) = fleet(2);
@@ -169,7 +170,7 @@
     }
     let now = Time::from_millis(20_600);
     registry.dispatched(now, keys[0], DispatchLoad::default());
-    let choice = router().choose(now, &registry, &request()).expect("open engines");
+    let choice = router().choose(now, &registry, &request()).expect("an engine is available");
     assert_eq!(choice.endpoint, keys[1]);
 }
 
@@ -178,11 +179,11 @@
     let (mut registry, keys) = fleet(2);
     fill(&mut registry, keys[0], 1);
     let request = RouteRequest { isolate: true, ..request() };
-    let choice = router().choose(NOW, &registry, &request).expect("an idle engine");
+    let choice = router().choose(NOW, &registry, &request).expect("an engine is idle");
     assert_eq!(choice.endpoint, keys[1]);
     registry.dispatched(NOW, keys[1], DispatchLoad { prefill_tokens: 0, isolated: true });
     let normal = RouteRequest { isolate: false, last_runs: last_run_on(1), ..request.clone() };
-    let other = router().choose(NOW, &registry, &normal).expect("the other engine");
+    let other = router().choose(NOW, &registry, &normal).expect("the other engine is available");
     assert_eq!(other.endpoint, keys[0]);
     let none = router().choose(NOW, &registry, &request);
     assert!(matches!(none, Err(RouteError::NoneAvailable { .. })));
@@ -197,8 +198,8 @@
 proptest! {
     #![proptest_config(config())]
 
-    // Whatever is leaving, expired, excluded or ejected, a call never goes there; and while one
-    // usable engine is left, it is found, also when the sample misses it.
+    // An endpoint that leaves, is excluded or is ejected is never chosen. A usable endpoint is
+    // found even if it isn't in the sample.
     #[test]
     fn choose_only_usable(
         states in proptest::collection::vec(0..4_u8, 1..60),
@@ -233,12 +234,16 @@
         let mut a = Router::new(settings.clone(), seed);
         let mut b = Router::new(settings, seed);
         for _ in 0..5 {
-            prop_assert_eq!(a.choose(NOW, &registry, &request()), b.choose(NOW, &registry, &request()));
+            prop_assert_eq!(
+                a.choose(NOW, &registry, &request()),
+                b.choose(NOW, &registry, &request())
+            );
         }
     }
 }
 
-/// Sends 20 calls beside a busy engine, and returns how many the one that just came back got.
+/// Routes 20 calls with one busy engine and one that has just returned, and returns the number of
+/// calls that the latter gets.
 fn sent_to_recovered(settings: RegistrySettings) -> u32 {
     let mut registry = Registry::new(settings);
     registry.announce(Time::ZERO, engine(0, 0, 1));
@@ -247,14 +252,14 @@
     let back = key(registry.announce(NOW, engine(1, 1, 1)));
     let mut router = router();
     for _ in 0..20 {
-        let choice = router.choose(NOW, &registry, &request()).expect("open engines");
+        let choice = router.choose(NOW, &registry, &request()).expect("an engine is available");
         registry.dispatched(NOW, choice.endpoint, DispatchLoad::default());
     }
     registry.get(back).map_or(0, |endpoint| endpoint.load(NOW).own)
 }
 
-// A domain comes back with empty queues and is the cheapest for every VM at once. All of them send
-// it their backlog in the same second, and it goes down again.
+// A domain that returns with empty queues is the cheapest for every VM. Without a slow start, all
+// of them would send their calls there at once and overload it.
 #[test]
 fn choose_slow_start_limits_calls() {
     assert_eq!(sent_to_recovered(RegistrySettings::default()), 1);
@@ -267,7 +272,8 @@
     assert_eq!(sent_to_recovered(settings), 20);
 }
 
-/// Two engines of 64 slots; the first runs most of what there is and holds the prompt's start.
+/// Returns two engines with 64 slots: the first runs `others` requests and has the shared prefix
+/// cached, the second runs two.
 fn loaded_engines(others: u32, age: Duration) -> (Registry, Vec<EndpointKey>) {
     let mut registry = Registry::default();
     let loads = [others, 2];
@@ -305,40 +311,39 @@
     }
 }
 
-/// Callers see turns that take twice as long as alone, though engines beside theirs are all but
-/// idle: every new program goes to the engine that holds its shared prompt, since nothing tells that
-/// it generates more slowly with each call, long before its slots are full.
+/// Each concurrent request slows an engine down, long before its slots are full. A new program goes
+/// to a less loaded engine even if another one has its prefix cached.
 #[test]
 fn choose_avoids_loaded_engine() {
     let (registry, keys) = loaded_engines(20, Duration::ZERO);
-    let choice = router().choose(NOW, &registry, &batched_request()).expect("open engines");
+    let choice =
+        router().choose(NOW, &registry, &batched_request()).expect("an engine is available");
     assert_eq!(choice.endpoint, keys[1]);
     let without_batch = RouteRequest { batch: None, ..batched_request() };
-    let choice = router().choose(NOW, &registry, &without_batch).expect("open engines");
+    let choice = router().choose(NOW, &registry, &without_batch).expect("an engine is available");
     assert_eq!(choice.endpoint, keys[0]);
 }
 
 #[test]
 fn choose_keeps_prefix_under_low_load() {
     let (registry, keys) = loaded_engines(5, Duration::ZERO);
-    let choice = router().choose(NOW, &registry, &batched_request()).expect("open engines");
+    let choice =
+        router().choose(NOW, &registry, &batched_request()).expect("an engine is available");
     assert_eq!(choice.endpoint, keys[0]);
 }
 
-/// Callers of a burst all land on one engine. Each entry VM heard half a second ago that it was
-/// idle, and none of them sees what the others have sent there since. A report that old says
-/// nothing of now, so the prompt's start decides again.
+/// Load reports lose weight with age, relative to the usual service time, since they don't show the
+/// calls that other VMs have sent since. The cached prefix decides here.
 #[test]
 fn choose_ignores_old_reports() {
     let (registry, keys) = loaded_engines(20, Duration::from_secs(4));
     let settings = RouteSettings { service_time: 0.3, ..RouteSettings::default() };
     let choice = Router::new(settings, 1).choose(NOW, &registry, &batched_request());
-    assert_eq!(choice.expect("open engines").endpoint, keys[0]);
+    assert_eq!(choice.expect("an engine is available").endpoint, keys[0]);
 }
 
-/// A caller waits while an engine reads a whole history that another one holds. Of the many engines
-/// that there are only a few are drawn for each decision, so the one that ran the program's last turn
-/// is mostly not among them, and every turn of a long program reads all that went before again.
+/// Only a small sample of engines is compared. The engine that has the prefix cached must be
+/// considered even if it isn't in the sample, or each turn would prefill the whole history again.
 #[test]
 fn choose_finds_holder_outside_sample() {
     let (mut registry, keys) = fleet(96);
@@ -348,12 +353,11 @@
     let settings = RouteSettings { sample_size: 2, ..RouteSettings::default() };
     for seed in 0..20 {
         let choice = Router::new(settings.clone(), seed).choose(NOW, &registry, &request);
-        assert_eq!(choice.expect("open engines").endpoint, keys[93]);
+        assert_eq!(choice.expect("an engine is available").endpoint, keys[93]);
     }
 }
 
-/// Engines that are gone, leave, or have loaded another model since must not be chosen because they
-/// once held a prompt's start.
+/// An engine that has left must not be chosen because of a prefix that it had cached.
 #[test]
 fn choose_skips_holder_that_left() {
     let (mut registry, keys) = fleet(96);
@@ -361,6 +365,6 @@
     registry.leave(NOW, "engine-93", 1);
     let shared = vec![SharedPrefix { hash: 7, tokens: 20_000 }];
     let request = RouteRequest { prior_tokens: 0, shared_prefixes: shared, ..request() };
-    let choice = router().choose(NOW, &registry, &request).expect("open engines");
+    let choice = router().choose(NOW, &registry, &request).expect("an engine is available");
     assert_ne!(choice.endpoint, keys[93]);
 }
--- a/crates/core/tests/policy_stall.rs
+++ b/crates/core/tests/policy_stall.rs
@@ -1,4 +1,4 @@
-//! Noticing that a process stood still.
+//! Tests of the detection of pauses of the process.
 
 use gypsumglade_core::policy::stall::{StallDetector, TICK};
 use gypsumglade_core::prelude::*;
@@ -9,16 +9,15 @@
     let mut detector = StallDetector::new(now);
     let before = detector.stalls(now);
     for _ in 0..100 {
-        // A busy processor comes to it late.
+        // Delay of a busy CPU, within the tolerance.
         now = now + TICK + Duration::from_millis(60);
         detector.tick(now);
     }
     assert_eq!(detector.stalls(now), before);
 }
 
-/// A VM is suspended for six seconds with streams under way. When it goes on, the streams' events are
-/// all there and the streams end before the clock is looked at again. Their times say nothing of the
-/// engines, and must not be learnt from; those of later streams do.
+/// A VM is suspended for six seconds while streams are in flight. The pause is counted even before
+/// the next tick, because streams may end earlier and their times are invalid.
 #[test]
 fn stalls_counts_pause_before_next_tick() {
     let start = Time::from_millis(5_000);
--- a/crates/core/tests/program_ends.rs
+++ b/crates/core/tests/program_ends.rs
@@ -1,4 +1,4 @@
-//! Ends of programs, the releases that follow, and what retention forgets.
+//! Tests of the end of programs, the releases that follow, and retention.
 
 mod support;
 
@@ -12,8 +12,8 @@
 
 #[test]
 fn end_releases_until_confirmed() {
-    // The first release is lost on the way. Sent once only, the engine would hold the program's
-    // memory for good; so it is sent again until the confirmation is committed.
+    // A lost release would leave the program's memory allocated at the engine. It is sent again
+    // until the confirmation is committed.
     let mut group = Group::new(1);
     group.run_turn("p", "k", "a", "b");
     group.ask(ENTRY, end("p"));
@@ -47,8 +47,8 @@
 
 #[test]
 fn end_releases_endpoint_of_started_turn() {
-    // The entry VM dies in the middle of the turn, and the caller's program is idle until it
-    // ends. Only the group knows which engine holds its memory: it was told before the first byte.
+    // The entry VM fails during the turn. The group still knows the engine, because a
+    // program's first dispatch at an engine is committed to the log.
     let mut group = Group::new(1);
     let grant = group.grant(turn("p", "k", &[user("a")]));
     group.ask(ENTRY, started("p", &grant.dispatch, "e7"));
@@ -59,9 +59,8 @@
 
 #[test]
 fn end_releases_after_running_turn_settles() {
-    // The turn goes on at the engine after the program's end. Released at once, the engine would
-    // confirm, fill memory again for the rest of the turn, and keep it. So the release waits for
-    // the settle.
+    // The turn still runs at the engine when the program ends. The release waits for the settle;
+    // otherwise the engine would allocate memory again for the rest of the turn.
     let mut group = Group::new(1);
     let grant = group.grant(turn("p", "k", &[user("a")]));
     group.ask(ENTRY, started("p", &grant.dispatch, "e1"));
@@ -82,8 +81,8 @@
 
 #[test]
 fn end_by_deadline_continues_across_leader_changes() {
-    // Each leader has its own clock, with a start of its own. The group's time goes on where the
-    // last entry left it, so leader changes neither end a program early nor let it live for good.
+    // Leaders have clocks with different origins. The group's time continues from the last log
+    // entry, so that leader changes neither shorten nor extend the deadline.
     let mut group = Group::new(3);
     let limits = wire::Budget { millis: 60_000, ..wire::Budget::default() };
     group.grant(limited("p", limits));
@@ -111,8 +110,8 @@
 
 #[test]
 fn end_by_budget_releases_looping_program() {
-    // A looping program spends its last call. It can never be granted another, so it ends at once
-    // and its engine memory is released, while the last answer stays on record.
+    // A program without calls left in its budget can't be granted another one. It ends at once, its
+    // engine memory is released, and the last answer stays recorded.
     let mut group = Group::new(1);
     let limits = wire::Budget { calls: 1, ..wire::Budget::default() };
     let grant = group.grant(limited("p", limits));
@@ -156,8 +155,8 @@
 
 #[test]
 fn audit_skips_program_with_running_dispatch() {
-    // A program ends while its turn runs. Freed now, the engine would file the prefix again at
-    // the turn's end; the audit names the memory only once the turn is settled.
+    // The audit reports the memory of an ended program only after its running turn has settled,
+    // because the engine stores the prefix again at the end of the turn.
     let mut group = Group::new(1);
     let grant = group.grant(turn("p", "k", &[user("a")]));
     group.ask(ENTRY, end("p"));
@@ -187,7 +186,7 @@
 }
 
 fn leaks(reply: ReplyBody) -> usize {
-    let ReplyBody::Leaks(leaks) = reply else { panic!("no audit: {reply:?}") };
+    let ReplyBody::Leaks(leaks) = reply else { panic!("expected leaks, got {reply:?}") };
     leaks.programs.len()
 }
 
--- a/crates/core/tests/program_turns.rs
+++ b/crates/core/tests/program_turns.rs
@@ -1,4 +1,4 @@
-//! Turn order, history and resends of a program.
+//! Tests of the order, history and resends of turns.
 
 mod support;
 
@@ -27,8 +27,8 @@
 
 #[test]
 fn turn_with_equivalent_json_matches_history() {
-    // A client library sends the engine's answer back with nulls and empty lists dropped or
-    // added. Compared byte for byte, the caller would be refused for its own history.
+    // Client libraries add or drop nulls and empty lists when they send an answer back. A
+    // comparison of bytes would refuse the caller's own history.
     let mut group = Group::new(1);
     let grant = group.grant(turn("p", "k1", &[user("a")]));
     let answer = r#"{"choices":[{"message":{"refusal":null,"annotations":[],"content":"b","role":"assistant"}}]}"#;
@@ -39,8 +39,8 @@
 
 #[test]
 fn turn_conflicting_history_reports_position() {
-    // The caller sends a whole history whose answer differs from the stored one. Appending it
-    // would mix two conversations, so it is refused with the place where the two part.
+    // A whole history that differs from the stored one is refused with the position of the
+    // difference. Appending it would mix two conversations.
     let mut group = Group::new(1);
     group.run_turn("p", "k1", "a", "b");
     let reply = group.ask(ENTRY, turn("p", "k2", &[user("a"), assistant("x"), user("c")]));
@@ -66,8 +66,8 @@
 
 #[test]
 fn turn_resent_while_running_joins_it() {
-    // The caller loses its connection and sends the turn again through another entry VM while the
-    // first is still running. The second waits for the first's answer and runs nothing.
+    // The caller sends a turn again through another entry VM while the first is running. The second
+    // waits for the answer of the first and runs nothing.
     let mut group = Group::new(1);
     let grant = group.grant(turn("p", "k1", &[user("a")]));
     let resent = group.send(OTHER, turn("p", "k1", &[user("a")]));
@@ -86,8 +86,8 @@
 
 #[test]
 fn turn_out_of_order_waits_for_earlier() {
-    // Turn 2 overtakes turn 1 on the way from the caller. It waits, and is granted only when
-    // turn 1 is done, with turn 1 in its history.
+    // Turn 2 arrives before turn 1. It is granted only after turn 1 is done, with turn 1 in its
+    // history.
     let mut group = Group::new(1);
     let second = numbered("k2", 2, "c");
     let late = group.send(ENTRY, second);
@@ -106,8 +106,8 @@
 
 #[test]
 fn turn_of_another_organisation_is_a_program_of_its_own() {
-    // Another organisation uses the same program id. It must neither see nor extend the first
-    // one's history: to it, that program does not exist.
+    // Organisations may use the same program id. Neither may see or extend the history of the
+    // other.
     let mut group = Group::new(1);
     group.run_turn("p", "k1", "secret", "b");
     let mut foreign = begin_turn("p", "k1", &[user("x")]);
@@ -129,8 +129,8 @@
 
 #[test]
 fn turn_joined_past_deadline_is_unknown() {
-    // The resend of a running turn runs out of time before the turn is done. Telling its caller
-    // that the call was not run would be untrue: it is running.
+    // The deadline of a resend passes while the first turn is still running. The reply must not say
+    // that the call was not run.
     let mut group = Group::new(1);
     group.grant(turn("p", "k1", &[user("a")]));
     let mut again = begin_turn("p", "k1", &[user("a")]);
--- a/crates/core/tests/quarantine_property.rs
+++ b/crates/core/tests/quarantine_property.rs
@@ -1,4 +1,4 @@
-//! Random loads with a request that kills engines: how many it costs, and whom else it hurts.
+//! Property test with random operations and a request that crashes engines.
 
 #[path = "support/property.rs"]
 mod property;
@@ -14,44 +14,44 @@
 use proptest::test_runner::TestRunner;
 use support::*;
 
-/// Cases of the property when the environment names no other count.
+/// Number of cases unless the environment sets another one.
 const CASES: u32 = 256;
-/// Seed of the property's random choices.
+/// Seed of the random operations.
 const SEED: u64 = 11;
-/// Engines that requests are spread over.
+/// Number of engines that requests share.
 const ENGINES: usize = 3;
-/// Programs; every third sends the bad request, the others send harmless ones of their own.
+/// Number of programs. Every third sends the bad request, the others send harmless ones.
 const PROGRAMS: usize = 9;
 
-/// One thing that happens.
+/// An operation of the simulation.
 #[derive(Clone, Copy, Debug)]
 enum Op {
-    /// A program's caller sends its request, again if need be.
+    /// Sends a program's request, unless one is waiting or in flight.
     Request { program: usize },
-    /// A granted request is sent to an engine, or to one of its own when it must run alone.
+    /// Sends a granted request to an engine, or to an engine of its own if it must run alone.
     Send { program: usize, engine: usize },
-    /// A harmless request completes.
+    /// Completes a harmless request.
     Finish { program: usize },
-    /// A bad request kills its engine, and every request there is reported as crashed.
+    /// Crashes the engine of a bad request, and reports every request there as crashed.
     Crash { program: usize },
-    /// Another replica leads; what the last leader was told of engines is gone.
+    /// Changes the leader; what the previous one was told about engines is lost.
     ChangeLeader { to: usize },
 }
 
-/// A granted request, and the engine it runs on once it is sent.
+/// A granted request and, once it is sent, its engine.
 struct InFlight {
     grant: wire::Grant,
     engine: Option<String>,
 }
 
-/// Engines, callers and the group between them.
+/// Simulated engines and callers of a group.
 struct Simulation {
     group: Group,
     waiting: BTreeMap<RequestToken, usize>,
     in_flight: BTreeMap<usize, InFlight>,
     attempts: u32,
     crashes: usize,
-    /// Bad requests in flight when the first engine died, and leader changes since.
+    /// Number of bad requests in flight, but not on the crashed engine, at the first crash.
     bad_elsewhere: usize,
     violations: Vec<String>,
 }
@@ -166,9 +166,9 @@
 
 #[test]
 fn bad_request_crashes_few_engines_and_quarantines_no_other() {
-    // Three programs send the same bad request again and again, six send harmless ones; they
-    // share three engines, and leaders change. Two engines are lost, and one more for each copy
-    // that was in flight elsewhere when the first died. No harmless request is quarantined.
+    // Three programs send the same bad request repeatedly, and six send harmless ones, on three
+    // engines with leader changes. At most two engines crash, plus one for each bad request in
+    // flight elsewhere at the first crash, and no harmless request is quarantined.
     let mut runner = TestRunner::new(fixed(SEED, cases(CASES)));
     let ops = prop::collection::vec(any_op(), 1..150);
     let result = runner.run(&ops, |ops| {
--- a/crates/core/tests/quarantine_scores.rs
+++ b/crates/core/tests/quarantine_scores.rs
@@ -1,4 +1,4 @@
-//! Requests that crash the endpoints that run them, and bystanders that must not suffer for it.
+//! Tests of the quarantine of requests that crash endpoints.
 
 mod support;
 
@@ -12,9 +12,8 @@
 
 #[test]
 fn crash_twice_quarantines_the_request_for_every_program() {
-    // A request kills its engine, and its caller sends it again, under new keys and from new
-    // programs. The second run is alone on its engine, so the second death proves the request
-    // guilty: two engines are lost, however often it comes.
+    // A request that crashes its engine is sent again with new keys and from new programs. The
+    // second attempt runs alone, so a second crash proves that the request is the cause.
     let mut group = Group::new(1);
     let mut deaths = 0;
     for program in 0..20 {
@@ -43,8 +42,8 @@
 
 #[test]
 fn crash_suspects_all_requests_and_clears_those_that_complete() {
-    // Three requests share an engine when it dies. Each is suspect and runs alone next time; the
-    // two innocent complete and are cleared, the guilty one kills again and is quarantined.
+    // All requests on a crashed engine become suspect and run alone the next time. Those that
+    // complete are cleared; the one that crashes its engine again is quarantined.
     let mut group = Group::new(1);
     let programs = ["good", "bad", "fine"];
     let mut grants = vec![];
@@ -70,8 +69,8 @@
 
 #[test]
 fn crash_reported_by_each_holder_is_scored_once() {
-    // Both holders report the same death, one after the other. Were the second report scored by
-    // what is left on the engine, its request would seem to have been alone there.
+    // Two holders report the same crash. If the second report counted only the requests left on the
+    // engine, its request would seem to have run alone.
     let mut group = Group::new(1);
     let mut grants = vec![];
     for program in ["p", "q"] {
@@ -87,8 +86,8 @@
 
 #[test]
 fn crash_reported_after_a_leader_change_quarantines_nobody() {
-    // The leader that was told who ran on the engine is gone when the engine dies. Its successor
-    // knows of one request there, and blamed that one anew with every report of the same death.
+    // A new leader doesn't know all requests that ran on the crashed engine. Reports of the same
+    // crash must not repeatedly blame the only request that it knows.
     let mut group = Group::new(3);
     let mut grants = vec![];
     for program in ["p", "q", "r", "s"] {
@@ -108,8 +107,8 @@
 
 #[test]
 fn suspect_runs_one_at_a_time() {
-    // The same suspect request arrives in two programs at once. Run side by side it could kill
-    // two more engines before either death is known, so the second waits for the first.
+    // The same suspect request arrives in two programs. If both ran at the same time, they could
+    // crash two more engines, so the second waits for the first.
     let mut group = Group::new(1);
     let grant = group.grant(turn("p", "k", &[user("poison")]));
     group.ask(ENTRY, crashed("p", &grant.dispatch, "e1"));
@@ -133,8 +132,8 @@
 
 #[test]
 fn suspects_take_few_engines_at_once() {
-    // An engine dies with ten requests. Were all ten run alone at once, they would take ten
-    // engines; two do at a time, and the others follow as these complete.
+    // An engine crashes with ten requests. Only two suspects run alone at a time, so that they
+    // don't take ten engines at once.
     let mut group = Group::new(1);
     let programs: Vec<String> = (0..10).map(|i| format!("p{i}")).collect();
     let mut grants = vec![];
@@ -167,8 +166,8 @@
 
 #[test]
 fn quarantine_is_shared_with_other_groups() {
-    // Another group has never seen the request. It learns the score by way of the control group
-    // and refuses the request before it costs a third engine.
+    // Another group learns the score from the control group, and refuses the request before it
+    // crashes a third engine.
     let mut first = Group::new(1);
     quarantine(&mut first);
     let mut second = Group::new(1);
@@ -178,8 +177,8 @@
 
 #[test]
 fn quarantine_lifted_by_bundle_stays_lifted() {
-    // The operators lift the digest with a bundle. Gossip of the old score that is still under way
-    // must not bring the quarantine back.
+    // Operators lift the quarantine of a digest with a bundle. An old score that arrives later must
+    // not restore it.
     let mut group = Group::new(1);
     quarantine(&mut group);
     let old = scores(&group);
@@ -205,7 +204,7 @@
     }
 }
 
-/// Returns the scores told to other groups, in the order of their telling.
+/// Returns the scores that the group has published, in order.
 fn scores(group: &Group) -> Vec<wire::Score> {
     let told = group.effects.iter().filter_map(|effect| match effect {
         Effect::Scored { score } => Some(score.clone()),
--- a/crates/core/tests/scenario_policy.rs
+++ b/crates/core/tests/scenario_policy.rs
@@ -1,7 +1,7 @@
-//! Runs the scripts in `scenarios/policy` against the core's decisions.
+//! Runs the scripts in `scenarios/policy` against the policy modules.
 //!
-//! A script's lines are commands; what they print follows under `---`. `UPDATE_GOLDENFILES=1`
-//! rewrites the expected output.
+//! The lines of a script are commands, and the expected output follows under `---`.
+//! `UPDATE_GOLDENFILES=1` rewrites the expected output.
 
 use std::collections::BTreeMap;
 use std::error::Error;
@@ -27,7 +27,7 @@
 
 type Outcome = Result<String, Box<dyn Error>>;
 
-/// One decision point and the calls it has in flight.
+/// State of a script: the policies under test and the calls in flight.
 struct Scenario {
     now: Time,
     registry: Registry,
@@ -40,7 +40,7 @@
     running: Vec<Ticket>,
 }
 
-/// Arguments of one command, by position and by key.
+/// Arguments of a command, by position and by key.
 struct Args<'a> {
     names: Vec<&'a str>,
     keys: BTreeMap<&'a str, &'a str>,
@@ -128,7 +128,7 @@
         Ok(String::new())
     }
 
-    /// Routes and sends calls, and prints how many went where.
+    /// Routes and sends calls, and prints the number of calls per endpoint.
     fn send(&mut self, args: &Args<'_>) -> Outcome {
         let mut counts: BTreeMap<CompactString, u32> = BTreeMap::new();
         for _ in 0..args.number("count", 1)? {
@@ -182,7 +182,7 @@
         })
     }
 
-    /// Ends all calls on some endpoints, or all there are.
+    /// Ends all calls on the named endpoints, or on all endpoints if none is named.
     fn end(&mut self, args: &Args<'_>, failed: bool) -> Outcome {
         let ended = |call: &(EndpointName, DispatchKey)| {
             args.names.is_empty() || args.names.contains(&call.0.as_str())
@@ -198,7 +198,7 @@
         Ok(format!("{} calls\n", over.len()))
     }
 
-    /// Counts calls sent and failed, and prints how many are tried again and over what time.
+    /// Records calls that fail, and prints the number of retries and their first and last time.
     fn retry(&mut self, args: &Args<'_>) -> Outcome {
         let org: OrgName = args.first()?.into();
         let advice = args.number("advice", 0)?;
@@ -253,7 +253,8 @@
         Ok(text)
     }
 
-    /// Ends running calls one after another and prints whose calls start.
+    /// Releases running calls in the order of their start, and prints the organisations whose calls
+    /// start.
     fn release(&mut self, args: &Args<'_>) -> Outcome {
         let mut names = Vec::new();
         for _ in 0..args.number("count", 1)? {
@@ -318,7 +319,8 @@
 
 fn script(name: &str) {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/../../scenarios/policy");
-    goldenscript::run(&mut Scenario::new(), format!("{folder}/{name}")).expect("script");
+    goldenscript::run(&mut Scenario::new(), format!("{folder}/{name}"))
+        .expect("the script gives its expected output");
 }
 
 #[test]
--- a/crates/core/tests/scenario_program.rs
+++ b/crates/core/tests/scenario_program.rs
@@ -16,7 +16,7 @@
 use gypsumglade_core::wire::program::request::Body;
 use support::*;
 
-/// Folder of the scenarios, seen from this crate.
+/// Folder of the scenarios, relative to this crate.
 const FOLDER: &str = "../../scenarios/program";
 
 /// One line of a scenario.
@@ -26,7 +26,7 @@
     Group {
         replicas: usize,
     },
-    /// Asks for a model turn that adds one user message.
+    /// Requests a model turn that adds one user message.
     Turn {
         program: String,
         #[arg(key)]
@@ -38,14 +38,14 @@
         #[arg(key, optional)]
         limits: Limits,
     },
-    /// Asks for a model turn with a whole list of messages: `u:text` and `a:text`.
+    /// Requests a model turn with a whole list of messages: `u:text` and `a:text`.
     Whole {
         program: String,
         #[arg(key)]
         key: String,
         messages: Vec<String>,
     },
-    /// Asks for a service call that may not be repeated.
+    /// Requests a service call that may not be repeated.
     Call {
         program: String,
         #[arg(key)]
@@ -59,7 +59,7 @@
         #[arg(key, optional)]
         revision: u64,
     },
-    /// Tells that a dispatch runs at an endpoint.
+    /// Reports that a dispatch runs at an endpoint.
     Started {
         program: String,
         #[arg(key)]
@@ -67,7 +67,7 @@
         #[arg(key)]
         endpoint: String,
     },
-    /// The holder of the latest grant of a key tells its outcome.
+    /// Reports the outcome of the latest grant of a key.
     Settle {
         program: String,
         outcome: SettleOutcome,
@@ -97,7 +97,7 @@
     EndpointGone {
         endpoint: String,
     },
-    /// Another replica leads; the proposals under way are `kept` or `lost`.
+    /// Changes the leader; the proposals in flight are `kept` or `lost`.
     Lead {
         replica: usize,
         #[arg(key, optional)]
@@ -106,7 +106,7 @@
     Restart {
         replica: usize,
     },
-    /// Proposals wait for `commit` from now on.
+    /// Holds proposals back until `commit`.
     Hold,
     Commit,
     Config {
@@ -118,14 +118,14 @@
     Consumed {
         program: String,
     },
-    /// Compares what an endpoint reports with the programs under way.
+    /// Compares the programs that an endpoint reports with those that are alive.
     Audit {
         endpoint: String,
         programs: Vec<String>,
     },
 }
 
-/// What a holder tells of its dispatch.
+/// Outcome of a dispatch, as reported by its holder.
 #[derive(Clone, Copy, Debug)]
 enum SettleOutcome {
     Done,
@@ -146,7 +146,7 @@
     }
 }
 
-/// Limits of a new program: `tokens/calls/millis`, zero for none.
+/// Limits of a new program as `tokens/calls/millis`; zero means no limit.
 #[derive(Clone, Copy, Debug, Default)]
 struct Limits(wire::Budget);
 
@@ -165,15 +165,15 @@
     }
 }
 
-/// The group of a scenario and what it still has to print.
+/// State of a scenario.
 struct Scenario {
     group: Group,
     grants: BTreeMap<(String, String), String>,
-    /// Requests whose reply was not printed yet.
+    /// Requests whose reply has not been printed yet.
     pending: BTreeMap<RequestToken, PendingRequest>,
 }
 
-/// A request as the output names it.
+/// A request and its name in the output.
 struct PendingRequest {
     line: String,
     program: String,
@@ -260,7 +260,7 @@
         }
     }
 
-    /// Sends what an entry VM asks.
+    /// Sends the request of an entry VM.
     fn request(&mut self, line: &Line) {
         match line {
             Line::Turn { .. } => self.turn(line),
@@ -279,7 +279,7 @@
         }
     }
 
-    /// Brings about what happens to the group and round it.
+    /// Applies a change to the group or its environment.
     fn fault(&mut self, line: &Line) {
         match line {
             Line::Group { replicas } => self.group = Group::new(*replicas),
@@ -329,7 +329,7 @@
         self.group.step(leader, input);
     }
 
-    /// Prints the replies and effects that the last line brought about.
+    /// Prints the replies and effects of the last line.
     fn print(&mut self, before: &[RequestToken]) -> Result<String, std::fmt::Error> {
         let mut out = String::new();
         for (token, reply) in std::mem::take(&mut self.group.replies) {
@@ -409,8 +409,8 @@
 #[test]
 fn scenarios_give_their_recorded_output() {
     let mut paths: Vec<_> = std::fs::read_dir(FOLDER)
-        .expect("the folder of scenarios")
-        .map(|entry| entry.expect("a folder entry").path())
+        .expect("the scenario folder is readable")
+        .map(|entry| entry.expect("the folder entry is readable").path())
         .collect();
     paths.sort();
     assert!(!paths.is_empty());
