--- a/crates/core/tests/policy_admission.rs
+++ b/crates/core/tests/policy_admission.rs
@@ -1,4 +1,4 @@
-//! Admission: fairness, starvation bounds, early shedding and the limit.
+//! Tests of admission: fair queueing, starvation bounds, load shedding and the concurrency limit.
 
 use gypsumglade_core::policy::Class;
 use gypsumglade_core::policy::admission::{
@@ -24,14 +24,14 @@
     Time::from_millis(millis)
 }
 
-/// One place, no reserve, so that the order of starts is the order of decisions.
+/// Allows one call at a time without a reserve, so that calls start in the order of the decisions.
 fn settings() -> AdmissionSettings {
     let limit = LimitSettings { start: 1.0, min: 1.0, max: 1.0, ..LimitSettings::default() };
     let patience = Duration::from_secs(3_600);
     AdmissionSettings { limit, reserve: 0.0, max_wait: patience, ..AdmissionSettings::default() }
 }
 
-fn offer(org: &str) -> AdmissionRequest {
+fn request(org: &str) -> AdmissionRequest {
     AdmissionRequest {
         org: org.into(),
         class: Class::Normal,
@@ -42,15 +42,15 @@
     }
 }
 
-fn queued(admission: &mut Admission, now: Time, offer: AdmissionRequest) -> Ticket {
-    match admission.admit(now, offer) {
+fn admit(admission: &mut Admission, now: Time, request: AdmissionRequest) -> Ticket {
+    match admission.admit(now, request) {
         AdmissionDecision::Now(ticket) | AdmissionDecision::Queued(ticket) => ticket,
         AdmissionDecision::Shed { reason, .. } => panic!("shed: {reason}"),
     }
 }
 
-/// Ends running calls one at a time and returns the order in which the waiting ones started.
-fn starts(admission: &mut Admission, first: Ticket) -> Vec<Ticket> {
+/// Releases running calls one at a time and returns the waiting calls in the order of their start.
+fn start_order(admission: &mut Admission, first: Ticket) -> Vec<Ticket> {
     let mut order = Vec::new();
     let mut running = first;
     let mut now = at(0);
@@ -66,40 +66,41 @@
 proptest! {
     #![proptest_config(config())]
 
-    // One organisation floods. Without turns, a caller of another waits behind the whole flood.
-    // With them, it waits for its own calls and for as many of each other organisation.
+    // One organisation sends many calls at once. A call of another one waits only for earlier calls
+    // of its own organisation and for as many of each other organisation.
     #[test]
-    fn offer_flood_is_fair(flood in 1..200_u32, others in 1..8_u32, each in 1..6_u32) {
+    fn admit_flood_is_fair(flood in 1..200_u32, others in 1..8_u32, each in 1..6_u32) {
         let mut admission = Admission::new(settings());
-        let first = queued(&mut admission, at(0), offer("flood"));
+        let first = admit(&mut admission, at(0), request("flood"));
         for _ in 0..flood {
-            queued(&mut admission, at(0), offer("flood"));
+            admit(&mut admission, at(0), request("flood"));
         }
-        let mut mine = Vec::new();
+        let mut tickets = Vec::new();
         for org in 0..others {
             for _ in 0..each {
-                let offer = offer(&format!("org{org}"));
-                mine.push(queued(&mut admission, at(0), offer));
+                let request = request(&format!("org{org}"));
+                tickets.push(admit(&mut admission, at(0), request));
             }
         }
-        let order = starts(&mut admission, first);
-        let last = order.iter().rposition(|ticket| mine.contains(ticket)).expect("all start");
+        let order = start_order(&mut admission, first);
+        let last = order.iter().rposition(|ticket| tickets.contains(ticket)).expect("all started");
         prop_assert!(last <= (each * (others + 1)) as usize);
         prop_assert_eq!(order.len(), (flood + others * each) as usize);
     }
 
-    // Urgent calls, or programs under way, arrive without end. The first caller of the last band
-    // must still start, after a number of starts that is known beforehand.
+    // Urgent calls and programs under way keep arriving. A waiting call of a new program must still
+    // start after a bounded number of other calls.
     #[test]
-    fn release_starvation_bound(seed in proptest::collection::vec(proptest::bool::ANY, 700)) {
+    fn release_starvation_bound(urgencies in proptest::collection::vec(proptest::bool::ANY, 700)) {
         let mut admission = Admission::new(settings());
-        let mut running = queued(&mut admission, at(0), offer("a"));
-        let new = queued(&mut admission, at(0), AdmissionRequest { under_way: false, ..offer("b") });
+        let mut running = admit(&mut admission, at(0), request("a"));
+        let new =
+            admit(&mut admission, at(0), AdmissionRequest { under_way: false, ..request("b") });
         let mut count = 0;
-        for urgent in seed {
+        for urgent in urgencies {
             let class = if urgent { Class::Urgent } else { Class::Normal };
-            queued(&mut admission, at(1), AdmissionRequest { class, ..offer("a") });
-            queued(&mut admission, at(1), offer("a"));
+            admit(&mut admission, at(1), AdmissionRequest { class, ..request("a") });
+            admit(&mut admission, at(1), request("a"));
             let started = admission.release(at(2), running);
             running = started[0];
             count += 1;
@@ -107,7 +108,7 @@
                 break;
             }
             if admission.waiting() > 200 {
-                // Keep the flood within the organisation's queue.
+                // Keeps the calls within the queue limit of the organisation.
                 let more = admission.release(at(2), running);
                 running = more[0];
                 count += 1;
@@ -121,9 +122,9 @@
         prop_assert!(count <= (bounds.urgent_run + 1) * (bounds.under_way_run + 1));
     }
 
-    // Every offer is answered once: started, shed or given up, whatever the order of events.
+    // Each call is started, cancelled or expired exactly once, or shed, in any order of events.
     #[test]
-    fn offer_every_ticket_settles(steps in proptest::collection::vec(0..6_u8, 1..200)) {
+    fn admit_every_ticket_settles(steps in proptest::collection::vec(0..6_u8, 1..200)) {
         let mut admission = Admission::new(AdmissionSettings { org_queue: 8, ..settings() });
         let mut now = at(0);
         let (mut running, mut waiting) = (Vec::new(), Vec::new());
@@ -133,7 +134,9 @@
             match step {
                 0..=2 => {
                     let deadline = Some(now + Duration::from_secs(u64::from(*step) * 5 + 2));
-                    match admission.admit(now, AdmissionRequest { deadline, ..offer(["a", "b"][index % 2]) }) {
+                    match admission
+                        .admit(now, AdmissionRequest { deadline, ..request(["a", "b"][index % 2]) })
+                    {
                         AdmissionDecision::Now(ticket) => running.push(ticket),
                         AdmissionDecision::Queued(ticket) => waiting.push(ticket),
                         AdmissionDecision::Shed { retry_after, .. } => prop_assert!(retry_after >= Duration::from_secs(1)),
@@ -141,9 +144,9 @@
                 }
                 3 => if let Some(ticket) = running.pop() { started = admission.release(now, ticket) },
                 4 => if let Some(ticket) = waiting.pop() { started = admission.cancel(now, ticket) },
-                _ => for given in admission.expire(now) {
-                    prop_assert!(waiting.contains(&given.ticket));
-                    waiting.retain(|ticket| *ticket != given.ticket);
+                _ => for expired in admission.expire(now) {
+                    prop_assert!(waiting.contains(&expired.ticket));
+                    waiting.retain(|ticket| *ticket != expired.ticket);
                 },
             }
             for ticket in started {
@@ -157,24 +160,27 @@
     }
 }
 
-// An organisation of long calls must not get more seconds than one of short calls: both have calls
-// waiting all the time, and after many starts their seconds are equal up to one call.
+// Organisations share service time, not numbers of calls: with calls of both waiting all the time,
+// their sums of seconds differ by at most one call.
 #[test]
 fn release_shares_by_seconds() {
     let mut admission = Admission::new(settings());
-    let mut running = queued(&mut admission, at(0), offer("c"));
+    let mut running = admit(&mut admission, at(0), request("c"));
     let long = Duration::from_secs(12);
     let mut seconds = std::collections::HashMap::new();
     for _ in 0..100 {
-        let ticket =
-            queued(&mut admission, at(0), AdmissionRequest { service_time: long, ..offer("long") });
+        let ticket = admit(
+            &mut admission,
+            at(0),
+            AdmissionRequest { service_time: long, ..request("long") },
+        );
         seconds.insert(ticket, (0, 12));
         for _ in 0..2 {
             let service = Duration::from_secs(4);
-            let ticket = queued(
+            let ticket = admit(
                 &mut admission,
                 at(0),
-                AdmissionRequest { service_time: service, ..offer("short") },
+                AdmissionRequest { service_time: service, ..request("short") },
             );
             seconds.insert(ticket, (1, 4));
         }
@@ -189,53 +195,54 @@
 }
 
 #[test]
-fn offer_flood_unfair_mutation() {
+fn admit_flood_unfair_mutation() {
     let mut unfair = settings();
     unfair.features.fair = false;
     let mut admission = Admission::new(unfair);
-    let first = queued(&mut admission, at(0), offer("flood"));
+    let first = admit(&mut admission, at(0), request("flood"));
     for _ in 0..100 {
-        queued(&mut admission, at(0), offer("flood"));
+        admit(&mut admission, at(0), request("flood"));
     }
-    let mine = queued(&mut admission, at(0), offer("other"));
-    let order = starts(&mut admission, first);
-    assert_eq!(order.iter().position(|ticket| *ticket == mine), Some(100));
+    let other = admit(&mut admission, at(0), request("other"));
+    let order = start_order(&mut admission, first);
+    assert_eq!(order.iter().position(|ticket| *ticket == other), Some(100));
 }
 
 #[test]
-fn offer_urgent_first() {
+fn admit_urgent_first() {
     let mut admission = Admission::new(settings());
-    let first = queued(&mut admission, at(0), offer("a"));
-    let new = queued(&mut admission, at(0), AdmissionRequest { under_way: false, ..offer("a") });
-    let under_way = queued(&mut admission, at(0), offer("a"));
+    let first = admit(&mut admission, at(0), request("a"));
+    let new = admit(&mut admission, at(0), AdmissionRequest { under_way: false, ..request("a") });
+    let under_way = admit(&mut admission, at(0), request("a"));
     let urgent =
-        queued(&mut admission, at(0), AdmissionRequest { class: Class::Urgent, ..offer("a") });
-    assert_eq!(starts(&mut admission, first), vec![urgent, under_way, new]);
+        admit(&mut admission, at(0), AdmissionRequest { class: Class::Urgent, ..request("a") });
+    assert_eq!(start_order(&mut admission, first), vec![urgent, under_way, new]);
 }
 
-// A caller waits for a call that cannot make its deadline, and hears so only at the deadline, when
-// it is too late to go elsewhere. It must hear at once, with a time to come back.
+// A call that can't finish before its deadline is refused at once with a retry delay, not only when
+// its deadline has passed.
 #[test]
-fn offer_deadline_shed_at_once() {
+fn admit_deadline_shed_at_once() {
     let mut admission = Admission::new(settings());
-    queued(&mut admission, at(0), offer("a"));
-    queued(&mut admission, at(0), offer("a"));
+    admit(&mut admission, at(0), request("a"));
+    admit(&mut admission, at(0), request("a"));
     let deadline = Some(at(2_500));
-    let answer = admission.admit(at(0), AdmissionRequest { deadline, ..offer("a") });
+    let answer = admission.admit(at(0), AdmissionRequest { deadline, ..request("a") });
     let retry_after = Duration::from_secs(2);
     assert_eq!(answer, AdmissionDecision::Shed { retry_after, reason: ShedReason::Deadline });
 }
 
 #[test]
-fn expire_gives_up_before_deadline() {
+fn expire_before_deadline() {
     let mut admission = Admission::new(settings());
-    queued(&mut admission, at(0), offer("a"));
+    admit(&mut admission, at(0), request("a"));
     let deadline = Some(at(5_000));
-    let ticket = queued(&mut admission, at(0), AdmissionRequest { deadline, ..offer("a") });
+    let ticket = admit(&mut admission, at(0), AdmissionRequest { deadline, ..request("a") });
     assert_eq!(admission.next_expiry(), Some(at(4_000)));
     assert!(admission.expire(at(3_999)).is_empty());
-    let given: Vec<Ticket> = admission.expire(at(4_000)).iter().map(|given| given.ticket).collect();
-    assert_eq!(given, vec![ticket]);
+    let expired: Vec<Ticket> =
+        admission.expire(at(4_000)).iter().map(|expired| expired.ticket).collect();
+    assert_eq!(expired, vec![ticket]);
 }
 
 #[test]
@@ -250,7 +257,7 @@
     let low = admission.limit();
     assert!(low < 90);
     for index in 0..400 {
-        queued(&mut admission, at(40_000), offer(&format!("org{index}")));
+        admit(&mut admission, at(40_000), request(&format!("org{index}")));
     }
     for _ in 0..2_000 {
         admission.observe(at(41_000), Signal::Waited(Duration::ZERO));
@@ -267,30 +274,30 @@
         ..settings()
     };
     let mut admission = Admission::new(unbounded);
-    let mut running = queued(&mut admission, at(0), offer("a"));
-    let new = queued(&mut admission, at(0), AdmissionRequest { under_way: false, ..offer("b") });
+    let mut running = admit(&mut admission, at(0), request("a"));
+    let new = admit(&mut admission, at(0), AdmissionRequest { under_way: false, ..request("b") });
     for _ in 0..1_000 {
-        queued(&mut admission, at(1), offer("a"));
+        admit(&mut admission, at(1), request("a"));
         running = admission.release(at(2), running)[0];
         assert_ne!(running, new);
     }
 }
 
 #[test]
-fn offer_deadline_late_mutation() {
+fn admit_deadline_late_mutation() {
     let mut late = settings();
     late.features.early_shedding = false;
     let mut admission = Admission::new(late);
-    queued(&mut admission, at(0), offer("a"));
-    queued(&mut admission, at(0), offer("a"));
+    admit(&mut admission, at(0), request("a"));
+    admit(&mut admission, at(0), request("a"));
     let deadline = Some(at(2_500));
-    let ticket = queued(&mut admission, at(0), AdmissionRequest { deadline, ..offer("a") });
+    let ticket = admit(&mut admission, at(0), AdmissionRequest { deadline, ..request("a") });
     assert!(admission.expire(at(2_400)).is_empty());
-    assert_eq!(admission.expire(at(2_500)).first().map(|given| given.ticket), Some(ticket));
+    assert_eq!(admission.expire(at(2_500)).first().map(|expired| expired.ticket), Some(ticket));
 }
 
-// All engines of a model go and come back. A limit that has to grow step by step from its least
-// would shed callers for minutes while the engines are idle.
+// The limit follows the capacity at once when all engines of a model return. If it grew step by
+// step, calls would be shed while engines are idle.
 #[test]
 fn resize_follows_capacity() {
     let limit = LimitSettings { min: 2.0, ..LimitSettings::default() };
@@ -303,23 +310,23 @@
     assert_eq!(admission.limit(), 40);
 }
 
-// A caller is told when to come back, does so, and is refused again and again: the advice was a
-// guess. With calls ending at a steady rate, a caller that comes back when told is let in or queued.
+// A caller that returns after the retry delay is admitted or queued if calls end at a steady rate;
+// otherwise it would be refused again and again.
 #[test]
-fn offer_retry_after_is_honest() {
+fn admit_retry_after_is_sufficient() {
     for waiting in 1..30 {
         let mut admission = Admission::new(settings());
-        let mut running = queued(&mut admission, at(0), offer("a"));
+        let mut running = admit(&mut admission, at(0), request("a"));
         for _ in 0..waiting {
-            queued(&mut admission, at(0), offer("a"));
+            admit(&mut admission, at(0), request("a"));
         }
         let in_time = |now: Time| AdmissionRequest {
             deadline: Some(now + Duration::from_millis(2_500)),
-            ..offer("a")
+            ..request("a")
         };
         let AdmissionDecision::Shed { retry_after, .. } = admission.admit(at(0), in_time(at(0)))
         else {
-            panic!("{waiting} calls fit before the deadline");
+            panic!("not shed behind {waiting} waiting calls");
         };
         let mut now = at(0);
         while now < at(0) + retry_after {
--- a/crates/core/tests/policy_registry.rs
+++ b/crates/core/tests/policy_registry.rs
@@ -1,4 +1,4 @@
-//! Properties and mutations of the endpoint registry.
+//! Tests of the endpoint registry: properties, and mutations that switch off a safeguard.
 
 use gypsumglade_core::policy::registry::{
     Announced, Announcement, CacheEvent, CacheEvents, DispatchLoad, EndpointKind, Ignored,
@@ -83,14 +83,14 @@
     ]
 }
 
-/// Plays steps and returns the first moment at which work would go where it must not.
+/// Runs steps and returns an error if a closed endpoint is offered for new work.
 ///
-/// The model is the rule itself: the newest incarnation heard, whether it ever said that it
-/// leaves, and when it last spoke with a new sequence.
-fn play(mut registry: Registry, steps: &[Step]) -> Result<(), String> {
+/// The expected state is the newest incarnation, whether it announced that it leaves, and the lease
+/// after its last announcement with a new sequence number.
+fn check_steps(mut registry: Registry, steps: &[Step]) -> Result<(), String> {
     let model_id = ModelId::new("advice", "1");
     let mut now = at(1_000);
-    let (mut newest, mut heard, mut left, mut until) = (0, 0, false, Time::ZERO);
+    let (mut newest, mut last_sequence, mut has_left, mut lease_end) = (0, 0, false, Time::ZERO);
     for step in steps {
         match step {
             Step::Wait(millis) => now = now + Duration::from_millis(*millis),
@@ -98,27 +98,32 @@
             Step::Leave { incarnation } => {
                 registry.leave(now, "engine-a", *incarnation);
                 if *incarnation > newest {
-                    (newest, heard, until) = (*incarnation, 0, Time::ZERO);
+                    (newest, last_sequence, lease_end) = (*incarnation, 0, Time::ZERO);
                 }
-                left |= newest == *incarnation;
+                has_left |= newest == *incarnation;
             }
             Step::Announce { incarnation, sequence, leaving } => {
-                let news = Announcement { leaving: *leaving, ..engine(*incarnation, *sequence) };
-                registry.announce(now, news);
+                let announcement =
+                    Announcement { leaving: *leaving, ..engine(*incarnation, *sequence) };
+                registry.announce(now, announcement);
                 if *incarnation > newest {
-                    (newest, heard, left, until) = (*incarnation, 0, false, Time::ZERO);
+                    (newest, last_sequence, has_left, lease_end) =
+                        (*incarnation, 0, false, Time::ZERO);
                 }
-                if *incarnation == newest && *sequence > heard && !(left && until <= now) {
-                    heard = *sequence;
-                    left |= *leaving;
-                    until = now + Duration::from_secs(3);
+                if *incarnation == newest
+                    && *sequence > last_sequence
+                    && !(has_left && lease_end <= now)
+                {
+                    last_sequence = *sequence;
+                    has_left |= *leaving;
+                    lease_end = now + Duration::from_secs(3);
                 }
             }
         }
         let open =
             registry.candidates(&model_id).iter().any(|key| registry.is_available(now, *key));
-        if open && (left || until <= now) {
-            return Err(format!("work at {now} after {step:?}"));
+        if open && (has_left || lease_end <= now) {
+            return Err(format!("available at {now} after {step:?}"));
         }
     }
     Ok(())
@@ -127,12 +132,11 @@
 proptest! {
     #![proptest_config(config())]
 
-    // A caller's turn hangs when it is sent to an endpoint that said it leaves, or whose lease ran
-    // out because the news of leaving was lost. Announcements, replays and old incarnations arrive
-    // in any order; no order may open a closed endpoint.
+    // Announcements, replays and old incarnations arrive in any order. None may open an endpoint
+    // that leaves or whose lease has expired, because turns sent there would hang.
     #[test]
     fn announce_any_order(steps in proptest::collection::vec(step(), 1..40)) {
-        prop_assert_eq!(play(Registry::default(), &steps), Ok(()));
+        prop_assert_eq!(check_steps(Registry::default(), &steps), Ok(()));
     }
 
     #[test]
@@ -152,8 +156,8 @@
 #[test]
 fn announce_lease_mutation() {
     let steps = [Step::Announce { incarnation: 1, sequence: 1, leaving: false }, Step::Wait(3_000)];
-    assert_eq!(play(Registry::default(), &steps), Ok(()));
-    assert!(play(without(|settings| settings.safeguards.lease = false), &steps).is_err());
+    assert_eq!(check_steps(Registry::default(), &steps), Ok(()));
+    assert!(check_steps(without(|settings| settings.safeguards.lease = false), &steps).is_err());
 }
 
 #[test]
@@ -162,8 +166,8 @@
         Step::Announce { incarnation: 1, sequence: 1, leaving: true },
         Step::Announce { incarnation: 1, sequence: 2, leaving: false },
     ];
-    assert_eq!(play(Registry::default(), &steps), Ok(()));
-    assert!(play(without(|settings| settings.safeguards.sticky = false), &steps).is_err());
+    assert_eq!(check_steps(Registry::default(), &steps), Ok(()));
+    assert!(check_steps(without(|settings| settings.safeguards.sticky = false), &steps).is_err());
 }
 
 #[test]
@@ -174,21 +178,21 @@
         Step::Announce { incarnation: 1, sequence: 9, leaving: false },
         Step::Wait(200),
     ];
-    assert_eq!(play(Registry::default(), &steps), Ok(()));
-    assert!(play(without(|settings| settings.safeguards.replay = false), &steps).is_err());
+    assert_eq!(check_steps(Registry::default(), &steps), Ok(()));
+    assert!(check_steps(without(|settings| settings.safeguards.replay = false), &steps).is_err());
 }
 
 #[test]
 fn announce_address_mutation() {
-    // A second process takes a live endpoint's name from another address. Callers' calls must go
-    // on to the first: the name is its own for as long as its lease runs.
-    let thief = || Announcement { address: "10.9.9.9:80".into(), ..engine(5, 1) };
+    // A second process announces a live endpoint's name from another address. The name keeps its
+    // address until its lease expires.
+    let impostor = || Announcement { address: "10.9.9.9:80".into(), ..engine(5, 1) };
     let mut registry = Registry::default();
     registry.announce(at(0), engine(4, 1));
-    assert_eq!(registry.announce(at(10), thief()), Announced::Ignored(Ignored::AddressTaken));
+    assert_eq!(registry.announce(at(10), impostor()), Announced::Ignored(Ignored::AddressTaken));
     let mut open = without(|settings| settings.safeguards.address = false);
     open.announce(at(0), engine(4, 1));
-    assert!(matches!(open.announce(at(10), thief()), Announced::Replaced { .. }));
+    assert!(matches!(open.announce(at(10), impostor()), Announced::Replaced { .. }));
 }
 
 #[test]
@@ -210,9 +214,8 @@
     assert_eq!(registry.get(new).map(|endpoint| endpoint.load(at(3)).own), Some(0));
 }
 
-// A burst arrives between two load reports. Each call sees the same old report of an idle engine
-// and goes there, and the last one waits for all the others. Own calls sent since the report was
-// written must count on top of it, and those sent before must not count twice.
+// Calls sent after a load report was written are added to the reported load. Otherwise all calls of
+// a burst would go to the same idle engine. Calls sent before the report must not count twice.
 #[test]
 fn load_report_corrected() {
     let mut registry = Registry::default();
@@ -224,7 +227,7 @@
     assert_eq!(load.map(|load| (load.total, load.own)), Some((4, 2)));
 }
 
-// The page on capacity counts on this figure: docs/design/registry.md.
+// The capacity estimate in docs/design/registry.md uses this size.
 #[test]
 fn endpoint_state_size() {
     let size = std::mem::size_of::<gypsumglade_core::policy::registry::Endpoint>();
@@ -250,8 +253,8 @@
         events: vec![CacheEvent::Filled { program, tokens: 50 }],
         age: Duration::from_secs(1),
     };
-    let news = Announcement { cache_events: filled(7, 0), ..engine(1, 1) };
-    let key = new_key(registry.announce(at(2_000), news));
+    let announcement = Announcement { cache_events: filled(7, 0), ..engine(1, 1) };
+    let key = new_key(registry.announce(at(2_000), announcement));
     let hint = registry.get(key).and_then(|endpoint| endpoint.hint(7));
     assert_eq!(hint.map(|hint| (hint.tokens, hint.at)), Some((50, at(1_000))));
     let after_gap = Announcement { cache_events: filled(8, 5), ..engine(1, 2) };
@@ -268,7 +271,8 @@
         let call = registry.dispatched(at(1), key, DispatchLoad::default());
         registry.failed(at(2), call);
     }
-    let health = registry.get(key).map(|endpoint| endpoint.health.clone()).expect("known");
+    let health =
+        registry.get(key).map(|endpoint| endpoint.health.clone()).expect("the endpoint is known");
     let back = at(2) + settings.base_ejection;
     assert!(health.is_ejected(at(3)));
     assert!(!health.is_ejected(back));
@@ -280,79 +284,85 @@
     Announcement { name: name.into(), load: report(12, 0), ..engine(1, sequence) }
 }
 
-/// Two VMs that know the same endpoints, of which VM 1 is the home.
+/// Returns the registries of the home VM of the named endpoints, which is VM 1, and of another VM.
 fn home_and_other(names: &[&str]) -> (Registry, Registry) {
-    let (mut near, mut far) = (Registry::default(), Registry::default());
+    let (mut local, mut remote) = (Registry::default(), Registry::default());
     for name in names {
-        near.announce(at(0), named(name, 1));
-        far.announce(at(0), named(name, 1));
+        local.announce(at(0), named(name, 1));
+        remote.announce(at(0), named(name, 1));
     }
-    near.assign_homes(&[VmId(1)]);
-    far.assign_homes(&[VmId(1)]);
-    (near, far)
+    local.assign_homes(&[VmId(1)]);
+    remote.assign_homes(&[VmId(1)]);
+    (local, remote)
 }
 
 fn number(sequence: u32) -> SummaryNumber {
     SummaryNumber { incarnation: 3, sequence }
 }
 
-// A summary is held up for seconds behind a parted link while the endpoint's lease runs out. Taken
-// late, it would open an endpoint that may be gone; a later summary was heard, so it is ignored.
+// A delayed summary that arrives after a later one is ignored. Otherwise it would extend the lease
+// of an endpoint that may be gone.
 #[test]
-fn take_summary_replay_ignored() {
-    let (mut near, mut far) = home_and_other(&["engine-a"]);
-    let early = near.summarise(at(0), VmId(1), number(1));
-    near.leave(at(100), "engine-a", 1);
-    let late = near.summarise(at(100), VmId(1), number(2));
-    assert_eq!(far.apply_summary(at(200), &late), Ok(()));
-    assert_eq!(far.apply_summary(at(2_900), &early), Ok(()));
-    let key = far.key("engine-a").expect("known");
-    assert_eq!(far.get(key).map(|endpoint| endpoint.lease_end), Some(at(3_000)));
+fn apply_summary_replay_ignored() {
+    let (mut local, mut remote) = home_and_other(&["engine-a"]);
+    let early = local.summarise(at(0), VmId(1), number(1));
+    local.leave(at(100), "engine-a", 1);
+    let late = local.summarise(at(100), VmId(1), number(2));
+    assert_eq!(remote.apply_summary(at(200), &late), Ok(()));
+    assert_eq!(remote.apply_summary(at(2_900), &early), Ok(()));
+    let key = remote.key("engine-a").expect("the endpoint is known");
+    assert_eq!(remote.get(key).map(|endpoint| endpoint.lease_end), Some(at(3_000)));
 }
 
-// An endpoint announces itself to its home only. The other VMs hear of it by summaries: without
-// them its lease ends there, and its load stays as it was first heard.
+// An endpoint announces itself to its home VM only. Summaries renew its lease and update its load
+// on the other VMs.
 #[test]
-fn take_summary_renews_and_reports() {
-    let (mut near, mut far) = home_and_other(&["engine-a", "engine-b"]);
+fn apply_summary_renews_and_reports() {
+    let (mut local, mut remote) = home_and_other(&["engine-a", "engine-b"]);
     let busy = Announcement { load: report(30, 0), ..named("engine-a", 2) };
-    near.announce(at(2_000), busy);
-    near.leave(at(2_000), "engine-b", 1);
-    let summary = near.summarise(at(2_000), VmId(1), number(1));
-    assert_eq!(far.apply_summary(at(2_100), &summary), Ok(()));
-    let (a, b) = (far.key("engine-a").expect("known"), far.key("engine-b").expect("known"));
-    assert_eq!((far.is_available(at(4_900), a), far.is_available(at(2_100), b)), (true, false));
-    assert_eq!(far.get(a).map(|endpoint| endpoint.load(at(2_100)).total), Some(30));
+    local.announce(at(2_000), busy);
+    local.leave(at(2_000), "engine-b", 1);
+    let summary = local.summarise(at(2_000), VmId(1), number(1));
+    assert_eq!(remote.apply_summary(at(2_100), &summary), Ok(()));
+    let (a, b) = (
+        remote.key("engine-a").expect("the endpoint is known"),
+        remote.key("engine-b").expect("the endpoint is known"),
+    );
+    assert_eq!(
+        (remote.is_available(at(4_900), a), remote.is_available(at(2_100), b)),
+        (true, false)
+    );
+    assert_eq!(remote.get(a).map(|endpoint| endpoint.load(at(2_100)).total), Some(30));
 }
 
-// The home sends its summary a moment before the endpoint renews its lease. Rounded down, what is
-// left of the lease says "leaving", and the other VMs never use the endpoint again.
+// A lease that is about to expire must not be rounded down to zero, which means that the endpoint
+// leaves. The other VMs would stop using it.
 #[test]
 fn summarise_short_lease_is_not_leaving() {
-    let (near, mut far) = home_and_other(&["engine-a"]);
-    let summary = near.summarise(at(2_990), VmId(1), number(1));
-    assert_eq!(far.apply_summary(at(2_995), &summary), Ok(()));
-    let key = far.key("engine-a").expect("known");
-    assert!(far.is_available(at(2_999), key));
+    let (local, mut remote) = home_and_other(&["engine-a"]);
+    let summary = local.summarise(at(2_990), VmId(1), number(1));
+    assert_eq!(remote.apply_summary(at(2_995), &summary), Ok(()));
+    let key = remote.key("engine-a").expect("the endpoint is known");
+    assert!(remote.is_available(at(2_999), key));
 }
 
 #[test]
-fn take_summary_other_roster_refused() {
-    let (mut near, mut far) = home_and_other(&["engine-a", "engine-b"]);
-    near.announce(at(100), Announcement { incarnation: 2, ..named("engine-a", 1) });
-    near.assign_homes(&[VmId(1)]);
-    let summary = near.summarise(at(100), VmId(1), number(1));
-    let refused = far.apply_summary(at(200), &summary);
+fn apply_summary_other_roster_refused() {
+    let (mut local, mut remote) = home_and_other(&["engine-a", "engine-b"]);
+    local.announce(at(100), Announcement { incarnation: 2, ..named("engine-a", 1) });
+    local.assign_homes(&[VmId(1)]);
+    let summary = local.summarise(at(100), VmId(1), number(1));
+    let refused = remote.apply_summary(at(200), &summary);
     assert_eq!(refused.map_err(|error| error.home), Err(VmId(1)));
 }
 
-// The bound of 10 KB/s a VM at 390 VMs and 5,900 endpoints rests on this size:
-// docs/design/registry.md works it out.
+// The limit of 10 KB/s per VM at 390 VMs and 5,900 endpoints in docs/design/registry.md depends on
+// this size.
 #[test]
 fn summarise_size_at_target() {
     let names: Vec<String> = (0..16).map(|index| format!("engine-{index}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
-    let (near, _) = home_and_other(&names);
-    let size = prost::Message::encoded_len(&near.summarise(at(0), VmId(1), number(100_000)));
+    let (local, _) = home_and_other(&names);
+    let size = prost::Message::encoded_len(&local.summarise(at(0), VmId(1), number(100_000)));
     assert_eq!(size, 68);
 }
--- a/crates/core/tests/policy_renewal.rs
+++ b/crates/core/tests/policy_renewal.rs
@@ -1,4 +1,4 @@
-//! When the registry is told again of the endpoints.
+//! Tests of when endpoints are announced to the registry again.
 
 use gypsumglade_core::policy::registry::Renewal;
 use gypsumglade_core::prelude::*;
@@ -6,11 +6,10 @@
 const NOW: Time = Time::from_millis(1_000);
 const FIRST: RevisionNumber = RevisionNumber(15);
 
-/// Callers of an entry VM that has just started get nothing but refusals for ten seconds. It learnt
-/// of the endpoints first, then of the bundle, and asked whether the registry was to be told in the
-/// moment between the bundle and the lease on it: nothing could be told yet.
+/// A renewal stays due until it is recorded. If asking alone counted as done, the registry of an
+/// entry VM that has just started would stay empty until the next interval.
 #[test]
-fn is_due_until_told() {
+fn is_due_until_recorded() {
     let renewal = Renewal::default();
     assert!(!renewal.is_due(NOW, None));
     assert!(renewal.is_due(NOW, Some(FIRST)));
@@ -25,7 +24,7 @@
 }
 
 #[test]
-fn is_due_after_pause_and_news() {
+fn is_due_after_interval_and_on_request() {
     let mut renewal = Renewal::default();
     renewal.record(NOW, FIRST);
     assert!(renewal.is_due(NOW + Duration::from_secs(11), Some(FIRST)));
--- a/crates/core/tests/scenario_program.rs
+++ b/crates/core/tests/scenario_program.rs
@@ -16,7 +16,7 @@
 use gypsumglade_core::wire::program::request::Body;
 use support::*;
 
-/// Folder of the scenarios, seen from this crate.
+/// Folder of the scenarios, relative to this crate.
 const FOLDER: &str = "../../scenarios/program";
 
 /// One line of a scenario.
@@ -26,7 +26,7 @@
     Group {
         replicas: usize,
     },
-    /// Asks for a model turn that adds one user message.
+    /// Requests a model turn that adds one user message.
     Turn {
         program: String,
         #[arg(key)]
@@ -38,14 +38,14 @@
         #[arg(key, optional)]
         limits: Limits,
     },
-    /// Asks for a model turn with a whole list of messages: `u:text` and `a:text`.
+    /// Requests a model turn with a whole list of messages: `u:text` and `a:text`.
     Whole {
         program: String,
         #[arg(key)]
         key: String,
         messages: Vec<String>,
     },
-    /// Asks for a service call that may not be repeated.
+    /// Requests a service call that may not be repeated.
     Call {
         program: String,
         #[arg(key)]
@@ -59,7 +59,7 @@
         #[arg(key, optional)]
         revision: u64,
     },
-    /// Tells that a dispatch runs at an endpoint.
+    /// Reports that a dispatch runs at an endpoint.
     Started {
         program: String,
         #[arg(key)]
@@ -67,10 +67,10 @@
         #[arg(key)]
         endpoint: String,
     },
-    /// The holder of the latest grant of a key tells its outcome.
+    /// Reports the outcome of the latest grant of a key.
     Settle {
         program: String,
-        outcome: Told,
+        outcome: SettleOutcome,
         #[arg(key)]
         key: String,
         #[arg(key, optional)]
@@ -97,7 +97,7 @@
     EndpointGone {
         endpoint: String,
     },
-    /// Another replica leads; the proposals under way are `kept` or `lost`.
+    /// Changes the leader; the proposals in flight are `kept` or `lost`.
     Lead {
         replica: usize,
         #[arg(key, optional)]
@@ -106,7 +106,7 @@
     Restart {
         replica: usize,
     },
-    /// Proposals wait for `commit` from now on.
+    /// Holds proposals back until `commit`.
     Hold,
     Commit,
     Config {
@@ -118,35 +118,35 @@
     Consumed {
         program: String,
     },
-    /// Compares what an endpoint reports with the programs under way.
+    /// Compares the programs that an endpoint reports with those that are alive.
     Audit {
         endpoint: String,
         programs: Vec<String>,
     },
 }
 
-/// What a holder tells of its dispatch.
+/// Outcome of a dispatch, as reported by its holder.
 #[derive(Clone, Copy, Debug)]
-enum Told {
+enum SettleOutcome {
     Done,
     NotRun,
     Crashed,
 }
 
-impl std::str::FromStr for Told {
+impl std::str::FromStr for SettleOutcome {
     type Err = String;
 
-    fn from_str(text: &str) -> Result<Told, String> {
+    fn from_str(text: &str) -> Result<SettleOutcome, String> {
         match text {
-            "done" => Ok(Told::Done),
-            "not-run" => Ok(Told::NotRun),
-            "crashed" => Ok(Told::Crashed),
+            "done" => Ok(SettleOutcome::Done),
+            "not-run" => Ok(SettleOutcome::NotRun),
+            "crashed" => Ok(SettleOutcome::Crashed),
             other => Err(format!("unknown outcome {other}: done, not-run or crashed")),
         }
     }
 }
 
-/// Limits of a new program: `tokens/calls/millis`, zero for none.
+/// Limits of a new program as `tokens/calls/millis`; zero means no limit.
 #[derive(Clone, Copy, Debug, Default)]
 struct Limits(wire::Budget);
 
@@ -165,16 +165,16 @@
     }
 }
 
-/// The group of a scenario and what it still has to print.
+/// State of a scenario.
 struct Scenario {
     group: Group,
     grants: BTreeMap<(String, String), String>,
-    /// Requests whose reply was not printed yet.
-    open: BTreeMap<RequestToken, Asked>,
+    /// Requests whose reply has not been printed yet.
+    pending: BTreeMap<RequestToken, PendingRequest>,
 }
 
-/// A request as the output names it.
-struct Asked {
+/// A request and its name in the output.
+struct PendingRequest {
     line: String,
     program: String,
     key: String,
@@ -182,7 +182,7 @@
 
 impl Scenario {
     fn new() -> Scenario {
-        Scenario { group: Group::new(1), grants: BTreeMap::new(), open: BTreeMap::new() }
+        Scenario { group: Group::new(1), grants: BTreeMap::new(), pending: BTreeMap::new() }
     }
 
     fn ask(&mut self, verb: &str, program: &str, key: &str, vm: VmId, body: Body) {
@@ -192,8 +192,8 @@
         } else {
             format!("{verb} {program} {key}")
         };
-        let asked = Asked { line, program: program.into(), key: key.into() };
-        self.open.insert(token, asked);
+        let asked = PendingRequest { line, program: program.into(), key: key.into() };
+        self.pending.insert(token, asked);
     }
 
     fn dispatch(&self, program: &str, key: &str) -> String {
@@ -209,9 +209,9 @@
         let endpoint = endpoint.as_deref().unwrap_or("e1");
         let answer = answer.as_deref().unwrap_or_default();
         let body = match outcome {
-            Told::Done => done(program, &dispatch, &assistant(answer)),
-            Told::NotRun => not_run(program, &dispatch),
-            Told::Crashed => crashed(program, &dispatch, endpoint),
+            SettleOutcome::Done => done(program, &dispatch, &assistant(answer)),
+            SettleOutcome::NotRun => not_run(program, &dispatch),
+            SettleOutcome::Crashed => crashed(program, &dispatch, endpoint),
         };
         let Body::Settle(mut settle) = body else { return Err("no settle".into()) };
         settle.endpoint = endpoint.to_owned();
@@ -260,7 +260,7 @@
         }
     }
 
-    /// Sends what an entry VM asks.
+    /// Sends the request of an entry VM.
     fn request(&mut self, line: &Line) {
         match line {
             Line::Turn { .. } => self.turn(line),
@@ -279,7 +279,7 @@
         }
     }
 
-    /// Brings about what happens to the group and round it.
+    /// Applies a change to the group or its environment.
     fn fault(&mut self, line: &Line) {
         match line {
             Line::Group { replicas } => self.group = Group::new(*replicas),
@@ -329,18 +329,18 @@
         self.group.step(leader, input);
     }
 
-    /// Prints the replies and effects that the last line brought about.
+    /// Prints the replies and effects of the last line.
     fn print(&mut self, before: &[RequestToken]) -> Result<String, std::fmt::Error> {
         let mut out = String::new();
         for (token, reply) in std::mem::take(&mut self.group.replies) {
-            let Some(asked) = self.open.remove(&token) else { continue };
+            let Some(asked) = self.pending.remove(&token) else { continue };
             if let Some(ReplyBody::Grant(grant)) = &reply.body {
                 let key = (asked.program.clone(), asked.key.clone());
                 self.grants.insert(key, grant.dispatch.clone());
             }
             writeln!(out, "{}: {}", asked.line, describe(reply.body))?;
         }
-        for (token, asked) in &self.open {
+        for (token, asked) in &self.pending {
             if !before.contains(token) {
                 writeln!(out, "{}: waits", asked.line)?;
             }
@@ -368,7 +368,7 @@
     type Command = Line;
 
     fn run(&mut self, line: &Line, _: &goldenscript::Context) -> Result<String, Box<dyn Error>> {
-        let before: Vec<RequestToken> = self.open.keys().copied().collect();
+        let before: Vec<RequestToken> = self.pending.keys().copied().collect();
         let mut out = self.perform(line)?;
         if !out.is_empty() {
             out.push('\n');
@@ -409,8 +409,8 @@
 #[test]
 fn scenarios_give_their_recorded_output() {
     let mut paths: Vec<_> = std::fs::read_dir(FOLDER)
-        .expect("the folder of scenarios")
-        .map(|entry| entry.expect("a folder entry").path())
+        .expect("the scenario folder is readable")
+        .map(|entry| entry.expect("the folder entry is readable").path())
         .collect();
     paths.sort();
     assert!(!paths.is_empty());
